--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -288,11 +288,11 @@
         };
         let wish = self.gateway.wish(at, &events);
         let loan = part.borrow(at, &wish, self.open.len());
-        self.most_open = loan.open;
+        self.most_open = loan.max_open_requests;
         self.gateway.hear(loan.siblings);
         let actions = self.gateway.handle(at, events);
         let told = self.gateway.publish();
-        let stands = part.settle(loan.ticket, self.clock.micros(Instant::now()), told);
+        let stands = part.settle(loan.id, self.clock.micros(Instant::now()), told);
         if !stands {
             log::warn!("a decision took too long: nothing of it is sent");
         }
--- a/broker/src/parts.rs
+++ b/broker/src/parts.rs
@@ -1,7 +1,7 @@
 //! A broker as one shard of several: what it shares with its siblings.
 
 use sedgebeam_core::{EngineId, Micros, Published, RequestId, Settings, Wish};
-use sedgebeam_leases::{Ledger, Loan, Settled, ShardId, Terms, Ticket};
+use sedgebeam_leases::{CommitResult, Lease, LeaseId, LeaseTable, LeaseTerms, ShardId};
 use sedgebeam_port::Desk;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,7 +24,7 @@
 
 /// What the shards of one dispatcher share.
 pub struct Shared {
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<LeaseTable>,
     /// Wakes a shard that waits for what another has let go.
     wakes: Vec<Notify>,
     /// Which shard has a request: one name is open once, whichever shard is asked.
@@ -39,14 +39,14 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn terms(shards: usize, open: usize, settings: &Settings) -> Terms {
-    Terms {
-        shards,
-        lease: LEASE,
-        tick: settings.tick,
+fn terms(shards: usize, open: usize, settings: &Settings) -> LeaseTerms {
+    LeaseTerms {
+        shard_count: shards,
+        lease_duration: LEASE,
+        redistribution_interval: settings.tick,
         cold_window: settings.overload_for,
-        credit_cap: sedgebeam_core::CREDIT_CAP,
-        open,
+        max_credit: sedgebeam_core::CREDIT_CAP,
+        max_open_requests: open,
     }
 }
 
@@ -54,7 +54,7 @@
     pub fn new(shards: usize, open: usize, settings: &Settings, desk: Desk) -> Arc<Shared> {
         let terms = terms(shards, open, settings);
         Arc::new(Shared {
-            ledger: Mutex::new(Ledger::new(terms)),
+            ledger: Mutex::new(LeaseTable::new(terms)),
             wakes: (0..shards).map(|_| Notify::new()).collect(),
             open: (0..STRIPES).map(|_| Mutex::default()).collect(),
             engines: Mutex::default(),
@@ -69,7 +69,7 @@
 
     /// A shard's broker has died, and with it the actors of its engines and their connections.
     pub fn crash(&self, shard: usize) {
-        let waiters = lock(&self.ledger).crash(ShardId(shard));
+        let waiters = lock(&self.ledger).remove_crashed_shard(ShardId(shard));
         for stripe in &self.open {
             lock(stripe).retain(|_, at| *at != ShardId(shard));
         }
@@ -105,24 +105,27 @@
     /// New settings; each shard tells of them.
     pub fn retune(&self, settings: &Settings, open: usize) {
         let terms = terms(self.shared.wakes.len(), open, settings);
-        lock(&self.shared.ledger).retune(terms);
+        lock(&self.shared.ledger).reconfigure(terms);
     }
 
     /// What other processes of this dispatcher hold.
     pub fn beside(&self, now: Micros, told: Published) {
-        lock(&self.shared.ledger).beside(now, told);
+        lock(&self.shared.ledger).set_peer_process_usage(now, told);
     }
 
-    pub fn borrow(&self, now: Micros, wish: &Wish, open: usize) -> Loan {
-        lock(&self.shared.ledger).borrow(self.shard, now, wish, open)
+    pub fn borrow(&self, now: Micros, wish: &Wish, open: usize) -> Lease {
+        lock(&self.shared.ledger).acquire(self.shard, now, wish, open)
     }
 
     /// Whether what was decided may be carried out.
-    pub fn settle(&self, ticket: Ticket, now: Micros, told: Published) -> bool {
-        let settled = lock(&self.shared.ledger).settle(self.shard, ticket, now, told);
-        let Settled { stands, wake } = settled;
-        self.shared.wake(&wake);
-        stands
+    pub fn settle(&self, ticket: LeaseId, now: Micros, told: Published) -> bool {
+        let settled = lock(&self.shared.ledger).commit(self.shard, ticket, now, told);
+        let CommitResult {
+            is_valid,
+            shards_to_wake,
+        } = settled;
+        self.shared.wake(&shards_to_wake);
+        is_valid
     }
 
     /// Becomes ready when another shard has let go what this one may be waiting for.
--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/beside.rs
@@ -9,7 +9,9 @@
 use folder::unix_now;
 use sedgebeam_core::{Held, Micros, Tenant};
 use sedgebeam_fronts::places::Places;
-use sedgebeam_handover::{Freshness, Life, Pair, Phase, Share, Stated};
+use sedgebeam_handover::{
+    Freshness, HandoverMessage, Incarnation, Phase, ProcessPair, ProcessStatus,
+};
 use sedgebeam_operation::Orders;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{Asked, Desk};
@@ -29,7 +31,7 @@
 const JOIN_WITHIN: Duration = Duration::from_millis(500);
 
 /// What each other process that lives was seen to tell.
-type Seen = Vec<(Life, Option<Share>)>;
+type Seen = Vec<(Incarnation, Option<HandoverMessage>)>;
 
 /// This process among those of its dispatcher.
 pub enum Member {
@@ -40,7 +42,7 @@
 
 impl Member {
     /// Joins those that are there, and hears from the one that serves.
-    pub async fn join(place: Place) -> (Member, Option<Share>) {
+    pub async fn join(place: Place) -> (Member, Option<HandoverMessage>) {
         match timeout(JOIN_WITHIN, place.join_at_last()).await {
             Ok(folder) => {
                 let handed = handed(&folder).await;
@@ -52,9 +54,9 @@
 }
 
 /// What the process that serves tells, where there is one.
-async fn handed(folder: &Folder) -> Option<Share> {
+async fn handed(folder: &Folder) -> Option<HandoverMessage> {
     let until = Instant::now() + SHARE_WITHIN;
-    let mut pair = Pair::new(folder.own);
+    let mut pair = ProcessPair::new(folder.own);
     loop {
         let seen = folder.see();
         let alone = seen.as_ref().is_ok_and(Vec::is_empty);
@@ -62,8 +64,8 @@
             return None;
         }
         let seen = seen.unwrap_or_default();
-        pair.see(Phase::Starting, lives(&seen));
-        let heir = pair.heir_of();
+        pair.update(Phase::Starting, lives(&seen));
+        let heir = pair.predecessor();
         let told = seen.into_iter().find(|(life, _)| Some(*life) == heir);
         if let Some((_, Some(share))) = told {
             return Some(share);
@@ -72,15 +74,15 @@
     }
 }
 
-fn lives(seen: &Seen) -> Vec<(Life, Option<Phase>)> {
+fn lives(seen: &Seen) -> Vec<(Incarnation, Option<Phase>)> {
     let lives = seen.iter();
     lives
         .map(|(life, share)| (*life, phase(share.as_ref())))
         .collect()
 }
 
-fn phase(share: Option<&Share>) -> Option<Phase> {
-    share.map(|share| share.stated.phase)
+fn phase(share: Option<&HandoverMessage>) -> Option<Phase> {
+    share.map(|share| share.status.phase)
 }
 
 /// What others leave of the limits of one dispatcher.
@@ -134,27 +136,27 @@
     }
 
     /// What it tells to those that it has found.
-    async fn share(&self, name: &str, found: Vec<Life>) -> Share {
+    async fn share(&self, name: &str, found: Vec<Incarnation>) -> HandoverMessage {
         // The number first: a list that is newer than its number only hears of some change twice.
         let seq = self.reached.borrow().seq;
         let file = self.file.borrow().to_string();
         let (targets, drained, tenants) = self.desk.standing().await;
         let held = self.desk.held_over().await;
-        Share {
-            stated: Stated {
-                name: name.to_string(),
-                at: unix_now().0,
-                clock: Some(self.now()),
-                found: Some(found),
+        HandoverMessage {
+            status: ProcessStatus {
+                dispatcher_name: name.to_string(),
+                written_at_unix_us: unix_now().0,
+                writer_clock: Some(self.now()),
+                known_processes: Some(found),
                 phase: self.phase(),
-                seq,
+                change_log_seq: seq,
                 targets,
-                sessions: self.places.taken(),
-                drained,
+                session_count: self.places.taken(),
+                drained_engines: drained,
                 tenants,
-                file,
+                config_text: file,
             },
-            held,
+            handover_state: held,
         }
     }
 }
@@ -177,7 +179,7 @@
 struct Meeting {
     folder: Arc<Folder>,
     own: Own,
-    pair: Pair,
+    pair: ProcessPair,
     seen: Seen,
     freshness: Freshness,
     seed: u64,
@@ -185,10 +187,10 @@
 
 impl Meeting {
     fn new(folder: Folder, own: Own) -> Meeting {
-        let Life { generation, draw } = folder.own;
+        let Incarnation { generation, nonce } = folder.own;
         Meeting {
-            pair: Pair::new(folder.own),
-            seed: generation ^ u64::from(draw),
+            pair: ProcessPair::new(folder.own),
+            seed: generation ^ u64::from(nonce),
             folder: Arc::new(folder),
             own,
             seen: Vec::new(),
@@ -232,30 +234,38 @@
         }
         let now = self.own.now();
         for (life, share) in &mut self.seen {
-            let fresh = |told: &Share| self.freshness.is_fresh(*life, told.stated.at, now);
+            let fresh = |told: &HandoverMessage| {
+                self.freshness
+                    .is_fresh(*life, told.status.written_at_unix_us, now)
+            };
             *share = share.take().filter(fresh);
         }
-        self.freshness.keep(&self.found());
-        self.pair.see(self.own.phase(), lives(&self.seen));
+        self.freshness.retain(&self.found());
+        self.pair.update(self.own.phase(), lives(&self.seen));
     }
 
-    fn found(&self) -> Vec<Life> {
+    fn found(&self) -> Vec<Incarnation> {
         self.seen.iter().map(|(life, _)| *life).collect()
     }
 
     fn others(&self) -> Others {
         let told = self.seen.iter().filter_map(|(_, share)| share.as_ref());
         Others {
-            parts: self.pair.parts(),
-            sessions: told.map(|share| share.stated.sessions).sum(),
+            parts: self.pair.process_count(),
+            sessions: told.map(|share| share.status.session_count).sum(),
         }
     }
 
     async fn tell_brokers(&self) {
         let now = self.own.now();
         let told = self.seen.iter().filter_map(|(_, share)| share.as_ref());
-        let held = told.fold(Held::default(), |sum, share| sum.and(share.held_at(now)));
-        self.own.desk.beside(held, self.pair.may_warm()).await;
+        let held = told.fold(Held::default(), |sum, share| {
+            sum.and(share.handover_state_at(now))
+        });
+        self.own
+            .desk
+            .beside(held, self.pair.may_use_cold_engines())
+            .await;
     }
 
     async fn tell_others(&self) {
--- a/dispatcher/src/beside/folder.rs
+++ b/dispatcher/src/beside/folder.rs
@@ -3,7 +3,7 @@
 //! Each process locks a file of its own for as long as it lives, however it dies; what one has left behind, the next to
 //! look removes. A file that can't be read or written for a moment says nothing about who lives.
 
-use sedgebeam_handover::{Life, Share};
+use sedgebeam_handover::{HandoverMessage, Incarnation};
 use sedgebeam_port::clock::span;
 use std::fs::{DirBuilder, File, OpenOptions, TryLockError};
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -32,7 +32,7 @@
 /// The folder, and this process in it.
 pub struct Folder {
     path: PathBuf,
-    pub(super) own: Life,
+    pub(super) own: Incarnation,
     pub(super) name: String,
     /// Locked until the process ends.
     _lock: File,
@@ -44,13 +44,13 @@
 }
 
 /// The processes that have files there, living or not.
-fn known(path: &Path) -> io::Result<Vec<Life>> {
+fn known(path: &Path) -> io::Result<Vec<Incarnation>> {
     let mut known = Vec::new();
     for entry in std::fs::read_dir(path)? {
         let name = entry?.file_name();
         let kinds = [LIVES, TELLS, NEW].into_iter();
         let mut lives = kinds.filter_map(|kind| name.to_str()?.strip_prefix(kind));
-        known.extend(lives.next().and_then(Life::named));
+        known.extend(lives.next().and_then(Incarnation::parse));
     }
     Ok(known)
 }
@@ -70,7 +70,7 @@
             .recursive(true)
             .mode(0o700)
             .create(&path)?;
-        let own = Life::after(known(&path)?.into_iter(), draw());
+        let own = Incarnation::after(known(&path)?.into_iter(), draw());
         // Locked before it has its name: one without a lock is taken for that of a dead process.
         let hidden = path.join(format!("{NEW}{}", own.name()));
         let lock = OpenOptions::new()
@@ -111,17 +111,19 @@
 }
 
 impl Folder {
-    fn of(&self, kind: &str, life: Life) -> PathBuf {
+    fn of(&self, kind: &str, life: Incarnation) -> PathBuf {
         self.path.join(format!("{kind}{}", life.name()))
     }
 
     /// The others that live.
-    fn others(&self) -> io::Result<Vec<Life>> {
+    fn others(&self) -> io::Result<Vec<Incarnation>> {
         let mut others = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
             let name = entry?.file_name();
             let life = name.to_str().and_then(|name| name.strip_prefix(LIVES));
-            let life = life.and_then(Life::named).filter(|life| *life != self.own);
+            let life = life
+                .and_then(Incarnation::parse)
+                .filter(|life| *life != self.own);
             if let Some(life) = life
                 && self.lives(life)?
             {
@@ -132,7 +134,7 @@
     }
 
     /// Whether a process holds its lock; what is left of one that does not is removed.
-    fn lives(&self, life: Life) -> io::Result<bool> {
+    fn lives(&self, life: Incarnation) -> io::Result<bool> {
         let path = self.of(LIVES, life);
         let file = match File::open(&path) {
             Ok(file) => file,
@@ -154,24 +156,24 @@
     }
 
     /// What another tells to this process.
-    fn read(&self, life: Life) -> Option<Share> {
+    fn read(&self, life: Incarnation) -> Option<HandoverMessage> {
         let bytes = std::fs::read(self.of(TELLS, life)).ok()?;
-        let share = Share::decode(&bytes, &self.name);
+        let share = HandoverMessage::decode(&bytes, &self.name);
         share
             .inspect_err(|why| log::debug!("what {} tells: {why:?}", life.name()))
             .ok()
-            .filter(|share| share.answers(self.own, unix_now()))
+            .filter(|share| share.is_addressed_to(self.own, unix_now()))
     }
 
     /// Tells the others; whole, as it has its name only once it is written.
-    pub(super) fn write(&self, share: &Share) -> io::Result<()> {
+    pub(super) fn write(&self, share: &HandoverMessage) -> io::Result<()> {
         let hidden = self.of(NEW, self.own);
         std::fs::write(&hidden, share.encode())?;
         std::fs::rename(&hidden, self.of(TELLS, self.own))
     }
 
     /// The others that live, and what each tells.
-    pub(super) fn see(&self) -> io::Result<Vec<(Life, Option<Share>)>> {
+    pub(super) fn see(&self) -> io::Result<Vec<(Incarnation, Option<HandoverMessage>)>> {
         let others = self.others()?.into_iter();
         Ok(others.map(|life| (life, self.read(life))).collect())
     }
--- a/dispatcher/src/crew.rs
+++ b/dispatcher/src/crew.rs
@@ -9,7 +9,7 @@
 use core_affinity::CoreId;
 use sedgebeam_broker::parts::{Part, Shared};
 use sedgebeam_broker::{self as broker, Setup};
-use sedgebeam_leases::placement::{self, Load};
+use sedgebeam_leases::placement::{self, WorkerLoad};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{Desk, Engines, supervise};
@@ -158,13 +158,13 @@
 
     /// The worker for a new connection.
     pub fn place(&self) -> (usize, &Worker) {
-        let load = |(shard, worker): (usize, &Worker)| Load {
+        let load = |(shard, worker): (usize, &Worker)| WorkerLoad {
             connections: worker.connections.load(Ordering::Relaxed),
-            lives: shard >= self.shards || self.desk.lives(shard),
+            is_alive: shard >= self.shards || self.desk.lives(shard),
         };
-        let loads: Vec<Load> = self.workers.iter().enumerate().map(load).collect();
+        let loads: Vec<WorkerLoad> = self.workers.iter().enumerate().map(load).collect();
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let place = placement::place(&loads, turn);
+        let place = placement::choose_worker(&loads, turn);
         (place, &self.workers[place])
     }
 
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -107,8 +107,8 @@
     let beside = beside(&environment).await;
     let source = Source { environment, own };
     let handed = beside.as_ref().and_then(|beside| beside.handed.as_ref());
-    let config = match handed.filter(|handed| !handed.stated.file.is_empty()) {
-        Some(handed) => source.load_beside(&handed.stated.file),
+    let config = match handed.filter(|handed| !handed.status.config_text.is_empty()) {
+        Some(handed) => source.load_beside(&handed.status.config_text),
         None => source.load(),
     };
     let config = match config {
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -21,7 +21,7 @@
 use crate::roster::Reached;
 use limits::SharedLimits;
 use sedgebeam_fronts::places::Places;
-use sedgebeam_handover::Share;
+use sedgebeam_handover::HandoverMessage;
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::supervise;
@@ -33,7 +33,7 @@
 /// This process beside others of its dispatcher, and what the one that serves has told.
 pub struct Beside {
     pub member: Member,
-    pub handed: Option<Share>,
+    pub handed: Option<HandoverMessage>,
 }
 
 /// What the parts of a running program have in common.
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -9,7 +9,7 @@
 use crate::reload::{Reload, Source};
 use crate::roster::{self, Reached};
 use sedgebeam_engines::{Slots, Wires};
-use sedgebeam_handover::Share;
+use sedgebeam_handover::HandoverMessage;
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::{Clock, duration};
 use sedgebeam_port::{Asked, Listing, supervise};
@@ -62,7 +62,7 @@
 
     /// Has the brokers begin with the list of the file, or with what another process has told where that is newer;
     /// the change log's number that goes with it.
-    pub(super) async fn restore_list(&self, handed: Option<Share>) -> io::Result<u64> {
+    pub(super) async fn restore_list(&self, handed: Option<HandoverMessage>) -> io::Result<u64> {
         let (known, desk) = (&self.config.known, &self.crew.desk);
         let ended = |_| io::Error::other("the broker ended at once");
         let saved = roster::fold(known.changes.clone());
@@ -70,15 +70,15 @@
         let Some(share) = handed else {
             return Ok(known.seq);
         };
-        let held = share.held_at(self.clock.micros(Instant::now()));
-        let stated = share.stated;
-        let seq = stated.seq.max(known.seq);
-        if stated.seq > known.seq {
+        let held = share.handover_state_at(self.clock.micros(Instant::now()));
+        let stated = share.status;
+        let seq = stated.change_log_seq.max(known.seq);
+        if stated.change_log_seq > known.seq {
             let told = desk.list(Listing::Complete, stated.targets).await;
             told.map_err(ended)?;
         }
         desk.take_over(held).await;
-        beside::set_again(desk, stated.drained, stated.tenants).await;
+        beside::set_again(desk, stated.drained_engines, stated.tenants).await;
         log::info!("begun with what the process before it knew, up to change {seq}");
         Ok(seq)
     }
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -5,7 +5,7 @@
 use crate::slots::Slot;
 use futures::StreamExt;
 use sedgebeam_core::RequestId;
-use sedgebeam_fleet::reconnect::Connect;
+use sedgebeam_fleet::reconnect::TrackedConnection;
 use sedgebeam_operation::Figures;
 use sedgebeam_sockets::{Reading, is_local, is_to_be_repeated, without_delay};
 use std::collections::VecDeque;
@@ -58,14 +58,14 @@
     pub used: Instant,
     pub heard: Instant,
     /// What the backoff knows it by.
-    pub connect: Connect,
+    pub connect: TrackedConnection,
     carried: VecDeque<RequestId>,
     /// Dropped with this: the task ends, and what it has not written yet stays unwritten.
     _kept: oneshot::Sender<()>,
 }
 
 impl Connection {
-    pub fn open(link: Link, slot: Slot, connect: Connect) -> Connection {
+    pub fn open(link: Link, slot: Slot, connect: TrackedConnection) -> Connection {
         let (mailbox, commands) = mpsc::channel(MAILBOX);
         let (kept, dropped) = oneshot::channel();
         let (number, dead) = (link.number, link.came.clone());
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -15,7 +15,9 @@
 use connection::{Came, Connection, Link, Number};
 use outgoing::Named;
 use sedgebeam_core::{AttemptNo, Load, Micros, RequestId};
-use sedgebeam_fleet::reconnect::{Backoff, Connect, Ended, Pauses, Permit};
+use sedgebeam_fleet::reconnect::{
+    Backoff, BackoffConfig, ConnectionEnd, Permit, TrackedConnection,
+};
 use sedgebeam_port::clock::{duration, span};
 use sedgebeam_port::{Attempt, End, Page, Probe, Report, Reports, Resting, ToEngine};
 use sedgebeam_settings::Connections;
@@ -342,9 +344,9 @@
             return Ok(number);
         }
         match (self.backoff.permit(self.now()), shared) {
-            (Permit::HeldBack, None) => Err(self.why_unconnected()),
-            (Permit::HeldBack | Permit::ShareFirst, Some(number)) => Ok(number),
-            (Permit::Granted | Permit::ShareFirst, _) => {
+            (Permit::BackingOff, None) => Err(self.why_unconnected()),
+            (Permit::BackingOff | Permit::PreferReuse, Some(number)) => Ok(number),
+            (Permit::Granted | Permit::PreferReuse, _) => {
                 let opened = self.open(shared.is_none());
                 opened.or(shared).ok_or(Unconnected::NoRoom)
             }
@@ -415,8 +417,8 @@
         span(self.started.elapsed()).0
     }
 
-    fn pauses(&self) -> Pauses {
-        Pauses::new(self.settings().connect_timeout.0)
+    fn pauses(&self) -> BackoffConfig {
+        BackoffConfig::new(self.settings().connect_timeout.0)
     }
 
     /// Hands a command to a connection; false where it is full or gone.
@@ -549,7 +551,8 @@
                 let (now, pauses) = (self.now(), self.pauses());
                 if let Some(connection) = self.connections.get_mut(&number) {
                     connection.up = true;
-                    self.backoff.came_up(&connection.connect, now, &pauses);
+                    self.backoff
+                        .record_connected(&connection.connect, now, &pauses);
                 }
                 let waiting = self.out.iter().filter(|(_, out)| out.connection == number);
                 let waiting: Vec<RequestId> = waiting.map(|(id, _)| *id).collect();
@@ -619,7 +622,7 @@
             return;
         };
         connection.heard = Instant::now();
-        if let Some(failed) = self.backoff.answered(&mut connection.connect) {
+        if let Some(failed) = self.backoff.record_response(&mut connection.connect) {
             log::info!(
                 "connects to {} succeed again, after {failed} that failed",
                 self.endpoint
@@ -636,17 +639,17 @@
     }
 
     /// Logs a run of failed connects once, and each end of a connection that was good.
-    fn connect_ended(&mut self, connect: Connect, error: Option<io::Error>) {
+    fn connect_ended(&mut self, connect: TrackedConnection, error: Option<io::Error>) {
         let (now, pauses) = (self.now(), self.pauses());
-        let ended = self.backoff.ended(connect, now, &pauses);
+        let ended = self.backoff.record_end(connect, now, &pauses);
         let why = error.map_or("its task died".to_string(), |error| error.to_string());
         match ended {
-            Ended::Proven => log::info!("connection to {}: {why}", self.endpoint),
-            Ended::FirstFailure => log::info!(
+            ConnectionEnd::Proven => log::info!("connection to {}: {why}", self.endpoint),
+            ConnectionEnd::FirstFailure => log::info!(
                 "connects to {} fail: {why}; those that follow are counted",
                 self.endpoint
             ),
-            Ended::FurtherFailure => {}
+            ConnectionEnd::RepeatedFailure => {}
         }
     }
 
@@ -678,7 +681,7 @@
     fn abandon(&mut self, number: Number, why: &str) {
         if let Some(connection) = self.connections.remove(&number) {
             log::info!("connection to {}: abandoned: {why}", self.endpoint);
-            self.backoff.closed(connection.connect);
+            self.backoff.record_local_close(connection.connect);
         }
     }
 
@@ -688,7 +691,7 @@
             .connections
             .extract_if(|_, connection| !connection.busy() && goes(connection));
         for (_, connection) in idle {
-            self.backoff.closed(connection.connect);
+            self.backoff.record_local_close(connection.connect);
         }
     }
 
--- a/fleet/src/crowd.rs
+++ b/fleet/src/concurrency_limit.rs
@@ -12,24 +12,24 @@
 
 /// How many times its part of the fleet a gateway may have out.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Multiple {
+pub struct ConcurrencyLimit {
     now: f64,
     least: f64,
     most: f64,
     traffic: Traffic,
 }
 
-impl Multiple {
+impl ConcurrencyLimit {
     /// It starts at so much and stays from the least to the most; where told, so many requests a second come to
     /// each gateway. What a quiet time has it grow to, all gateways use at once when a burst comes, and what answers
     /// tell of that is heard only once engines are full: the most is what engines bear of all together.
-    pub fn new(start: f64, (least, most): (f64, f64), usual: f64) -> Multiple {
+    pub fn new(start: f64, (least, most): (f64, f64), usual: f64) -> ConcurrencyLimit {
         let traffic = Traffic {
             usual,
             recent: usual * TRAFFIC_OVER,
             at: None,
         };
-        Multiple {
+        ConcurrencyLimit {
             now: start.clamp(least, most.max(least)),
             least,
             most: most.max(least),
@@ -38,56 +38,56 @@
     }
 
     /// Takes other bounds and another usual traffic; what answers told stays.
-    pub fn retune(&mut self, other: Multiple) {
+    pub fn reconfigure(&mut self, other: ConcurrencyLimit) {
         (self.least, self.most) = (other.least, other.most);
         self.now = self.now.clamp(self.least, self.most);
         self.traffic.usual = other.traffic.usual;
     }
 
     /// Takes another most: it follows from the size of a part, which changes with the list of engines.
-    pub fn bound(&mut self, most: f64) {
+    pub fn set_max(&mut self, most: f64) {
         self.most = most.max(self.least);
         self.now = self.now.min(self.most);
     }
 
     /// A sign of a crowd, or of none.
-    pub fn follow(&mut self, crowded: bool) {
+    pub fn adjust(&mut self, crowded: bool) {
         let step = STEP * if crowded { -1.0 } else { RISE };
         self.now = (self.now * step.exp()).clamp(self.least, self.most);
     }
 
     /// Even parts of the fleet that the traffic alone would not give; for another process of this gateway.
-    pub fn handed_over(&self) -> f64 {
+    pub fn handover_state(&self) -> f64 {
         self.now
     }
 
     /// Takes over what answers told an earlier process; what is no number is not heeded.
-    pub fn take_over(&mut self, now: f64) {
+    pub fn restore(&mut self, now: f64) {
         if now.is_finite() {
             self.now = now.clamp(self.least, self.most);
         }
     }
 
     /// A request came.
-    pub fn asked(&mut self, now: u64) {
-        self.traffic.asked(now);
+    pub fn record_request(&mut self, now: u64) {
+        self.traffic.record_request(now);
     }
 
     /// Requests a second that come to this gateway.
-    pub fn rate(&self) -> f64 {
+    pub fn request_rate(&self) -> f64 {
         self.traffic.recent / TRAFFIC_OVER
     }
 
     /// Even parts of the fleet that this gateway may have out, at least so many where its traffic is even. Crowds
     /// tell all gateways the same, so one with several times the mean traffic would refuse most of it if all had
     /// the same room.
-    pub fn parts(&self, least: f64) -> f64 {
-        self.now.max(least) * self.traffic()
+    pub fn limit(&self, least: f64) -> f64 {
+        self.now.max(least) * self.traffic_ratio()
     }
 
     /// This gateway's traffic, in even parts of that of all; never under one.
-    pub fn traffic(&self) -> f64 {
-        self.traffic.parts()
+    pub fn traffic_ratio(&self) -> f64 {
+        self.traffic.ratio()
     }
 }
 
@@ -102,14 +102,14 @@
 }
 
 impl Traffic {
-    fn asked(&mut self, now: u64) {
+    fn record_request(&mut self, now: u64) {
         let before = self.at.replace(now).unwrap_or(now);
         let passed = now.saturating_sub(before) as f64 / 1e6;
         self.recent = self.recent * (-passed / TRAFFIC_OVER).exp() + 1.0;
     }
 
     /// Never under one: room that nobody asks for costs nothing.
-    fn parts(&self) -> f64 {
+    fn ratio(&self) -> f64 {
         let parts = self.recent / (self.usual * TRAFFIC_OVER);
         if parts.is_finite() {
             parts.clamp(1.0, LARGEST)
@@ -125,27 +125,27 @@
 
     /// The parts of a gateway that is asked so many times a second for so many seconds.
     fn parts(usual: f64, rate: u64, seconds: u64) -> f64 {
-        let mut multiple = Multiple::new(2.0, (0.5, 8.0), usual);
+        let mut multiple = ConcurrencyLimit::new(2.0, (0.5, 8.0), usual);
         for count in 0..rate * seconds {
-            multiple.asked(count * 1_000_000 / rate);
+            multiple.record_request(count * 1_000_000 / rate);
         }
-        multiple.parts(0.0)
+        multiple.limit(0.0)
     }
 
     #[test]
     fn it_stays_within_its_bounds_whatever_answers_tell() {
-        let mut multiple = Multiple::new(2.0, (0.25, 1.5), 0.0);
+        let mut multiple = ConcurrencyLimit::new(2.0, (0.25, 1.5), 0.0);
         let mut after = |crowded, count| {
-            (0..count).for_each(|_| multiple.follow(crowded));
-            multiple.handed_over()
+            (0..count).for_each(|_| multiple.adjust(crowded));
+            multiple.handover_state()
         };
         assert_eq!(after(false, 0), 1.5);
         assert_eq!(after(true, 1000), 0.25);
         assert!((after(false, 20) - 0.25 * 0.5_f64.exp()).abs() < 1e-9);
         assert_eq!(after(false, 1000), 1.5);
-        multiple.retune(Multiple::new(2.0, (2.0, 1.0), 0.0));
+        multiple.reconfigure(ConcurrencyLimit::new(2.0, (2.0, 1.0), 0.0));
         assert_eq!(
-            multiple.handed_over(),
+            multiple.handover_state(),
             2.0,
             "the least counts over the most"
         );
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,12 +1,12 @@
 //! Decisions that follow from the size of a fleet: what is harmless in one gateway and harmful when all do it.
 //! No I/O, no clock, no dependency; times are in microseconds.
 
-pub mod asking;
-pub mod circle;
-pub mod cold;
-mod crowd;
+mod concurrency_limit;
 mod health;
+pub mod probing;
 pub mod reconnect;
+pub mod slow_start;
+pub mod subset;
 
-pub use crowd::Multiple;
-pub use health::{Health, Rests, STRIKES};
+pub use concurrency_limit::ConcurrencyLimit;
+pub use health::{EjectionPolicy, FAILURES_TO_EJECT, Health};
--- a/fleet/src/asking.rs
+++ b/fleet/src/probing.rs
@@ -7,7 +7,7 @@
 const MOST: usize = 3;
 
 /// Engines that a request may ask at once, where the price of a probe is in mean requests' worth.
-pub fn asked(price: f64, worth: f64, mean_worth: f64) -> usize {
+pub fn probe_count(price: f64, worth: f64, mean_worth: f64) -> usize {
     if price <= 0.0 || mean_worth <= 0.0 {
         return MOST;
     }
@@ -16,6 +16,6 @@
 }
 
 /// Whether asking is so cheap that what still waits may ask others over and over.
-pub fn again(asked: usize) -> bool {
-    asked >= MOST
+pub fn may_probe_repeatedly(probe_count: usize) -> bool {
+    probe_count >= MOST
 }
--- a/fleet/src/reconnect.rs
+++ b/fleet/src/reconnect.rs
@@ -13,37 +13,39 @@
 
 /// Connects to one engine that may be in flight at once while none has failed. Attempts beyond them share: few enough that
 /// a burst at an engine that turns all away is harmless, enough that a burst is spread over several connections.
-pub const MOST_IN_FLIGHT: usize = 8;
+pub const MAX_IN_FLIGHT: usize = 8;
 
 /// No longer than the longest rest that `Health` gives an engine among few gateways: a trial after such a rest, which found
 /// connects still held back, would be another strike though the engine was not called.
-pub const LONGEST_PAUSE: u64 = 4_000_000;
+pub const MAX_BACKOFF_US: u64 = 4_000_000;
 
 /// Lengths of time that follow from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pauses {
+pub struct BackoffConfig {
     /// The upper bound of the pause after the first failure; it doubles with each one that follows.
-    pub first: u64,
-    pub longest: u64,
+    pub initial_us: u64,
+    pub max_us: u64,
     /// A connection that its engine closes within this time after it came up, without an answer, was turned away.
-    pub soon: u64,
+    pub rejection_window_us: u64,
 }
 
-impl Pauses {
+impl BackoffConfig {
     /// A connect that is not up within its timeout never is: that is the shortest time in which a dispatcher may learn
     /// that something has changed.
-    pub fn new(connect_timeout: u64) -> Pauses {
-        Pauses {
-            first: connect_timeout.clamp(1, LONGEST_PAUSE),
-            longest: LONGEST_PAUSE,
-            soon: connect_timeout,
+    pub fn new(connect_timeout: u64) -> BackoffConfig {
+        BackoffConfig {
+            initial_us: connect_timeout.clamp(1, MAX_BACKOFF_US),
+            max_us: MAX_BACKOFF_US,
+            rejection_window_us: connect_timeout,
         }
     }
 
     /// The upper bound of the pause after so many failures in a row.
     fn bound(&self, failures: u32) -> u64 {
         let doublings = failures.saturating_sub(1).min(u64::BITS - 1);
-        self.first.saturating_mul(1 << doublings).min(self.longest)
+        self.initial_us
+            .saturating_mul(1 << doublings)
+            .min(self.max_us)
     }
 }
 
@@ -52,23 +54,23 @@
 pub enum Permit {
     Granted,
     /// Many are in flight already: an open connection is to be shared, where one has room.
-    ShareFirst,
+    PreferReuse,
     /// The last connect was turned away, and its pause is not over or its successor is in flight.
-    HeldBack,
+    BackingOff,
 }
 
 /// What the end of a connection was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ConnectionEnd {
     /// It had proved good.
     Proven,
     FirstFailure,
-    FurtherFailure,
+    RepeatedFailure,
 }
 
 /// A connect that has begun, and the connection that it becomes.
 #[derive(Debug)]
-pub struct Connect {
+pub struct TrackedConnection {
     sequence: u64,
     answered: bool,
 }
@@ -129,18 +131,18 @@
             return if free {
                 Permit::Granted
             } else {
-                Permit::HeldBack
+                Permit::BackingOff
             };
         }
-        if in_flight < MOST_IN_FLIGHT {
+        if in_flight < MAX_IN_FLIGHT {
             Permit::Granted
         } else {
-            Permit::ShareFirst
+            Permit::PreferReuse
         }
     }
 
     /// A connect begins now.
-    pub fn begin(&mut self, now: u64) -> Connect {
+    pub fn begin(&mut self, now: u64) -> TrackedConnection {
         self.in_flight.retain(|connect| !connect.is_proven(now));
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -148,28 +150,33 @@
             sequence,
             proven_at: None,
         });
-        Connect {
+        TrackedConnection {
             sequence,
             answered: false,
         }
     }
 
-    pub fn came_up(&mut self, connect: &Connect, now: u64, pauses: &Pauses) {
+    pub fn record_connected(
+        &mut self,
+        connect: &TrackedConnection,
+        now: u64,
+        config: &BackoffConfig,
+    ) {
         let mut in_flight = self.in_flight.iter_mut();
         if let Some(found) = in_flight.find(|known| known.sequence == connect.sequence) {
-            found.proven_at = Some(now.saturating_add(pauses.soon));
+            found.proven_at = Some(now.saturating_add(config.rejection_window_us));
         }
     }
 
     /// Whether it has answered, or has been up for so long that it was not turned away.
-    pub fn is_proven(&self, connect: &Connect, now: u64) -> bool {
+    pub fn is_proven(&self, connect: &TrackedConnection, now: u64) -> bool {
         let mut in_flight = self.in_flight.iter();
         let found = in_flight.find(|known| known.sequence == connect.sequence);
         found.is_none_or(|found| found.is_proven(now))
     }
 
     /// A word came on the connection. Where it ends a run of failures: how many there were.
-    pub fn answered(&mut self, connect: &mut Connect) -> Option<u64> {
+    pub fn record_response(&mut self, connect: &mut TrackedConnection) -> Option<u64> {
         if std::mem::replace(&mut connect.answered, true) {
             return None;
         }
@@ -182,41 +189,46 @@
     }
 
     /// The connect failed, or the connection was closed or broken by the other side.
-    pub fn ended(&mut self, connect: Connect, now: u64, pauses: &Pauses) -> Ended {
+    pub fn record_end(
+        &mut self,
+        connect: TrackedConnection,
+        now: u64,
+        config: &BackoffConfig,
+    ) -> ConnectionEnd {
         let proven = self.is_proven(&connect, now);
         self.remove(&connect);
         if proven {
-            return Ended::Proven;
+            return ConnectionEnd::Proven;
         }
         self.failed_in_run += 1;
         // One event made those fail that were in flight together.
         if connect.sequence >= self.next_trial {
             self.failures = self.failures.saturating_add(1);
             self.next_trial = self.next_sequence;
-            let pause = self.draw_pause(pauses);
+            let pause = self.draw_pause(config);
             self.not_before = now.saturating_add(pause);
         }
         if self.failed_in_run == 1 {
-            Ended::FirstFailure
+            ConnectionEnd::FirstFailure
         } else {
-            Ended::FurtherFailure
+            ConnectionEnd::RepeatedFailure
         }
     }
 
     /// The connection was closed by this side.
-    pub fn closed(&mut self, connect: Connect) {
+    pub fn record_local_close(&mut self, connect: TrackedConnection) {
         self.remove(&connect);
     }
 
-    fn remove(&mut self, connect: &Connect) {
+    fn remove(&mut self, connect: &TrackedConnection) {
         self.in_flight
             .retain(|known| known.sequence != connect.sequence);
     }
 
     /// Between half of the bound, so that there is a limit to how often one calls, and all of it, so that many do not
     /// call together.
-    fn draw_pause(&mut self, pauses: &Pauses) -> u64 {
-        let bound = pauses.bound(self.failures);
+    fn draw_pause(&mut self, config: &BackoffConfig) -> u64 {
+        let bound = config.bound(self.failures);
         let least = bound / 2;
         least + self.next_random() % (bound - least + 1)
     }
--- a/fleet/src/cold.rs
+++ b/fleet/src/slow_start.rs
@@ -19,53 +19,54 @@
 
 /// What all gateways together may send to a starting engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Warming {
+pub struct SlowStart {
     /// Share of its capacity that it has at its start, and when it has all of it.
-    pub start: f64,
-    pub warm_after: u64,
+    pub initial_capacity: f64,
+    pub warm_up_us: u64,
     /// It falls over if sent more than this multiple of what it can do, for the window.
-    pub multiple: f64,
-    pub window: u64,
-    pub gateways: f64,
+    pub overload_factor: f64,
+    pub window_us: u64,
+    pub gateway_count: f64,
 }
 
-impl Warming {
+impl SlowStart {
     /// Share of its capacity that it has at this age, taken to grow evenly.
-    pub fn able(&self, age: u64) -> f64 {
-        let grown = age as f64 / self.warm_after.max(1) as f64;
-        self.start + (1.0 - self.start) * grown.min(1.0)
+    pub fn capacity_share(&self, age: u64) -> f64 {
+        let grown = age as f64 / self.warm_up_us.max(1) as f64;
+        self.initial_capacity + (1.0 - self.initial_capacity) * grown.min(1.0)
     }
 
     /// How likely a right is used while it is open, where so many requests that could use it come a second. A right that
     /// nobody comes for is lost, so what is granted goes to classes by the work that they will bring.
-    pub fn met(&self, rate: f64) -> f64 {
+    pub fn use_probability(&self, rate: f64) -> f64 {
         let life = self.life() as f64 / 1e6;
         1.0 - (-rate * life).exp()
     }
 
     /// Share of what it can do that is granted.
     fn margin(&self) -> f64 {
-        (self.multiple * MARGIN / (1.0 + self.life_in_windows())).min(1.0)
+        (self.overload_factor * MARGIN / (1.0 + self.life_in_windows())).min(1.0)
     }
 
     /// How many windows a right lasts: as many as the rule leaves room for where all that an engine can do is granted.
     fn life_in_windows(&self) -> f64 {
-        (self.multiple * MARGIN - 1.0).clamp(SHORTEST_LIFE, LONGEST_LIFE)
+        (self.overload_factor * MARGIN - 1.0).clamp(SHORTEST_LIFE, LONGEST_LIFE)
     }
 
     /// How long a right lasts.
     fn life(&self) -> u64 {
-        (self.life_in_windows() * self.window as f64) as u64
+        (self.life_in_windows() * self.window_us as f64) as u64
     }
 
     /// Work granted to one gateway, in core seconds, for the time since an engine's start.
-    pub fn granted(&self, age: u64, cores: f64) -> f64 {
+    pub fn granted_work(&self, age: u64, cores: f64) -> f64 {
         let share = self.margin();
-        let (age, whole) = (age as f64 / 1e6, self.warm_after.max(1) as f64 / 1e6);
+        let (age, whole) = (age as f64 / 1e6, self.warm_up_us.max(1) as f64 / 1e6);
         let age = age.min(whole);
         // The integral of a capacity that grows evenly.
-        let capacity = self.start * age + (1.0 - self.start) * age * age / (2.0 * whole);
-        share * capacity * cores / self.gateways.max(1.0)
+        let capacity =
+            self.initial_capacity * age + (1.0 - self.initial_capacity) * age * age / (2.0 * whole);
+        share * capacity * cores / self.gateway_count.max(1.0)
     }
 }
 
@@ -74,31 +75,31 @@
 struct Right {
     /// Queries granted of which the right has not opened yet.
     credit: f64,
-    open_until: u64,
+    available_until: u64,
 }
 
 /// A gateway's rights on one engine, by class.
 #[derive(Clone, Debug, Default)]
-pub struct Rights {
+pub struct AdmissionTokens {
     classes: Vec<Right>,
     /// What was granted when it was last looked at, and when; none before, and after other terms were told.
     granted: Option<(f64, u64)>,
 }
 
-impl Rights {
+impl AdmissionTokens {
     /// Lets what is granted grow. A class is its part of the work asked for and the work of one query of it;
     /// the phase, from 0 to 1, tells where this gateway begins between two rights of a class.
-    pub fn grow(
+    pub fn refill(
         &mut self,
         now: u64,
         granted: f64,
-        warming: &Warming,
+        warming: &SlowStart,
         classes: &[(f64, f64)],
         phase: impl Fn(usize) -> f64,
     ) {
         let begin = |class| Right {
             credit: phase(class),
-            open_until: 0,
+            available_until: 0,
         };
         let known = self.classes.len();
         // A class may come later; it begins as all do.
@@ -118,24 +119,24 @@
                 // that it is lost: the rights of many would else be used at the moment at which they all look.
                 right.credit %= 1.0;
                 let since = right.credit / grown * now.saturating_sub(at) as f64;
-                right.open_until = now.saturating_sub(since as u64) + warming.life();
+                right.available_until = now.saturating_sub(since as u64) + warming.life();
             }
         }
     }
 
     /// What is granted goes by other terms from now on.
-    pub fn begin_anew(&mut self) {
+    pub fn reset_baseline(&mut self) {
         self.granted = None;
     }
 
-    pub fn open(&self, class: usize, now: u64) -> bool {
+    pub fn is_available(&self, class: usize, now: u64) -> bool {
         let right = self.classes.get(class);
-        right.is_some_and(|right| now < right.open_until)
+        right.is_some_and(|right| now < right.available_until)
     }
 
-    pub fn used(&mut self, class: usize) {
+    pub fn consume(&mut self, class: usize) {
         if let Some(right) = self.classes.get_mut(class) {
-            right.open_until = 0;
+            right.available_until = 0;
         }
     }
 }
--- a/fleet/src/circle.rs
+++ b/fleet/src/subset.rs
@@ -21,12 +21,12 @@
 
 /// How slow an engine's answers were lately, against what their work takes alone.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Crowd {
+pub struct Congestion {
     level: f64,
     at: u64,
 }
 
-impl Crowd {
+impl Congestion {
     fn level(&self, now: u64) -> f64 {
         // Of most engines nothing is known, and each decision looks at all.
         if self.level == 0.0 {
@@ -37,21 +37,21 @@
     }
 
     /// An answer took so many times what its work takes alone.
-    pub fn add(&mut self, now: u64, stretch: f64) {
-        let news = stretch.max(1.0).ln().min(MOST);
+    pub fn record(&mut self, now: u64, slowdown: f64) {
+        let news = slowdown.max(1.0).ln().min(MOST);
         let left = self.level(now);
         (self.level, self.at) = (left + NEWEST * (news - left), now);
     }
 
     /// So many times as long as alone will an answer take, as far as is known; one where nothing is.
-    pub fn stretch(&self, now: u64) -> f64 {
+    pub fn slowdown(&self, now: u64) -> f64 {
         let level = self.level(now);
         if level == 0.0 { 1.0 } else { level.exp() }
     }
 }
 
 /// Engines in a circle of a gateway to which so many requests come a second.
-pub fn width(rate: f64, engines: usize) -> usize {
+pub fn subset_size(rate: f64, engines: usize) -> usize {
     let heard = (rate * HEARD_EVERY).ceil() as usize;
     heard.max(FEWEST).min(engines)
 }
@@ -62,7 +62,7 @@
 
 /// The engines of the ring, by place, in the order in which a gateway takes them into its circle: all gateways
 /// that walk it alike begin at even distances, so that any first part of their walks covers it evenly.
-pub fn walk(me: usize, gateways: usize, engines: usize) -> impl Iterator<Item = usize> {
+pub fn selection_order(me: usize, gateways: usize, engines: usize) -> impl Iterator<Item = usize> {
     let ways = STRIDES.min(gateways).max(1);
     let (way, place) = (me % ways, me / ways);
     let alike = gateways.div_ceil(ways).max(1);
@@ -79,10 +79,10 @@
     #[test]
     fn circles_of_all_gateways_cover_the_engines_evenly() {
         for (gateways, engines) in [(300, 80), (270, 79), (100, 30), (350, 300), (64, 7)] {
-            let width = width(7.0, engines);
+            let width = subset_size(7.0, engines);
             let mut covered = vec![0; engines];
             for me in 0..gateways {
-                walk(me, gateways, engines)
+                selection_order(me, gateways, engines)
                     .take(width)
                     .for_each(|place| covered[place] += 1);
             }
@@ -101,7 +101,7 @@
     fn a_walk_comes_to_every_engine_once() {
         for engines in 1..=100 {
             for me in [0, 1, 2, 3, 4, 17, 299] {
-                let mut places: Vec<usize> = walk(me, 300, engines).collect();
+                let mut places: Vec<usize> = selection_order(me, 300, engines).collect();
                 places.sort();
                 assert_eq!(places, (0..engines).collect::<Vec<_>>());
             }
@@ -110,13 +110,13 @@
 
     #[test]
     fn a_crowd_is_seen_at_once_and_forgotten_after_some_seconds() {
-        let mut crowd = Crowd::default();
-        crowd.add(0, 1.2);
-        assert!(crowd.stretch(0) < 1.2);
-        crowd.add(0, 9.0);
-        crowd.add(100_000, 9.0);
-        assert!(crowd.stretch(100_000) > 4.0);
-        assert!(crowd.stretch(10_000_000) < 1.2);
-        assert!(crowd.stretch(u64::MAX) >= 1.0);
+        let mut crowd = Congestion::default();
+        crowd.record(0, 1.2);
+        assert!(crowd.slowdown(0) < 1.2);
+        crowd.record(0, 9.0);
+        crowd.record(100_000, 9.0);
+        assert!(crowd.slowdown(100_000) > 4.0);
+        assert!(crowd.slowdown(10_000_000) < 1.2);
+        assert!(crowd.slowdown(u64::MAX) >= 1.0);
     }
 }
--- a/fleet/tests/cold.rs
+++ b/fleet/tests/cold.rs
@@ -1,17 +1,17 @@
 //! The rights of all gateways together, against the rule that they are made to keep.
 
 use proptest::prelude::*;
-use sedgebeam_fleet::cold::{Rights, Warming, phase};
+use sedgebeam_fleet::slow_start::{AdmissionTokens, SlowStart, phase};
 
 const MS: u64 = 1000;
 
-fn warming(gateways: u32) -> Warming {
-    Warming {
-        start: 0.3,
-        warm_after: 14_000 * MS,
-        multiple: 4.0,
-        window: 1000 * MS,
-        gateways: f64::from(gateways),
+fn warming(gateways: u32) -> SlowStart {
+    SlowStart {
+        initial_capacity: 0.3,
+        warm_up_us: 14_000 * MS,
+        overload_factor: 4.0,
+        window_us: 1000 * MS,
+        gateway_count: f64::from(gateways),
     }
 }
 
@@ -34,35 +34,35 @@
 
 /// The same under any terms.
 fn sends_under(
-    warming: Warming,
+    warming: SlowStart,
     cores: f64,
     classes: &[(f64, f64)],
     hoard: u64,
     (at, share, steps): (u64, f64, u64),
 ) -> Vec<(u64, f64)> {
-    let gateways = warming.gateways as u32;
+    let gateways = warming.gateway_count as u32;
     let mut sends = Vec::new();
     for me in 0..gateways {
-        let mut rights = Rights::default();
+        let mut rights = AdmissionTokens::default();
         let restarts = (f64::from(me * 7 % 10) < share * 10.0).then(|| {
             let step = u64::from(me) * steps.max(1) / u64::from(gateways);
             at + step * 1500 * MS
         });
-        for now in (0..warming.warm_after).step_by(20_000) {
+        for now in (0..warming.warm_up_us).step_by(20_000) {
             if restarts.is_some_and(|at| now >= at && now < at + 20_000) {
-                rights = Rights::default();
+                rights = AdmissionTokens::default();
             }
             // Nothing goes to cold engines in the first window of a gateway's life.
-            if restarts.is_some_and(|at| now >= at && now < at + warming.window) {
+            if restarts.is_some_and(|at| now >= at && now < at + warming.window_us) {
                 continue;
             }
-            let granted = warming.granted(now, cores);
-            rights.grow(now, granted, &warming, classes, |class| {
+            let granted = warming.granted_work(now, cores);
+            rights.refill(now, granted, &warming, classes, |class| {
                 phase(me, f64::from(gateways), (class as u64 * 7919) << 40)
             });
             for (class, (_, work)) in classes.iter().enumerate() {
-                if rights.open(class, now) && now % hoard < 20_000 {
-                    rights.used(class);
+                if rights.is_available(class, now) && now % hoard < 20_000 {
+                    rights.consume(class);
                     sends.push((now, *work));
                 }
             }
@@ -78,14 +78,14 @@
 }
 
 /// The same under any terms.
-fn worst_under(warming: Warming, sends: &[(u64, f64)], cores: f64) -> f64 {
+fn worst_under(warming: SlowStart, sends: &[(u64, f64)], cores: f64) -> f64 {
     let window = |at: u64| {
         let within = sends
             .iter()
-            .filter(|(t, _)| *t <= at && t + warming.window > at);
-        let age = at.saturating_sub(warming.window) as f64 / warming.warm_after as f64;
-        let able = cores * (warming.start + (1.0 - warming.start) * age);
-        within.map(|(_, work)| work).sum::<f64>() / (warming.multiple * able)
+            .filter(|(t, _)| *t <= at && t + warming.window_us > at);
+        let age = at.saturating_sub(warming.window_us) as f64 / warming.warm_up_us as f64;
+        let able = cores * (warming.initial_capacity + (1.0 - warming.initial_capacity) * age);
+        within.map(|(_, work)| work).sum::<f64>() / (warming.overload_factor * able)
     };
     sends.iter().map(|(at, _)| window(*at)).fold(0.0, f64::max)
 }
@@ -119,29 +119,29 @@
 ) -> Vec<(u64, f64)> {
     let mut sends = Vec::new();
     for me in 0..gateways {
-        let mut rights = Rights::default();
-        let mut terms = Warming {
-            gateways: f64::from(gateways) * fewer,
+        let mut rights = AdmissionTokens::default();
+        let mut terms = SlowStart {
+            gateway_count: f64::from(gateways) * fewer,
             ..warming(gateways)
         };
         let mut settled = 0;
-        for now in (0..terms.warm_after).step_by(20_000) {
-            if now >= at && terms.gateways > f64::from(gateways) {
+        for now in (0..terms.warm_up_us).step_by(20_000) {
+            if now >= at && terms.gateway_count > f64::from(gateways) {
                 terms = warming(gateways);
                 // As at a start, with the quiet window of one.
-                rights = Rights::default();
-                settled = now + terms.window;
+                rights = AdmissionTokens::default();
+                settled = now + terms.window_us;
             }
             if now > 0 && (!looks(now) || now < settled) {
                 continue;
             }
-            let granted = terms.granted(now, 12.0);
-            rights.grow(now, granted, &terms, classes, |class| {
-                phase(me, terms.gateways, (class as u64 * 7919) << 40)
+            let granted = terms.granted_work(now, 12.0);
+            rights.refill(now, granted, &terms, classes, |class| {
+                phase(me, terms.gateway_count, (class as u64 * 7919) << 40)
             });
             for (class, (_, work)) in classes.iter().enumerate() {
-                if rights.open(class, now) {
-                    rights.used(class);
+                if rights.is_available(class, now) {
+                    rights.consume(class);
                     sends.push((now, *work));
                 }
             }
@@ -200,7 +200,7 @@
 #[test]
 fn what_is_granted_grows_with_what_the_engine_can_do() {
     let warming = warming(100);
-    let granted = |age: u64| warming.granted(age * MS, 12.0);
+    let granted = |age: u64| warming.granted_work(age * MS, 12.0);
     let (first, last) = (granted(100), granted(14_000) - granted(13_900));
     let part = first / last;
     assert!(
@@ -214,7 +214,7 @@
 #[test]
 fn a_right_is_met_by_what_comes_while_it_is_open() {
     let warming = warming(100);
-    let met = [0.0, 0.25, 0.5, 3.0].map(|rate| warming.met(rate));
+    let met = [0.0, 0.25, 0.5, 3.0].map(|rate| warming.use_probability(rate));
     assert!(met[0] == 0.0 && met[3] > 0.95 && met.is_sorted(), "{met:?}");
 }
 
@@ -230,7 +230,7 @@
         hoard in 1u64..2000,
     ) {
         let classes = [(part, 0.08), (1.0 - part, heavy)];
-        let terms = Warming { multiple, ..warming(gateways) };
+        let terms = SlowStart { overload_factor: multiple, ..warming(gateways) };
         let sends = sends_under(terms, 12.0, &classes, hoard * MS, (0, 0.0, 0));
         let worst = worst_under(terms, &sends, 12.0);
         prop_assert!(worst <= 1.0, "{worst}");
@@ -241,12 +241,12 @@
 #[test]
 fn all_that_an_engine_can_do_is_granted_where_rights_may_be_short() {
     let granted = |multiple| {
-        let terms = Warming {
-            multiple,
+        let terms = SlowStart {
+            overload_factor: multiple,
             ..warming(1)
         };
-        let second = terms.granted(14_000 * MS, 1.0) - terms.granted(13_000 * MS, 1.0);
-        second / terms.able(13_500 * MS)
+        let second = terms.granted_work(14_000 * MS, 1.0) - terms.granted_work(13_000 * MS, 1.0);
+        second / terms.capacity_share(13_500 * MS)
     };
     assert!((granted(3.0) - 1.0).abs() < 0.01, "{}", granted(3.0));
     assert!((granted(4.0) - 1.0).abs() < 0.01, "{}", granted(4.0));
--- a/fleet/tests/reconnect.rs
+++ b/fleet/tests/reconnect.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use sedgebeam_fleet::reconnect::{
-    Backoff, Connect, Ended, LONGEST_PAUSE, MOST_IN_FLIGHT, Pauses, Permit,
+    Backoff, BackoffConfig, ConnectionEnd, MAX_BACKOFF_US, MAX_IN_FLIGHT, Permit, TrackedConnection,
 };
-use sedgebeam_fleet::{Health, Rests, STRIKES};
+use sedgebeam_fleet::{EjectionPolicy, FAILURES_TO_EJECT, Health};
 
 const MS: u64 = 1000;
 const SECOND: u64 = 1000 * MS;
@@ -12,16 +12,16 @@
 const FLEETS: [u64; 4] = [3, 30, 300, 800];
 
 /// Connects that an engine that turns all away may see of one dispatcher in any window of this length.
-fn most_connects(pauses: &Pauses, window: u64) -> u64 {
-    let mut connects = MOST_IN_FLIGHT as u64;
-    let (mut at, mut bound) = (0, pauses.first);
+fn most_connects(config: &BackoffConfig, window: u64) -> u64 {
+    let mut connects = MAX_IN_FLIGHT as u64;
+    let (mut at, mut bound) = (0, config.initial_us);
     loop {
         at += bound / 2;
         if at > window {
             return connects;
         }
         connects += 1;
-        bound = (2 * bound).min(pauses.longest);
+        bound = (2 * bound).min(config.max_us);
     }
 }
 
@@ -34,22 +34,25 @@
 
 /// When each connect of one dispatcher began, where an attempt asks for one in each step.
 fn connects(seed: u64, refusal: Refusal, step: u64, until: u64) -> Vec<u64> {
-    let pauses = Pauses::new(CONNECT_TIMEOUT);
+    let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(seed);
     let mut begun = Vec::new();
-    let mut open: Vec<(u64, bool, Connect)> = Vec::new();
+    let mut open: Vec<(u64, bool, TrackedConnection)> = Vec::new();
     for now in (0..until).step_by(step as usize) {
         let (ended, kept): (Vec<_>, Vec<_>) = open
             .into_iter()
             .partition(|(at, ..)| now >= at + refusal.up_after + refusal.closed_after);
         open = kept;
         for (_, _, connect) in ended {
-            assert_ne!(backoff.ended(connect, now, &pauses), Ended::Proven);
+            assert_ne!(
+                backoff.record_end(connect, now, &config),
+                ConnectionEnd::Proven
+            );
         }
         for (at, up, connect) in &mut open {
             if !*up && now >= *at + refusal.up_after {
                 *up = true;
-                backoff.came_up(connect, now, &pauses);
+                backoff.record_connected(connect, now, &config);
             }
         }
         let failing = backoff.is_failing();
@@ -58,7 +61,7 @@
             open.push((now, false, backoff.begin(now)));
             begun.push(now);
         }
-        assert!(open.len() <= MOST_IN_FLIGHT);
+        assert!(open.len() <= MAX_IN_FLIGHT);
     }
     begun
 }
@@ -90,16 +93,16 @@
         refusal in refusals(),
         step in MS..20 * MS,
     ) {
-        let pauses = Pauses::new(CONNECT_TIMEOUT);
+        let config = BackoffConfig::new(CONNECT_TIMEOUT);
         let begun = connects(seed, refusal, step, 60 * SECOND);
         for window in [0, 100 * MS, SECOND, 4 * SECOND, 24 * SECOND, 60 * SECOND] {
-            let (most, stated) = (most_within(&begun, window), most_connects(&pauses, window));
+            let (most, stated) = (most_within(&begun, window), most_connects(&config, window));
             prop_assert!(most <= stated, "{most} in {window}, stated {stated}");
         }
         // It goes on being called, so that it is found when it is well again.
         let waits = begun.windows(2).map(|pair| pair[1] - pair[0]);
         let took = refusal.up_after + refusal.closed_after;
-        prop_assert!(waits.max() <= Some(pauses.longest + took + 2 * step));
+        prop_assert!(waits.max() <= Some(config.max_us + took + 2 * step));
     }
 
     #[test]
@@ -108,15 +111,15 @@
         up_after in 0..CONNECT_TIMEOUT,
         step in MS..20 * MS,
     ) {
-        let pauses = Pauses::new(CONNECT_TIMEOUT);
+        let config = BackoffConfig::new(CONNECT_TIMEOUT);
         let mut backoff = Backoff::new(seed);
-        let mut open: Vec<(u64, bool, Connect)> = Vec::new();
+        let mut open: Vec<(u64, bool, TrackedConnection)> = Vec::new();
         let mut begun = Vec::new();
         for now in (0..5 * SECOND).step_by(step as usize) {
             for (at, up, connect) in &mut open {
                 if !*up && now >= *at + up_after {
                     *up = true;
-                    backoff.came_up(connect, now, &pauses);
+                    backoff.record_connected(connect, now, &config);
                 }
             }
             while backoff.permit(now) == Permit::Granted {
@@ -124,7 +127,7 @@
                 begun.push(now);
             }
         }
-        prop_assert!(most_within(&begun, pauses.soon - 1) <= MOST_IN_FLIGHT as u64);
+        prop_assert!(most_within(&begun, config.rejection_window_us - 1) <= MAX_IN_FLIGHT as u64);
     }
 }
 
@@ -137,7 +140,7 @@
         seed in 0..u64::MAX / 2,
         closed_after in 0..5 * MS,
     ) {
-        let pauses = Pauses::new(CONNECT_TIMEOUT);
+        let config = BackoffConfig::new(CONNECT_TIMEOUT);
         let refusal = Refusal { up_after: MS, closed_after };
         for dispatchers in FLEETS {
             let begun = (0..dispatchers)
@@ -145,50 +148,57 @@
             let mut begun: Vec<u64> = begun.collect();
             begun.sort_unstable();
             for window in [100 * MS, SECOND, 24 * SECOND] {
-                let (most, stated) = (most_within(&begun, window), most_connects(&pauses, window));
+                let (most, stated) = (most_within(&begun, window), most_connects(&config, window));
                 prop_assert!(most <= dispatchers * stated, "{dispatchers}: {most} in {window}");
             }
             // Once pauses are at their longest, no dispatcher calls twice within half of one.
             let late = begun.partition_point(|at| *at < 8 * SECOND);
-            let most = most_within(&begun[late..], pauses.longest / 2 - 20 * MS);
+            let most = most_within(&begun[late..], config.max_us / 2 - 20 * MS);
             prop_assert!(most <= dispatchers, "{dispatchers}: {most} in half of the longest pause");
             // Nor do they call together: twice their mean, and what chance may add.
-            let mean = dispatchers as f64 * 100.0 * MS as f64 / (0.75 * pauses.longest as f64);
+            let mean = dispatchers as f64 * 100.0 * MS as f64 / (0.75 * config.max_us as f64);
             let most = most_within(&begun[late..], 100 * MS) as f64;
             prop_assert!(most <= 2.0 * mean + 8.0 * mean.sqrt() + 6.0, "{dispatchers}: {most}, mean {mean}");
         }
     }
 }
 
-fn fail(backoff: &mut Backoff, now: u64) -> Ended {
+fn fail(backoff: &mut Backoff, now: u64) -> ConnectionEnd {
     let connect = backoff.begin(now);
-    backoff.ended(connect, now, &Pauses::new(CONNECT_TIMEOUT))
+    backoff.record_end(connect, now, &BackoffConfig::new(CONNECT_TIMEOUT))
 }
 
 #[test]
 fn the_first_connect_goes_at_once_and_an_answer_after_failures_resets_the_backoff() {
-    let pauses = Pauses::new(CONNECT_TIMEOUT);
+    let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(1);
     assert_eq!(backoff.permit(0), Permit::Granted);
-    assert_eq!(fail(&mut backoff, 0), Ended::FirstFailure);
-    assert_eq!(backoff.permit(0), Permit::HeldBack);
-    assert_eq!(backoff.permit(CONNECT_TIMEOUT / 2 - 1), Permit::HeldBack);
+    assert_eq!(fail(&mut backoff, 0), ConnectionEnd::FirstFailure);
+    assert_eq!(backoff.permit(0), Permit::BackingOff);
+    assert_eq!(backoff.permit(CONNECT_TIMEOUT / 2 - 1), Permit::BackingOff);
     assert_eq!(backoff.permit(CONNECT_TIMEOUT), Permit::Granted);
     assert_eq!(
         fail(&mut backoff, CONNECT_TIMEOUT),
-        Ended::FurtherFailure,
+        ConnectionEnd::RepeatedFailure,
         "of the same run"
     );
     let mut trial = backoff.begin(SECOND);
-    assert_eq!(backoff.permit(SECOND), Permit::HeldBack, "one in flight");
-    backoff.came_up(&trial, SECOND, &pauses);
-    assert_eq!(backoff.permit(SECOND), Permit::HeldBack, "not proved yet");
+    assert_eq!(backoff.permit(SECOND), Permit::BackingOff, "one in flight");
+    backoff.record_connected(&trial, SECOND, &config);
+    assert_eq!(backoff.permit(SECOND), Permit::BackingOff, "not proved yet");
     assert!(!backoff.is_proven(&trial, SECOND));
-    assert_eq!(backoff.answered(&mut trial), Some(2));
+    assert_eq!(backoff.record_response(&mut trial), Some(2));
     assert!(backoff.is_proven(&trial, SECOND) && !backoff.is_failing());
     assert_eq!(backoff.permit(SECOND), Permit::Granted);
-    assert_eq!(backoff.answered(&mut trial), None, "its first answer only");
-    assert_eq!(backoff.ended(trial, SECOND, &pauses), Ended::Proven);
+    assert_eq!(
+        backoff.record_response(&mut trial),
+        None,
+        "its first answer only"
+    );
+    assert_eq!(
+        backoff.record_end(trial, SECOND, &config),
+        ConnectionEnd::Proven
+    );
     assert_eq!(backoff.permit(SECOND), Permit::Granted);
 }
 
@@ -197,50 +207,56 @@
     let mut backoff = Backoff::new(1);
     let mut older = backoff.begin(0);
     fail(&mut backoff, MS);
-    assert_eq!(backoff.answered(&mut older), None);
-    assert_eq!(backoff.permit(2 * MS), Permit::HeldBack);
+    assert_eq!(backoff.record_response(&mut older), None);
+    assert_eq!(backoff.permit(2 * MS), Permit::BackingOff);
 }
 
 #[test]
 fn connects_that_fail_together_are_one_failure() {
-    let pauses = Pauses::new(CONNECT_TIMEOUT);
+    let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(1);
-    let burst: Vec<Connect> = (0..MOST_IN_FLIGHT).map(|_| backoff.begin(0)).collect();
-    assert_eq!(backoff.permit(0), Permit::ShareFirst);
+    let burst: Vec<TrackedConnection> = (0..MAX_IN_FLIGHT).map(|_| backoff.begin(0)).collect();
+    assert_eq!(backoff.permit(0), Permit::PreferReuse);
     for connect in burst {
-        backoff.ended(connect, MS, &pauses);
+        backoff.record_end(connect, MS, &config);
     }
-    assert_eq!(backoff.permit(MS + pauses.first), Permit::Granted);
+    assert_eq!(backoff.permit(MS + config.initial_us), Permit::Granted);
     let mut trial = backoff.begin(SECOND);
-    assert_eq!(backoff.answered(&mut trial), Some(MOST_IN_FLIGHT as u64));
+    assert_eq!(
+        backoff.record_response(&mut trial),
+        Some(MAX_IN_FLIGHT as u64)
+    );
 }
 
 #[test]
 fn a_connection_closed_by_its_dispatcher_or_long_after_it_came_up_is_no_failure() {
-    let pauses = Pauses::new(CONNECT_TIMEOUT);
+    let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(1);
     let connect = backoff.begin(0);
-    backoff.came_up(&connect, 0, &pauses);
-    backoff.closed(connect);
+    backoff.record_connected(&connect, 0, &config);
+    backoff.record_local_close(connect);
     let connect = backoff.begin(0);
-    backoff.came_up(&connect, 0, &pauses);
-    assert_eq!(backoff.ended(connect, pauses.soon, &pauses), Ended::Proven);
+    backoff.record_connected(&connect, 0, &config);
+    assert_eq!(
+        backoff.record_end(connect, config.rejection_window_us, &config),
+        ConnectionEnd::Proven
+    );
     assert!(!backoff.is_failing());
 }
 
 #[test]
 fn no_pause_outlasts_the_rest_of_an_engine_set_aside() {
     for connect_timeout in [0, MS, CONNECT_TIMEOUT, 60 * SECOND] {
-        let pauses = Pauses::new(connect_timeout);
-        assert!(0 < pauses.first && pauses.first <= pauses.longest);
-        assert_eq!(pauses.longest, LONGEST_PAUSE);
+        let config = BackoffConfig::new(connect_timeout);
+        assert!(0 < config.initial_us && config.initial_us <= config.max_us);
+        assert_eq!(config.max_us, MAX_BACKOFF_US);
     }
-    let rests = Rests::new(1.0, 4.0, 0.1, false);
+    let rests = EjectionPolicy::new(1.0, 4.0, 0.1, false);
     let (mut health, mut now, mut longest) = (Health::default(), 0, 0);
     for _ in 0..5 {
-        health.strike(STRIKES, now, rests);
-        longest = health.rests_until(false) - now;
+        health.record_failures(FAILURES_TO_EJECT, now, rests);
+        longest = health.ejected_until(false) - now;
         now += longest;
     }
-    assert_eq!(longest, LONGEST_PAUSE);
+    assert_eq!(longest, MAX_BACKOFF_US);
 }
--- a/handover/src/lib.rs
+++ b/handover/src/lib.rs
@@ -2,9 +2,9 @@
 //! meanwhile. No I/O, no clock: files are bytes here, and times come in, in microseconds.
 
 mod freshness;
-mod pair;
-mod share;
+mod message;
+mod process_pair;
 
 pub use freshness::Freshness;
-pub use pair::{Life, Pair, Phase};
-pub use share::{Refused, Share, Stated, VERSION};
+pub use message::{FORMAT_VERSION, HandoverMessage, MessageError, ProcessStatus};
+pub use process_pair::{Incarnation, Phase, ProcessPair};
--- a/handover/src/share.rs
+++ b/handover/src/message.rs
@@ -1,6 +1,6 @@
 //! What a process tells the others of its dispatcher, as a file: a head of one line, and JSON.
 
-use crate::pair::{Life, Phase};
+use crate::process_pair::{Incarnation, Phase};
 use miniserde::{Deserialize, Serialize, json};
 use sedgebeam_core::{
     ClassHeld, ClassOut, EngineHeld, EngineId, GroupId, Held, Micros, Out, Tenant,
@@ -8,7 +8,7 @@
 use sedgebeam_roster::Target;
 
 /// Processes of another version say nothing to each other.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 const MARK: &str = "sedgebeam-share";
 /// The longest share: that of some thousands of engines.
 const MOST_BYTES: usize = 8 << 20;
@@ -17,44 +17,44 @@
 
 /// What a process tells.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
-    pub stated: Stated,
-    pub held: Held,
+pub struct HandoverMessage {
+    pub status: ProcessStatus,
+    pub handover_state: Held,
 }
 
 /// All of it but what the gateway holds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stated {
+pub struct ProcessStatus {
     /// The dispatcher's name.
-    pub name: String,
+    pub dispatcher_name: String,
     /// When it was written, in Unix microseconds: for versions that go by the wall clock. Others only see that it changes.
-    pub at: u64,
+    pub written_at_unix_us: u64,
     /// The time of the writer's own clock by which the times in what it holds are told; where it is missing, the reader's.
-    pub clock: Option<Micros>,
+    pub writer_clock: Option<Micros>,
     /// Whom the writer had found when it wrote. Missing in what versions wrote that go by the wall clock.
-    pub found: Option<Vec<Life>>,
+    pub known_processes: Option<Vec<Incarnation>>,
     pub phase: Phase,
     /// The change log's number, and the list that it left.
-    pub seq: u64,
+    pub change_log_seq: u64,
     pub targets: Vec<Target>,
     /// Sessions of clients.
-    pub sessions: usize,
+    pub session_count: usize,
     /// What the administration has set: engines that it drained, and shares of tenants with their rates.
-    pub drained: Vec<String>,
+    pub drained_engines: Vec<String>,
     pub tenants: Vec<Tenant>,
     /// The platform's file that is in use, as text.
-    pub file: String,
+    pub config_text: String,
 }
 
 /// Why a share is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum MessageError {
     /// It is no share of this version.
-    Foreign,
+    UnsupportedFormat,
     /// It is not whole.
-    Torn,
+    Corrupt,
     /// It is of another dispatcher.
-    Other,
+    OtherDispatcher,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -192,84 +192,97 @@
     }
 }
 
-fn lives(names: &[String]) -> Vec<Life> {
-    names.iter().filter_map(|name| Life::named(name)).collect()
+fn lives(names: &[String]) -> Vec<Incarnation> {
+    names
+        .iter()
+        .filter_map(|name| Incarnation::parse(name))
+        .collect()
 }
 
-impl Share {
+impl HandoverMessage {
     pub fn encode(&self) -> Vec<u8> {
-        let Stated {
-            name,
-            at,
-            clock,
-            found,
+        let ProcessStatus {
+            dispatcher_name,
+            written_at_unix_us,
+            writer_clock,
+            known_processes,
             phase,
-            seq,
+            change_log_seq,
             targets,
-            sessions,
-            drained,
+            session_count,
+            drained_engines,
             tenants,
-            file,
-        } = self.stated.clone();
+            config_text,
+        } = self.status.clone();
         let record = Record {
-            name,
-            at,
-            clock: clock.map(|clock| clock.0),
-            found: found.map(|found| found.iter().map(Life::name).collect()),
+            name: dispatcher_name,
+            at: written_at_unix_us,
+            clock: writer_clock.map(|clock| clock.0),
+            found: known_processes.map(|found| found.iter().map(Incarnation::name).collect()),
             phase,
-            seq,
+            seq: change_log_seq,
             targets,
-            sessions,
-            drained,
+            sessions: session_count,
+            drained: drained_engines,
             tenants: tenants.into_iter().map(TenantRecord::from).collect(),
-            file,
-            engines: self.held.engines.iter().map(EngineRecord::from).collect(),
-            classes: self.held.classes.iter().map(ClassRecord::from).collect(),
-            multiple: self.held.multiple,
+            file: config_text,
+            engines: self
+                .handover_state
+                .engines
+                .iter()
+                .map(EngineRecord::from)
+                .collect(),
+            classes: self
+                .handover_state
+                .classes
+                .iter()
+                .map(ClassRecord::from)
+                .collect(),
+            multiple: self.handover_state.multiple,
         };
         let body = json::to_string(&record);
         let sum = crc32fast::hash(body.as_bytes());
-        format!("{MARK} {VERSION} {} {sum:08x}\n{body}", body.len()).into_bytes()
+        format!("{MARK} {FORMAT_VERSION} {} {sum:08x}\n{body}", body.len()).into_bytes()
     }
 
     /// Reads a share of the dispatcher of this name.
-    pub fn decode(bytes: &[u8], name: &str) -> Result<Share, Refused> {
+    pub fn decode(bytes: &[u8], name: &str) -> Result<HandoverMessage, MessageError> {
         if bytes.len() > MOST_BYTES {
-            return Err(Refused::Foreign);
+            return Err(MessageError::UnsupportedFormat);
         }
-        let text = std::str::from_utf8(bytes).map_err(|_| Refused::Torn)?;
-        let (head, body) = text.split_once('\n').ok_or(Refused::Torn)?;
+        let text = std::str::from_utf8(bytes).map_err(|_| MessageError::Corrupt)?;
+        let (head, body) = text.split_once('\n').ok_or(MessageError::Corrupt)?;
         let words: Vec<&str> = head.split(' ').collect();
         let [mark, version, length, sum] = words[..] else {
-            return Err(Refused::Foreign);
+            return Err(MessageError::UnsupportedFormat);
         };
-        if mark != MARK || version.parse() != Ok(VERSION) {
-            return Err(Refused::Foreign);
+        if mark != MARK || version.parse() != Ok(FORMAT_VERSION) {
+            return Err(MessageError::UnsupportedFormat);
         }
         let whole = length.parse() == Ok(body.len())
             && u32::from_str_radix(sum, 16) == Ok(crc32fast::hash(body.as_bytes()));
         if !whole {
-            return Err(Refused::Torn);
+            return Err(MessageError::Corrupt);
         }
-        let record: Record = json::from_str(body).map_err(|_| Refused::Foreign)?;
+        let record: Record = json::from_str(body).map_err(|_| MessageError::UnsupportedFormat)?;
         if record.name != name {
-            return Err(Refused::Other);
+            return Err(MessageError::OtherDispatcher);
         }
-        Ok(Share {
-            stated: Stated {
-                name: record.name,
-                at: record.at,
-                clock: record.clock.map(Micros),
-                found: record.found.map(|found| lives(&found)),
+        Ok(HandoverMessage {
+            status: ProcessStatus {
+                dispatcher_name: record.name,
+                written_at_unix_us: record.at,
+                writer_clock: record.clock.map(Micros),
+                known_processes: record.found.map(|found| lives(&found)),
                 phase: record.phase,
-                seq: record.seq,
+                change_log_seq: record.seq,
                 targets: record.targets,
-                sessions: record.sessions,
-                drained: record.drained,
+                session_count: record.sessions,
+                drained_engines: record.drained,
                 tenants: record.tenants.into_iter().map(Tenant::from).collect(),
-                file: record.file,
+                config_text: record.file,
             },
-            held: Held {
+            handover_state: Held {
                 engines: record.engines.into_iter().map(EngineHeld::from).collect(),
                 classes: record.classes.into_iter().map(ClassHeld::from).collect(),
                 multiple: record.multiple,
@@ -278,18 +291,18 @@
     }
 
     /// Whether it was written since this reader came, at this Unix time: a file that was left by an earlier meeting was not.
-    pub fn answers(&self, reader: Life, unix_now: Micros) -> bool {
-        match &self.stated.found {
+    pub fn is_addressed_to(&self, reader: Incarnation, unix_now: Micros) -> bool {
+        match &self.status.known_processes {
             Some(found) => found.contains(&reader),
-            None => self.stated.at.abs_diff(unix_now.0) <= LASTS.0,
+            None => self.status.written_at_unix_us.abs_diff(unix_now.0) <= LASTS.0,
         }
     }
 
     /// What it holds, with times by the clock of a reader at which it is now this time.
-    pub fn held_at(&self, now: Micros) -> Held {
-        match self.stated.clock {
-            Some(clock) => self.held.clone().on_clock(clock, now),
-            None => self.held.clone(),
+    pub fn handover_state_at(&self, now: Micros) -> Held {
+        match self.status.writer_clock {
+            Some(clock) => self.handover_state.clone().on_clock(clock, now),
+            None => self.handover_state.clone(),
         }
     }
 }
--- a/handover/src/pair.rs
+++ b/handover/src/process_pair.rs
@@ -14,48 +14,48 @@
 /// Names a process; the older one is the lesser. No clock tells which that is: each generation comes after all that
 /// its process found when it began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life {
+pub struct Incarnation {
     pub generation: u64,
     /// Drawn: tells apart those that began at one moment.
-    pub draw: u32,
+    pub nonce: u32,
 }
 
-impl Life {
+impl Incarnation {
     /// One that begins now, after all of these. Versions before this one have their Unix microsecond for a generation.
-    pub fn after(known: impl Iterator<Item = Life>, draw: u32) -> Life {
+    pub fn after(known: impl Iterator<Item = Incarnation>, nonce: u32) -> Incarnation {
         let newest = known.map(|life| life.generation).max();
-        Life {
+        Incarnation {
             generation: newest.unwrap_or_default().saturating_add(1),
-            draw,
+            nonce,
         }
     }
 
     /// The name under which others find it.
     pub fn name(&self) -> String {
-        format!("{:020}-{}", self.generation, self.draw)
+        format!("{:020}-{}", self.generation, self.nonce)
     }
 
-    pub fn named(name: &str) -> Option<Life> {
-        let (generation, draw) = name.split_once('-')?;
-        Some(Life {
+    pub fn parse(name: &str) -> Option<Incarnation> {
+        let (generation, nonce) = name.split_once('-')?;
+        Some(Incarnation {
             generation: generation.parse().ok()?,
-            draw: draw.parse().ok()?,
+            nonce: nonce.parse().ok()?,
         })
     }
 }
 
 /// A process and the others of its dispatcher that live.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pair {
-    own: Life,
+pub struct ProcessPair {
+    own: Incarnation,
     phase: Phase,
     /// The phase of one of which nothing could be read is not known.
-    others: Vec<(Life, Option<Phase>)>,
+    others: Vec<(Incarnation, Option<Phase>)>,
 }
 
-impl Pair {
-    pub fn new(own: Life) -> Pair {
-        Pair {
+impl ProcessPair {
+    pub fn new(own: Incarnation) -> ProcessPair {
+        ProcessPair {
             own,
             phase: Phase::Starting,
             others: Vec::new(),
@@ -63,27 +63,27 @@
     }
 
     /// Takes what is seen now.
-    pub fn see(&mut self, phase: Phase, others: Vec<(Life, Option<Phase>)>) {
+    pub fn update(&mut self, phase: Phase, others: Vec<(Incarnation, Option<Phase>)>) {
         (self.phase, self.others) = (phase, others);
     }
 
     /// Among how many the limits of one dispatcher are divided.
-    pub fn parts(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         1 + self.others.len()
     }
 
     /// Whether this one may send to cold engines: at no time may two. The oldest may that is not ending; of one
     /// whose phase is not known that is not believed. One that ends may not even if it sees no other: the next may
     /// have come since it looked.
-    pub fn may_warm(&self) -> bool {
-        let older = |(life, _): &&(Life, Option<Phase>)| *life < self.own;
+    pub fn may_use_cold_engines(&self) -> bool {
+        let older = |(life, _): &&(Incarnation, Option<Phase>)| *life < self.own;
         let mut older = self.others.iter().filter(older);
         let ends = self.phase == Phase::Ending;
         !ends && older.all(|(_, phase)| *phase == Some(Phase::Ending))
     }
 
     /// Whom to begin from: the youngest of those that serve, or did.
-    pub fn heir_of(&self) -> Option<Life> {
+    pub fn predecessor(&self) -> Option<Incarnation> {
         let older = self.others.iter().filter(|(life, _)| *life < self.own);
         let older = older.filter(|(_, phase)| *phase != Some(Phase::Starting));
         older.map(|(life, _)| *life).max()
--- a/handover/tests/share.rs
+++ b/handover/tests/message.rs
@@ -4,17 +4,19 @@
 use sedgebeam_core::{
     ClassHeld, ClassOut, EngineHeld, EngineId, GroupId, Held, Micros, Out, Tenant,
 };
-use sedgebeam_handover::{Freshness, Life, Phase, Refused, Share, Stated};
+use sedgebeam_handover::{
+    Freshness, HandoverMessage, Incarnation, MessageError, Phase, ProcessStatus,
+};
 use sedgebeam_roster::Target;
 
 const NOW: u64 = 1_800_000_000_000_000;
 const HOUR: u64 = 3_600_000_000;
-const READER: Life = Life {
+const READER: Incarnation = Incarnation {
     generation: 7,
-    draw: 3,
+    nonce: 3,
 };
 
-fn share() -> Share {
+fn share() -> HandoverMessage {
     let target = Target {
         uid: "s-00000001".to_string(),
         endpoint: "127.0.0.1:1".to_string(),
@@ -46,25 +48,25 @@
         taken: 9.0,
         spilled: 0.0,
     };
-    Share {
-        stated: Stated {
-            name: "n0".to_string(),
-            at: NOW,
-            clock: Some(Micros(NOW)),
-            found: Some(vec![READER]),
+    HandoverMessage {
+        status: ProcessStatus {
+            dispatcher_name: "n0".to_string(),
+            written_at_unix_us: NOW,
+            writer_clock: Some(Micros(NOW)),
+            known_processes: Some(vec![READER]),
             phase: Phase::Serving,
-            seq: 42,
+            change_log_seq: 42,
             targets: vec![target],
-            sessions: 5,
-            drained: vec!["s-00000002".to_string()],
+            session_count: 5,
+            drained_engines: vec!["s-00000002".to_string()],
             tenants: vec![Tenant {
                 name: "firm".to_string(),
                 share: 0.25,
                 per_second: 3.0,
             }],
-            file: "{\"settings\": {}}".to_string(),
+            config_text: "{\"settings\": {}}".to_string(),
         },
-        held: Held {
+        handover_state: Held {
             engines: vec![engine],
             classes: vec![class],
             multiple: 1.5,
@@ -74,40 +76,46 @@
 
 #[test]
 fn a_share_is_read_as_it_was_told() {
-    assert_eq!(Share::decode(&share().encode(), "n0"), Ok(share()));
+    assert_eq!(
+        HandoverMessage::decode(&share().encode(), "n0"),
+        Ok(share())
+    );
 }
 
 #[test]
 fn what_is_foreign_torn_or_another_s_is_refused() {
     let bytes = share().encode();
-    let read = |bytes: &[u8], name| Share::decode(bytes, name).map(|_| ());
-    assert_eq!(read(&bytes, "n1"), Err(Refused::Other));
+    let read = |bytes: &[u8], name| HandoverMessage::decode(bytes, name).map(|_| ());
+    assert_eq!(read(&bytes, "n1"), Err(MessageError::OtherDispatcher));
     let text = String::from_utf8(bytes).expect("text");
     let foreign = text.replacen("share 1 ", "share 2 ", 1);
-    assert_eq!(read(foreign.as_bytes(), "n0"), Err(Refused::Foreign));
+    assert_eq!(
+        read(foreign.as_bytes(), "n0"),
+        Err(MessageError::UnsupportedFormat)
+    );
     for torn in ["", "sedgebeam-share 1 0 00000000", &text[..text.len() / 2]] {
-        assert_eq!(read(torn.as_bytes(), "n0"), Err(Refused::Torn));
+        assert_eq!(read(torn.as_bytes(), "n0"), Err(MessageError::Corrupt));
     }
 }
 
 /// Whatever the wall clock says, a share answers those that its writer had found when it wrote, and no others.
 #[test]
 fn a_share_answers_whom_its_writer_had_found() {
-    let later = Life {
+    let later = Incarnation {
         generation: 8,
         ..READER
     };
     for now in [NOW - HOUR, NOW, NOW + HOUR] {
-        assert!(share().answers(READER, Micros(now)));
+        assert!(share().is_addressed_to(READER, Micros(now)));
         assert!(
-            !share().answers(later, Micros(now)),
+            !share().is_addressed_to(later, Micros(now)),
             "left by another meeting"
         );
     }
     // One of a version that goes by the wall clock.
     let mut earlier = share();
-    earlier.stated.found = None;
-    let answers = |at| earlier.answers(READER, Micros(at));
+    earlier.status.known_processes = None;
+    let answers = |at| earlier.is_addressed_to(READER, Micros(at));
     assert!(answers(NOW + 1_000_000) && answers(NOW - 1_000_000));
     assert!(!answers(NOW + 3_000_000) && !answers(NOW - 3_000_000));
 }
@@ -123,7 +131,7 @@
     // A wall clock that was set back is a new mark like any other.
     assert!(freshness.is_fresh(READER, NOW - HOUR, after(2001)));
     assert!(freshness.is_fresh(READER, NOW - HOUR, after(4001)));
-    freshness.keep(&[]);
+    freshness.retain(&[]);
     assert!(
         freshness.is_fresh(READER, NOW - HOUR, after(9000)),
         "forgotten"
@@ -133,7 +141,7 @@
 #[test]
 fn times_are_on_the_clock_of_the_reader() {
     for now in [NOW - HOUR, NOW, NOW + HOUR] {
-        let held = share().held_at(Micros(now));
+        let held = share().handover_state_at(Micros(now));
         assert_eq!(held.engines[0].sent, [(Micros(now - 5), 1.25)]);
         // No rest is not one that ends at some time.
         assert_eq!(held.engines[0].rests_until, (Micros(0), Micros(now + 9)));
@@ -145,10 +153,10 @@
     fn a_share_that_is_cut_or_changed_anywhere_is_refused(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let bytes = share().encode();
         let at = at.index(bytes.len());
-        prop_assert!(Share::decode(&bytes[..at], "n0").is_err());
+        prop_assert!(HandoverMessage::decode(&bytes[..at], "n0").is_err());
         let mut changed = bytes.clone();
         changed[at] = byte;
-        let read = Share::decode(&changed, "n0");
+        let read = HandoverMessage::decode(&changed, "n0");
         prop_assert!(read.is_err() || changed == bytes || read == Ok(share()));
     }
 }
--- a/handover/tests/pair.rs
+++ b/handover/tests/process_pair.rs
@@ -2,7 +2,7 @@
 //! to cold engines, and one always may again.
 
 use proptest::prelude::*;
-use sedgebeam_handover::{Life, Pair, Phase};
+use sedgebeam_handover::{Incarnation, Phase, ProcessPair};
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
@@ -27,14 +27,14 @@
 }
 
 struct Process {
-    life: Life,
+    life: Incarnation,
     phase: Phase,
     /// The phase that it has told last; what it is at now may be ahead of that.
     told: Option<Phase>,
-    pair: Pair,
+    pair: ProcessPair,
 }
 
-type MayWarm = fn(&Pair, Phase) -> bool;
+type MayWarm = fn(&ProcessPair, Phase) -> bool;
 
 struct House {
     processes: Vec<Process>,
@@ -48,11 +48,11 @@
         let seen = others.map(|other| (other.life, other.told.filter(|_| reads)));
         let seen = seen.collect();
         let process = &mut self.processes[at];
-        process.pair.see(process.phase, seen);
+        process.pair.update(process.phase, seen);
         process.told = Some(process.phase);
     }
 
-    fn warming(&self, may_warm: MayWarm) -> Vec<Life> {
+    fn warming(&self, may_warm: MayWarm) -> Vec<Incarnation> {
         let may = self.processes.iter();
         let may = may.filter(|process| may_warm(&process.pair, process.phase));
         may.map(|process| process.life).collect()
@@ -69,15 +69,15 @@
         match *step {
             Step::Starts if house.processes.len() < 4 => {
                 house.count += 1;
-                let life = Life {
+                let life = Incarnation {
                     generation: u64::from(house.count / 2),
-                    draw: house.count,
+                    nonce: house.count,
                 };
                 house.processes.push(Process {
                     life,
                     phase: Phase::Starting,
                     told: None,
-                    pair: Pair::new(life),
+                    pair: ProcessPair::new(life),
                 });
                 // It looks before it does anything.
                 house.look(house.processes.len() - 1, true);
@@ -127,7 +127,7 @@
     fn no_two_processes_send_to_cold_engines_and_one_that_serves_may(
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        prop_assert_eq!(play(&steps, |pair, _| pair.may_warm()), Ok(()));
+        prop_assert_eq!(play(&steps, |pair, _| pair.may_use_cold_engines()), Ok(()));
     }
 }
 
@@ -145,7 +145,7 @@
         Step::Looks(0, true),
         Step::Looks(1, true),
     ];
-    assert_eq!(play(&steps, |pair, _| pair.may_warm()), Ok(()));
+    assert_eq!(play(&steps, |pair, _| pair.may_use_cold_engines()), Ok(()));
     let doubles: [(&str, MayWarm); 3] = [
         ("nobody looks for others", |_, _| true),
         ("whoever serves may", |_, phase| phase == Phase::Serving),
@@ -158,16 +158,16 @@
 
 #[test]
 fn a_process_is_younger_than_all_that_it_finds() {
-    let first = Life::after([].into_iter(), 9);
-    let second = Life::after([first].into_iter(), 3);
+    let first = Incarnation::after([].into_iter(), 9);
+    let second = Incarnation::after([first].into_iter(), 3);
     // One of an earlier version, which began at a Unix time.
-    let earlier = Life {
+    let earlier = Incarnation {
         generation: 1_800_000_000_000_000,
-        draw: 1,
+        nonce: 1,
     };
-    let third = Life::after([second, earlier, first].into_iter(), 0);
+    let third = Incarnation::after([second, earlier, first].into_iter(), 0);
     assert!(first < second && second < third && earlier < third);
     for life in [first, second, third, earlier] {
-        assert_eq!(Life::named(&life.name()), Some(life));
+        assert_eq!(Incarnation::parse(&life.name()), Some(life));
     }
 }
--- a/lab/src/decide.rs
+++ b/lab/src/decide.rs
@@ -6,7 +6,7 @@
     Action, AttemptNo, CREDIT_CAP, Class, ClassId, Effect, Ended, Engine, EngineId, Event, Gateway,
     GroupId, Kind, KindId, ListKind, Micros, Outcome, Query, RequestId, Settings,
 };
-use sedgebeam_leases::{Ledger, ShardId, Terms};
+use sedgebeam_leases::{LeaseTable, LeaseTerms, ShardId};
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
@@ -138,18 +138,18 @@
 struct Sharded {
     gateway: Gateway,
     shard: ShardId,
-    ledger: Arc<Mutex<Ledger>>,
+    ledger: Arc<Mutex<LeaseTable>>,
 }
 
 impl Decides for Sharded {
     fn decide(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
         let wish = self.gateway.wish(now, &events);
         let ledger = || self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        let loan = ledger().borrow(self.shard, now, &wish, 0);
+        let loan = ledger().acquire(self.shard, now, &wish, 0);
         self.gateway.hear(loan.siblings);
         let actions = self.gateway.handle(now, events);
         let told = self.gateway.publish();
-        ledger().settle(self.shard, loan.ticket, now, told);
+        ledger().commit(self.shard, loan.id, now, told);
         actions
     }
 }
@@ -162,15 +162,15 @@
             let shared = Arc::new(Mutex::new(gateway(self.engines)));
             let locked = |_| Locked(shared.clone());
             let lock = self.rate((0..*threads).map(locked).collect())?;
-            let terms = Terms {
-                shards: *threads,
-                lease: Micros::from_millis(250),
-                tick: Micros::from_millis(5),
+            let terms = LeaseTerms {
+                shard_count: *threads,
+                lease_duration: Micros::from_millis(250),
+                redistribution_interval: Micros::from_millis(5),
                 cold_window: Micros::from_millis(1000),
-                credit_cap: CREDIT_CAP,
-                open: 1_000_000,
+                max_credit: CREDIT_CAP,
+                max_open_requests: 1_000_000,
             };
-            let ledger = Arc::new(Mutex::new(Ledger::new(terms)));
+            let ledger = Arc::new(Mutex::new(LeaseTable::new(terms)));
             let sharded = |shard| Sharded {
                 gateway: gateway(self.engines),
                 shard: ShardId(shard),
--- a/leases/src/engines.rs
+++ b/leases/src/engine_leases.rs
@@ -5,10 +5,10 @@
 
 /// What a shard asks of each engine alike.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Claim {
+pub(crate) struct LeaseRequest {
     pub now: Micros,
     /// What comes free on an engine that is nearly full is lent again after this.
-    pub tick: Micros,
+    pub redistribution_interval: Micros,
     /// Its part of what is free, from 0 to 1.
     pub part: f64,
     /// Threads of all that it waits for, and of the heaviest query.
@@ -28,7 +28,7 @@
 
 /// An engine's page of the ledger.
 #[derive(Debug, Default)]
-pub(crate) struct EngineBook {
+pub(crate) struct EngineLeases {
     holdings: Vec<Holding>,
     /// Work sent lately: when, by whom, and how much in core seconds. It outlives the shard that sent it.
     sends: VecDeque<(Micros, usize, f64)>,
@@ -37,7 +37,7 @@
     opened_at: Option<Micros>,
 }
 
-impl EngineBook {
+impl EngineLeases {
     fn holding(&mut self, shard: usize) -> &mut Holding {
         if self.holdings.len() <= shard {
             self.holdings.resize(shard + 1, Holding::default());
@@ -64,10 +64,10 @@
     /// Lends a part of the threads that are free below the limit. One query always has room on an engine
     /// on which there is nothing, whatever the limit; on a cold one, only one shard borrows at a time, since
     /// what it will send is known only afterwards.
-    pub fn lend(&mut self, shard: usize, wished: &EngineWish, claim: &Claim) -> f64 {
-        let Claim {
+    pub fn lend(&mut self, shard: usize, wished: &EngineWish, claim: &LeaseRequest) -> f64 {
+        let LeaseRequest {
             now,
-            tick,
+            redistribution_interval,
             part,
             most,
             heaviest,
@@ -83,7 +83,10 @@
         };
         // Pieces of what is nearly full would fit light queries only, and keep heavy ones out for good.
         let tight = free < 2.0 * heaviest;
-        if self.opened_at.is_none_or(|at| now >= at + tick) {
+        if self
+            .opened_at
+            .is_none_or(|at| now >= at + redistribution_interval)
+        {
             (self.open, self.opened_at) = (free, Some(now));
         }
         // As with one gateway, what comes free is gathered for a tick: many shards that each look at another
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -21,12 +21,12 @@
 //! shard that died, whose connections are closed, it counts no more. What was sent to a cold engine counts
 //! on in both cases.
 
-pub mod counts;
-mod engines;
+mod engine_leases;
 pub mod placement;
+pub mod quota;
 
-use counts::Counts;
-use engines::{Claim, EngineBook};
+use engine_leases::{EngineLeases, LeaseRequest};
+use quota::SharedQuota;
 use sedgebeam_core::{
     ClassOut, EngineId, EngineShare, Micros, Out, Published, Room, Siblings, Wish,
 };
@@ -38,46 +38,46 @@
 
 /// Names one borrowing; one that has been settled, voided or crashed is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket(u64);
+pub struct LeaseId(u64);
 
 /// The figures of a ledger.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    pub shards: usize,
+pub struct LeaseTerms {
+    pub shard_count: usize,
     /// A borrowing that is not settled within this time is void.
-    pub lease: Micros,
+    pub lease_duration: Micros,
     /// What comes free on an engine that is nearly full is lent again after this.
-    pub tick: Micros,
+    pub redistribution_interval: Micros,
     /// How long what was sent to an engine counts against what a cold one can bear.
     pub cold_window: Micros,
     /// The most credit or debt of a class or tenant.
-    pub credit_cap: f64,
+    pub max_credit: f64,
     /// Requests that may be open at once, over all shards.
-    pub open: usize,
+    pub max_open_requests: usize,
 }
 
 /// What a shard has borrowed.
 #[derive(Debug)]
-pub struct Loan {
-    pub ticket: Ticket,
+pub struct Lease {
+    pub id: LeaseId,
     pub siblings: Siblings,
     /// Requests that the shard may have open until it borrows again.
-    pub open: usize,
+    pub max_open_requests: usize,
 }
 
 /// What a settlement came to.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Settled {
+pub struct CommitResult {
     /// Whether the lease was good to the end; else nothing that was decided on it may be sent.
-    pub stands: bool,
+    pub is_valid: bool,
     /// Shards that wait for what has become free.
-    pub wake: Vec<ShardId>,
+    pub shards_to_wake: Vec<ShardId>,
 }
 
 /// A borrowing that is not settled yet.
 #[derive(Clone, Copy, Debug)]
 struct Lent {
-    ticket: Ticket,
+    ticket: LeaseId,
     at: Micros,
     /// Threads that the shard may send to the fleet on it.
     threads: f64,
@@ -103,56 +103,56 @@
 
 /// What all shards hold.
 #[derive(Debug)]
-pub struct Ledger {
-    terms: Terms,
+pub struct LeaseTable {
+    terms: LeaseTerms,
     shards: Vec<Shard>,
-    engines: BTreeMap<EngineId, EngineBook>,
+    engines: BTreeMap<EngineId, EngineLeases>,
     class_credit: Vec<f64>,
     tenant_credit: Vec<Vec<f64>>,
-    open: Counts,
+    open: SharedQuota,
     tickets: u64,
     /// Leases that were voided because they were not settled in time.
     voided: u64,
 }
 
-impl Ledger {
-    pub fn new(terms: Terms) -> Ledger {
-        Ledger {
+impl LeaseTable {
+    pub fn new(terms: LeaseTerms) -> LeaseTable {
+        LeaseTable {
             terms,
             // One more for the other processes of this dispatcher, which borrow nothing here.
-            shards: vec![Shard::default(); terms.shards + 1],
+            shards: vec![Shard::default(); terms.shard_count + 1],
             engines: BTreeMap::new(),
             class_credit: Vec::new(),
             tenant_credit: Vec::new(),
-            open: Counts::new(terms.shards, terms.open),
+            open: SharedQuota::new(terms.shard_count, terms.max_open_requests),
             tickets: 0,
             voided: 0,
         }
     }
 
     /// Takes other terms for the same shards.
-    pub fn retune(&mut self, terms: Terms) {
-        self.open.retune(terms.open);
+    pub fn reconfigure(&mut self, terms: LeaseTerms) {
+        self.open.reconfigure(terms.max_open_requests);
         self.terms = terms;
     }
 
     /// Hears what other processes of this dispatcher hold, all of them added up. It counts for every shard, until something
     /// else is told or all that is out there must have ended.
-    pub fn beside(&mut self, now: Micros, told: Published) {
-        self.publish(self.terms.shards, now, told);
+    pub fn set_peer_process_usage(&mut self, now: Micros, told: Published) {
+        self.publish(self.terms.shard_count, now, told);
     }
 
     /// How many leases were void before they were settled.
-    pub fn voided(&self) -> u64 {
+    pub fn expired_lease_count(&self) -> u64 {
         self.voided
     }
 
     /// Lends room for one decision. `open` tells how many requests the shard has open.
-    pub fn borrow(&mut self, shard: ShardId, now: Micros, wish: &Wish, open: usize) -> Loan {
-        self.expire(now);
+    pub fn acquire(&mut self, shard: ShardId, now: Micros, wish: &Wish, open: usize) -> Lease {
+        self.expire_leases(now);
         self.take_back(shard);
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        let ticket = LeaseId(self.tickets);
         let own = shard.0;
         let wants = wish.threads.max(0.0);
         self.shards[own].wants = wants;
@@ -164,9 +164,9 @@
             0.0
         };
         let most = wants.max(wish.heaviest);
-        let claim = Claim {
+        let claim = LeaseRequest {
             now,
-            tick: self.terms.tick,
+            redistribution_interval: self.terms.redistribution_interval,
             part,
             most,
             heaviest: wish.heaviest,
@@ -188,8 +188,8 @@
             at: now,
             threads: most,
         });
-        Loan {
-            ticket,
+        Lease {
+            id: ticket,
             siblings: Siblings {
                 engines,
                 classes,
@@ -198,24 +198,24 @@
                 class_credit: self.class_credit.clone(),
                 tenant_credit: self.tenant_credit.clone(),
             },
-            open: self.open.renew(own, open),
+            max_open_requests: self.open.renew(own, open),
         }
     }
 
     /// Takes what the shard holds now, and back what it has borrowed. Where the lease was void, what it
     /// tells is of no use either: it speaks of sends that must not be made.
-    pub fn settle(
+    pub fn commit(
         &mut self,
         shard: ShardId,
-        ticket: Ticket,
+        ticket: LeaseId,
         now: Micros,
         told: Published,
-    ) -> Settled {
-        self.expire(now);
+    ) -> CommitResult {
+        self.expire_leases(now);
         let own = shard.0;
         let lent = self.shards[own].lent;
         if lent.is_none_or(|lent| lent.ticket != ticket) {
-            return Settled::default();
+            return CommitResult::default();
         }
         self.take_back(shard);
         let before = self.shards[own].threads;
@@ -226,22 +226,25 @@
         } else {
             Vec::new()
         };
-        Settled { stands: true, wake }
+        CommitResult {
+            is_valid: true,
+            shards_to_wake: wake,
+        }
     }
 
     /// A shard has died and its connections to engines are closed: nothing of it is out any more. Gives
     /// the shards that may be waiting for that.
-    pub fn crash(&mut self, shard: ShardId) -> Vec<ShardId> {
+    pub fn remove_crashed_shard(&mut self, shard: ShardId) -> Vec<ShardId> {
         self.forget(shard);
-        self.open.leave(shard.0);
+        self.open.release(shard.0);
         self.waiters(shard)
     }
 
     /// Leases that ran out become void; what was out of a silent shard counts until it must have ended.
-    pub fn expire(&mut self, now: Micros) {
+    pub fn expire_leases(&mut self, now: Micros) {
         for place in 0..self.shards.len() {
             let shard = &self.shards[place];
-            let late = |lent: Lent| now > lent.at + self.terms.lease;
+            let late = |lent: Lent| now > lent.at + self.terms.lease_duration;
             if shard.lent.is_some_and(late) {
                 self.voided += 1;
                 self.take_back(ShardId(place));
@@ -249,14 +252,14 @@
             }
             // A shard that lives publishes again long before.
             let shard = &self.shards[place];
-            if shard.threads > 0.0 && now > shard.until + self.terms.lease {
+            if shard.threads > 0.0 && now > shard.until + self.terms.lease_duration {
                 self.forget(ShardId(place));
             }
         }
     }
 
     /// Threads out on an engine, and threads lent there, over all shards.
-    pub fn held(&self, engine: EngineId) -> (f64, f64) {
+    pub fn engine_threads(&self, engine: EngineId) -> (f64, f64) {
         let book = self.engines.get(&engine);
         book.map_or((0.0, 0.0), |book| (book.threads(), book.lent()))
     }
@@ -322,7 +325,7 @@
             0.0
         };
         shard.threads = threads;
-        let cap = self.terms.credit_cap;
+        let cap = self.terms.max_credit;
         add(&mut self.class_credit, &told.class_credit, cap);
         let classes = told.tenant_credit.len().max(self.tenant_credit.len());
         self.tenant_credit.resize(classes, Vec::new());
--- a/leases/src/placement.rs
+++ b/leases/src/placement.rs
@@ -2,21 +2,21 @@
 
 /// A worker as the one who accepts connections sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct WorkerLoad {
     pub connections: usize,
     /// It has shown lately that it runs.
-    pub lives: bool,
+    pub is_alive: bool,
 }
 
 /// The worker with fewest connections of those that live, or of all where none does; of several, the next
 /// in turn. One firm that opens all its connections at once is spread like any other, and a worker that
 /// stands still gets no more of them.
-pub fn place(loads: &[Load], turn: usize) -> usize {
+pub fn choose_worker(loads: &[WorkerLoad], turn: usize) -> usize {
     let count = loads.len().max(1);
     let from_turn = |worker: usize| (worker + count - turn % count) % count;
     let order = |worker: &usize| {
         let load = loads[*worker];
-        (!load.lives, load.connections, from_turn(*worker))
+        (!load.is_alive, load.connections, from_turn(*worker))
     };
     (0..loads.len()).min_by_key(order).unwrap_or(0)
 }
@@ -25,10 +25,10 @@
 mod tests {
     use super::*;
 
-    fn loads(connections: &[usize], dead: usize) -> Vec<Load> {
-        let load = |(place, connections): (usize, &usize)| Load {
+    fn loads(connections: &[usize], dead: usize) -> Vec<WorkerLoad> {
+        let load = |(place, connections): (usize, &usize)| WorkerLoad {
             connections: *connections,
-            lives: place != dead,
+            is_alive: place != dead,
         };
         connections.iter().enumerate().map(load).collect()
     }
@@ -37,19 +37,19 @@
     fn a_burst_of_one_firm_is_spread_evenly() {
         let mut counts = [0; 4];
         for turn in 0..200 {
-            counts[place(&loads(&counts, 9), turn)] += 1;
+            counts[choose_worker(&loads(&counts, 9), turn)] += 1;
         }
         assert_eq!(counts, [50; 4]);
     }
 
     #[test]
     fn the_emptiest_worker_that_lives_is_taken_and_ties_go_in_turn() {
-        assert_eq!(place(&loads(&[5, 3, 4], 9), 0), 1);
-        assert_eq!(place(&loads(&[5, 3, 4], 1), 0), 2);
-        assert_eq!(place(&loads(&[2, 2, 2], 9), 1), 1);
-        assert_eq!(place(&loads(&[2, 2, 2], 9), 5), 2);
+        assert_eq!(choose_worker(&loads(&[5, 3, 4], 9), 0), 1);
+        assert_eq!(choose_worker(&loads(&[5, 3, 4], 1), 0), 2);
+        assert_eq!(choose_worker(&loads(&[2, 2, 2], 9), 1), 1);
+        assert_eq!(choose_worker(&loads(&[2, 2, 2], 9), 5), 2);
         assert_eq!(
-            place(&loads(&[7], 0), 3),
+            choose_worker(&loads(&[7], 0), 3),
             0,
             "it stands still, but there is no other"
         );
--- a/leases/src/counts.rs
+++ b/leases/src/quota.rs
@@ -3,22 +3,22 @@
 /// Leases of a whole number, such as of requests that may be open. The sum of what is granted is never
 /// more than the whole; what a shard does not use moves to those that do at its next renewal.
 #[derive(Debug)]
-pub struct Counts {
+pub struct SharedQuota {
     most: usize,
     /// What each shard has been granted.
     granted: Vec<usize>,
 }
 
-impl Counts {
-    pub fn new(shards: usize, most: usize) -> Counts {
-        Counts {
+impl SharedQuota {
+    pub fn new(shards: usize, most: usize) -> SharedQuota {
+        SharedQuota {
             most,
             granted: vec![0; shards],
         }
     }
 
     /// So many from now on; a shard that has more gives them back as it renews.
-    pub fn retune(&mut self, most: usize) {
+    pub fn reconfigure(&mut self, most: usize) {
         self.most = most;
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// Ends a shard's lease.
-    pub fn leave(&mut self, shard: usize) {
+    pub fn release(&mut self, shard: usize) {
         self.granted[shard] = 0;
     }
 }
@@ -48,7 +48,7 @@
 
     #[test]
     fn what_is_free_moves_to_the_shard_that_asks_for_it() {
-        let mut counts = Counts::new(2, 100);
+        let mut counts = SharedQuota::new(2, 100);
         assert_eq!(counts.renew(0, 0), 50);
         assert_eq!(counts.renew(1, 0), 25);
         let mut used = 0;
@@ -57,7 +57,7 @@
             counts.renew(1, 0);
         }
         assert!(used >= 90, "{used} of 100 after eight renewals");
-        counts.leave(0);
+        counts.release(0);
         assert!(counts.renew(1, 0) >= 50);
     }
 }
--- a/leases/tests/interleavings.rs
+++ b/leases/tests/interleavings.rs
@@ -3,7 +3,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use sedgebeam_core::{ClassOut, EngineId, EngineWish, GroupId, Micros, Out, Published, Wish};
-use sedgebeam_leases::{Ledger, Loan, ShardId, Terms};
+use sedgebeam_leases::{Lease, LeaseTable, LeaseTerms, ShardId};
 use std::collections::BTreeMap;
 
 const SHARDS: usize = 4;
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct Shard {
     out: BTreeMap<EngineId, Vec<f64>>,
-    loan: Option<(Loan, Micros)>,
+    loan: Option<(Lease, Micros)>,
     open: usize,
     sent: Vec<(Micros, f64)>,
 }
@@ -87,7 +87,7 @@
 }
 
 struct World {
-    ledger: Ledger,
+    ledger: LeaseTable,
     shards: Vec<Shard>,
     now: Micros,
     /// All that was ever sent to the cold engine, whoever sent it.
@@ -102,7 +102,7 @@
 impl World {
     fn new() -> World {
         World {
-            ledger: Ledger::new(terms(SHARDS)),
+            ledger: LeaseTable::new(terms(SHARDS)),
             shards: (0..SHARDS).map(|_| Shard::default()).collect(),
             now: Micros(1000),
             cold: Vec::new(),
@@ -127,9 +127,9 @@
         };
         let loan = self
             .ledger
-            .borrow(ShardId(place), self.now, &wish, shard.open);
+            .acquire(ShardId(place), self.now, &wish, shard.open);
         // It opens as many requests as it may.
-        shard.open = (shard.open + usize::from(wants)).min(loan.open);
+        shard.open = (shard.open + usize::from(wants)).min(loan.max_open_requests);
         shard.loan = Some((loan, self.now));
     }
 
@@ -163,8 +163,8 @@
         let told = shard.publish(work);
         if self
             .ledger
-            .settle(ShardId(place), loan.ticket, self.now, told)
-            .stands
+            .commit(ShardId(place), loan.id, self.now, told)
+            .is_valid
         {
             shard.sent.push((self.now, work));
             self.cold.push((self.now, work));
@@ -175,7 +175,7 @@
 
     fn crash(&mut self, place: usize) {
         self.shards[place] = Shard::default();
-        self.ledger.crash(ShardId(place));
+        self.ledger.remove_crashed_shard(ShardId(place));
     }
 
     fn play(&mut self, step: Step) {
@@ -195,7 +195,7 @@
     fn check(&self) -> Result<(), TestCaseError> {
         for engine in (0..ENGINES).map(EngineId) {
             let out: f64 = self.shards.iter().map(|shard| shard.threads(engine)).sum();
-            let (_, lent) = self.ledger.held(engine);
+            let (_, lent) = self.ledger.engine_threads(engine);
             prop_assert!(
                 out <= LIMIT + ROUNDING,
                 "{out} threads are out on {engine:?}"
@@ -236,10 +236,10 @@
             world.play(step);
         }
         world.now = world.now + LEASE + Micros(1);
-        world.ledger.expire(world.now);
+        world.ledger.expire_leases(world.now);
         for engine in (0..ENGINES).map(EngineId) {
             let out: f64 = world.shards.iter().map(|shard| shard.threads(engine)).sum();
-            let (told, lent) = world.ledger.held(engine);
+            let (told, lent) = world.ledger.engine_threads(engine);
             prop_assert_eq!(lent, 0.0);
             // What ended on a lease that was void is told with the next one that stands.
             prop_assert!(out <= told, "{} out, {} known", out, told);
@@ -256,14 +256,14 @@
     }
 }
 
-fn terms(shards: usize) -> Terms {
-    Terms {
-        shards,
-        lease: LEASE,
-        tick: Micros(0),
+fn terms(shards: usize) -> LeaseTerms {
+    LeaseTerms {
+        shard_count: shards,
+        lease_duration: LEASE,
+        redistribution_interval: Micros(0),
         cold_window: WINDOW,
-        credit_cap: 4.0,
-        open: OPEN,
+        max_credit: 4.0,
+        max_open_requests: OPEN,
     }
 }
 
@@ -293,122 +293,122 @@
     }
 }
 
-fn room(loan: &Loan) -> f64 {
+fn room(loan: &Lease) -> f64 {
     loan.siblings.engines[0].room.0
 }
 
 #[test]
 fn what_is_free_goes_to_the_shard_that_waits_at_its_next_decision() {
-    let mut ledger = Ledger::new(terms(2));
+    let mut ledger = LeaseTable::new(terms(2));
     let (first, second) = (ShardId(0), ShardId(1));
-    let loan = ledger.borrow(first, Micros(0), &wish(30.0, false), 0);
+    let loan = ledger.acquire(first, Micros(0), &wish(30.0, false), 0);
     assert_eq!(room(&loan), LIMIT, "nobody else wants any");
     assert!(
         ledger
-            .settle(first, loan.ticket, Micros(1), holds(8.0, Micros(900)))
-            .stands
+            .commit(first, loan.id, Micros(1), holds(8.0, Micros(900)))
+            .is_valid
     );
-    let loan = ledger.borrow(second, Micros(2), &wish(30.0, false), 0);
+    let loan = ledger.acquire(second, Micros(2), &wish(30.0, false), 0);
     assert_eq!(room(&loan), 2.0);
     assert_eq!(loan.siblings.engines[0].out.threads, 8.0);
     assert_eq!(loan.siblings.waiting, [[0, 2]]);
     assert!(
         ledger
-            .settle(second, loan.ticket, Micros(3), holds(2.0, Micros(900)))
-            .stands
+            .commit(second, loan.id, Micros(3), holds(2.0, Micros(900)))
+            .is_valid
     );
     // Its end is told to the one that waits, which then has the room.
-    let loan = ledger.borrow(first, Micros(4), &wish(0.0, false), 0);
-    let settled = ledger.settle(first, loan.ticket, Micros(5), holds(0.0, Micros(900)));
-    assert_eq!(settled.wake, [second]);
-    let loan = ledger.borrow(second, Micros(6), &wish(30.0, false), 0);
+    let loan = ledger.acquire(first, Micros(4), &wish(0.0, false), 0);
+    let settled = ledger.commit(first, loan.id, Micros(5), holds(0.0, Micros(900)));
+    assert_eq!(settled.shards_to_wake, [second]);
+    let loan = ledger.acquire(second, Micros(6), &wish(30.0, false), 0);
     assert_eq!(room(&loan), 8.0);
 }
 
 #[test]
 fn a_lease_that_ran_out_is_void_and_its_room_is_lent_again() {
-    let mut ledger = Ledger::new(terms(2));
+    let mut ledger = LeaseTable::new(terms(2));
     let (first, second) = (ShardId(0), ShardId(1));
-    let stalled = ledger.borrow(first, Micros(0), &wish(30.0, false), 0);
-    let loan = ledger.borrow(second, Micros(10), &wish(30.0, false), 0);
+    let stalled = ledger.acquire(first, Micros(0), &wish(30.0, false), 0);
+    let loan = ledger.acquire(second, Micros(10), &wish(30.0, false), 0);
     assert_eq!(room(&loan), 0.0);
     assert!(
         ledger
-            .settle(second, loan.ticket, Micros(11), holds(0.0, Micros(0)))
-            .stands
+            .commit(second, loan.id, Micros(11), holds(0.0, Micros(0)))
+            .is_valid
     );
-    let loan = ledger.borrow(second, Micros(60), &wish(30.0, false), 0);
+    let loan = ledger.acquire(second, Micros(60), &wish(30.0, false), 0);
     assert_eq!(room(&loan), LIMIT);
-    let late = ledger.settle(first, stalled.ticket, Micros(61), holds(8.0, Micros(900)));
-    assert!(!late.stands, "what it decided must not be sent");
-    assert_eq!(ledger.voided(), 1);
+    let late = ledger.commit(first, stalled.id, Micros(61), holds(8.0, Micros(900)));
+    assert!(!late.is_valid, "what it decided must not be sent");
+    assert_eq!(ledger.expired_lease_count(), 1);
     assert!(
         ledger
-            .settle(second, loan.ticket, Micros(62), holds(8.0, Micros(900)))
-            .stands
+            .commit(second, loan.id, Micros(62), holds(8.0, Micros(900)))
+            .is_valid
     );
 }
 
 #[test]
 fn what_a_silent_shard_has_out_counts_until_it_must_have_ended() {
-    let mut ledger = Ledger::new(terms(2));
+    let mut ledger = LeaseTable::new(terms(2));
     let (silent, other) = (ShardId(0), ShardId(1));
-    let loan = ledger.borrow(silent, Micros(0), &wish(8.0, false), 0);
+    let loan = ledger.acquire(silent, Micros(0), &wish(8.0, false), 0);
     assert!(
         ledger
-            .settle(silent, loan.ticket, Micros(1), holds(8.0, Micros(500)))
-            .stands
+            .commit(silent, loan.id, Micros(1), holds(8.0, Micros(500)))
+            .is_valid
     );
-    let loan = ledger.borrow(other, Micros(400), &wish(30.0, false), 0);
+    let loan = ledger.acquire(other, Micros(400), &wish(30.0, false), 0);
     assert_eq!(
         (room(&loan), loan.siblings.engines[0].out.groups.len()),
         (2.0, 1)
     );
-    let loan = ledger.borrow(other, Micros(600), &wish(30.0, false), 0);
+    let loan = ledger.acquire(other, Micros(600), &wish(30.0, false), 0);
     assert_eq!(room(&loan), LIMIT);
 }
 
 #[test]
 fn of_a_shard_that_died_nothing_is_out_but_what_it_sent_to_a_cold_engine_counts() {
-    let mut ledger = Ledger::new(terms(2));
+    let mut ledger = LeaseTable::new(terms(2));
     let (dead, other) = (ShardId(0), ShardId(1));
-    let loan = ledger.borrow(dead, Micros(0), &wish(8.0, true), 0);
+    let loan = ledger.acquire(dead, Micros(0), &wish(8.0, true), 0);
     let mut told = holds(8.0, Micros(500));
     told.sent = vec![(EngineId(1), 2.5)];
-    assert!(ledger.settle(dead, loan.ticket, Micros(1), told).stands);
-    ledger.crash(dead);
+    assert!(ledger.commit(dead, loan.id, Micros(1), told).is_valid);
+    ledger.remove_crashed_shard(dead);
     for shard in [other, dead] {
-        let loan = ledger.borrow(shard, Micros(100), &wish(8.0, true), 0);
+        let loan = ledger.acquire(shard, Micros(100), &wish(8.0, true), 0);
         let share = &loan.siblings.engines[0];
         assert_eq!((share.out.threads, share.cold_work), (0.0, 2.5));
         assert!(
             ledger
-                .settle(shard, loan.ticket, Micros(101), holds(0.0, Micros(0)))
-                .stands
+                .commit(shard, loan.id, Micros(101), holds(0.0, Micros(0)))
+                .is_valid
         );
     }
 }
 
 #[test]
 fn only_one_shard_at_a_time_borrows_room_on_a_cold_engine() {
-    let mut ledger = Ledger::new(terms(2));
-    let first = ledger.borrow(ShardId(0), Micros(0), &wish(4.0, true), 0);
-    let second = ledger.borrow(ShardId(1), Micros(0), &wish(4.0, true), 0);
+    let mut ledger = LeaseTable::new(terms(2));
+    let first = ledger.acquire(ShardId(0), Micros(0), &wish(4.0, true), 0);
+    let second = ledger.acquire(ShardId(1), Micros(0), &wish(4.0, true), 0);
     assert_eq!((room(&first), room(&second)), (4.0, 0.0));
     assert!(
         ledger
-            .settle(ShardId(0), first.ticket, Micros(1), holds(0.0, Micros(0)))
-            .stands
+            .commit(ShardId(0), first.id, Micros(1), holds(0.0, Micros(0)))
+            .is_valid
     );
-    let second = ledger.borrow(ShardId(1), Micros(2), &wish(4.0, true), 0);
+    let second = ledger.acquire(ShardId(1), Micros(2), &wish(4.0, true), 0);
     assert_eq!(room(&second), 4.0);
 }
 
 #[test]
 fn credit_is_one_for_all_shards() {
-    let mut ledger = Ledger::new(terms(2));
+    let mut ledger = LeaseTable::new(terms(2));
     for (shard, change) in [(0, 0.5), (1, 0.75)] {
-        let loan = ledger.borrow(ShardId(shard), Micros(0), &wish(0.0, false), 0);
+        let loan = ledger.acquire(ShardId(shard), Micros(0), &wish(0.0, false), 0);
         let told = Published {
             class_credit: vec![change, -change],
             tenant_credit: vec![vec![], vec![change]],
@@ -416,36 +416,36 @@
         };
         assert!(
             ledger
-                .settle(ShardId(shard), loan.ticket, Micros(1), told)
-                .stands
+                .commit(ShardId(shard), loan.id, Micros(1), told)
+                .is_valid
         );
     }
-    let loan = ledger.borrow(ShardId(0), Micros(2), &wish(0.0, false), 0);
+    let loan = ledger.acquire(ShardId(0), Micros(2), &wish(0.0, false), 0);
     assert_eq!(loan.siblings.class_credit, [1.25, -1.25]);
     assert_eq!(loan.siblings.tenant_credit, [vec![], vec![1.25]]);
 }
 
 #[test]
 fn what_another_process_holds_counts_for_every_shard_until_it_must_have_ended() {
-    let mut ledger = Ledger::new(terms(2));
+    let mut ledger = LeaseTable::new(terms(2));
     let beside = |threads, until| Published {
         waiting: Vec::new(),
         ..holds(threads, until)
     };
-    ledger.beside(Micros(0), beside(8.0, Micros(900)));
+    ledger.set_peer_process_usage(Micros(0), beside(8.0, Micros(900)));
     for shard in [ShardId(0), ShardId(1)] {
-        let loan = ledger.borrow(shard, Micros(1), &wish(30.0, false), 0);
+        let loan = ledger.acquire(shard, Micros(1), &wish(30.0, false), 0);
         let told = &loan.siblings.engines[0].out;
         assert_eq!((room(&loan), told.threads), (LIMIT - 8.0, 8.0));
         assert_eq!(loan.siblings.classes[0].threads, 8.0);
         assert!(told.groups.contains(&GroupId(7)));
         let nothing = beside(0.0, Micros(0));
-        assert!(ledger.settle(shard, loan.ticket, Micros(2), nothing).stands);
+        assert!(ledger.commit(shard, loan.id, Micros(2), nothing).is_valid);
     }
     // It tells of less, and then nothing more: it may have died without a word.
-    ledger.beside(Micros(3), beside(4.0, Micros(900)));
-    let loan = ledger.borrow(ShardId(0), Micros(4), &wish(30.0, false), 0);
+    ledger.set_peer_process_usage(Micros(3), beside(4.0, Micros(900)));
+    let loan = ledger.acquire(ShardId(0), Micros(4), &wish(30.0, false), 0);
     assert_eq!(room(&loan), LIMIT - 4.0);
-    let loan = ledger.borrow(ShardId(0), Micros(1000), &wish(30.0, false), 0);
+    let loan = ledger.acquire(ShardId(0), Micros(1000), &wish(30.0, false), 0);
     assert_eq!(room(&loan), LIMIT);
 }
--- a/leases/tests/together.rs
+++ b/leases/tests/sharded_gateways.rs
@@ -5,7 +5,7 @@
     Action, AttemptNo, Class, ClassId, Effect, Ended, Engine, EngineId, Event, Gateway, GroupId,
     Kind, KindId, ListKind, Micros, Outcome, Query, RequestId, Settings, Tenant, TenantId, TimerId,
 };
-use sedgebeam_leases::{Ledger, Loan, ShardId, Terms};
+use sedgebeam_leases::{Lease, LeaseTable, LeaseTerms, ShardId};
 use std::collections::{BTreeMap, HashMap};
 
 const TICK: u64 = 5_000;
@@ -109,7 +109,7 @@
 
 struct World {
     shards: Vec<Shard>,
-    ledger: Option<Ledger>,
+    ledger: Option<LeaseTable>,
     now: u64,
     random: Random,
     next_id: u64,
@@ -134,17 +134,17 @@
             woken: false,
             stopped_until: 0,
         };
-        let terms = Terms {
-            shards,
-            lease: ms(250),
-            tick: Micros(TICK),
+        let terms = LeaseTerms {
+            shard_count: shards,
+            lease_duration: ms(250),
+            redistribution_interval: Micros(TICK),
             cold_window: settings().overload_for,
-            credit_cap: sedgebeam_core::CREDIT_CAP,
-            open: 1_000_000,
+            max_credit: sedgebeam_core::CREDIT_CAP,
+            max_open_requests: 1_000_000,
         };
         let mut world = World {
             shards: (0..shards).map(shard).collect(),
-            ledger: (shards > 1).then(|| Ledger::new(terms)),
+            ledger: (shards > 1).then(|| LeaseTable::new(terms)),
             now: 100_000_000,
             random: Random(42),
             next_id: 0,
@@ -261,31 +261,31 @@
         }));
     }
 
-    fn borrow(&mut self, place: usize) -> (usize, Vec<Event>, Option<Loan>) {
+    fn borrow(&mut self, place: usize) -> (usize, Vec<Event>, Option<Lease>) {
         let now = Micros(self.now);
         let shard = &mut self.shards[place];
         shard.woken = false;
         let events = std::mem::take(&mut shard.events);
         let loan = self.ledger.as_mut().map(|ledger| {
             let wish = shard.gateway.wish(now, &events);
-            ledger.borrow(ShardId(place), now, &wish, 0)
+            ledger.acquire(ShardId(place), now, &wish, 0)
         });
         (place, events, loan)
     }
 
-    fn decide(&mut self, place: usize, events: Vec<Event>, loan: Option<Loan>) {
+    fn decide(&mut self, place: usize, events: Vec<Event>, loan: Option<Lease>) {
         let now = Micros(self.now);
         let shard = &mut self.shards[place];
-        let ticket = loan.as_ref().map(|loan| loan.ticket);
+        let ticket = loan.as_ref().map(|loan| loan.id);
         if let Some(loan) = loan {
             shard.gateway.hear(loan.siblings);
         }
         let actions = shard.gateway.handle(now, events);
         if let (Some(ledger), Some(ticket)) = (&mut self.ledger, ticket) {
             let told = shard.gateway.publish();
-            let settled = ledger.settle(ShardId(place), ticket, now, told);
-            assert!(settled.stands);
-            for waiter in settled.wake {
+            let settled = ledger.commit(ShardId(place), ticket, now, told);
+            assert!(settled.is_valid);
+            for waiter in settled.shards_to_wake {
                 self.shards[waiter.0].woken = true;
             }
         }
--- a/src/circle.rs
+++ b/src/circle.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Ended, EngineId};
 use crate::policy::{CROWDED, Gateway};
 use crate::state::{EngineView, Request, mix, prefer};
-use sedgebeam_fleet::circle;
+use sedgebeam_fleet::subset;
 use std::collections::BTreeSet;
 
 /// All engines known, in the order in which every gateway walks them.
@@ -45,7 +45,7 @@
     pub(crate) fn able_of(&self, id: EngineId) -> f64 {
         let engine = self.engines.get(&id);
         let age = engine.and_then(|engine| engine.cold_age(self.now, self.settings.warm_after));
-        age.map_or(1.0, |age| self.settings.warming().able(age))
+        age.map_or(1.0, |age| self.settings.warming().capacity_share(age))
     }
 
     /// This gateway's number among all of them.
@@ -74,12 +74,12 @@
         }
         let ring = &self.surveyed.warm_ring;
         prefer(eligible, |engine| {
-            engine.crowd.stretch(self.now.0) < CROWDED
+            engine.crowd.slowdown(self.now.0) < CROWDED
         });
         let may = |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
         let (me, gateways) = (self.number() as usize, self.settings.gateways as usize);
-        let width = circle::width(self.multiple.rate(), ring.len());
-        let walk = circle::walk(me, gateways, ring.len()).map(|place| ring[place]);
+        let width = subset::subset_size(self.multiple.request_rate(), ring.len());
+        let walk = subset::selection_order(me, gateways, ring.len()).map(|place| ring[place]);
         let taken = walk.filter(|id| may(id).is_ok()).take(width);
         let circle: BTreeSet<EngineId> = taken.collect();
         eligible
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -50,7 +50,7 @@
     /// Tells what it holds and has learned.
     pub fn held_over(&self) -> Held {
         let engines = self.engines.iter().map(|(id, engine)| {
-            let (rests, jammed) = engine.health.rests_handed_over();
+            let (rests, jammed) = engine.health.handover_state();
             EngineHeld {
                 engine: *id,
                 out: Out {
@@ -86,7 +86,7 @@
         Held {
             engines: engines.collect(),
             classes,
-            multiple: self.multiple.handed_over(),
+            multiple: self.multiple.handover_state(),
         }
     }
 
@@ -111,10 +111,10 @@
             if let Some(engine) = self.engines.get_mut(&held.engine) {
                 engine.pace = held.pace;
                 let (rests, jammed) = held.rests_until;
-                engine.health.take_rests((rests.0, jammed.0));
+                engine.health.restore((rests.0, jammed.0));
             }
         }
-        self.multiple.take_over(held.multiple);
+        self.multiple.restore(held.multiple);
     }
 
     /// Gives every request its final answer: whoever ends the process waits no longer.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -9,7 +9,7 @@
 use crate::scale::{OWN_EXCESS, THREADS_PER_CORE, shares};
 use crate::state::*;
 use crate::survey::{Surveyed, bears_on_engines};
-use sedgebeam_fleet::{Multiple, Rests, STRIKES, asking};
+use sedgebeam_fleet::{ConcurrencyLimit, EjectionPolicy, FAILURES_TO_EJECT, probing};
 use std::collections::{BTreeMap, BTreeSet};
 
 // ---- 1. Constants ----
@@ -113,7 +113,7 @@
 
     /// Set aside, or on trial with the trial still out.
     pub(crate) fn rests(&self, now: Micros) -> bool {
-        self.health.rests(now.0, self.attempts_out > 0)
+        self.health.is_ejected(now.0, self.attempts_out > 0)
     }
 }
 
@@ -137,8 +137,8 @@
     pub(crate) seed: u64,
     pub(crate) small_part: bool,
     /// How many times its part of the fleet this gateway may have out.
-    pub(crate) multiple: Multiple,
-    pub(crate) rests: Rests,
+    pub(crate) multiple: ConcurrencyLimit,
+    pub(crate) rests: EjectionPolicy,
     /// Mean worth of what is asked.
     worth: Mean,
     /// Thread time and time of what was answered: their ratio is the threads of a query out.
@@ -245,7 +245,7 @@
     /// How loaded the engine is: by own threads a core; where they tell little, by slow answers too.
     fn load(&self, engine: &EngineView) -> f64 {
         let own = engine.all_threads() / engine.able_cores(self.fleet.pace);
-        let slow = engine.crowd.stretch(self.now.0);
+        let slow = engine.crowd.slowdown(self.now.0);
         own + if self.small_part { slow } else { 0.0 }
     }
 
@@ -293,10 +293,10 @@
             }
         }
         // Light ones hold little and come first on engines: they keep a whole part.
-        let parts = self.multiple.parts(if light { 1.0 } else { 0.0 });
+        let parts = self.multiple.limit(if light { 1.0 } else { 0.0 });
         let draw = self.draw(request.query.id.0);
-        let memory_part =
-            self.fleet.memory_mb * (MEMORY_PART * parts).min(MEMORY_MOST * self.multiple.traffic());
+        let memory_part = self.fleet.memory_mb
+            * (MEMORY_PART * parts).min(MEMORY_MOST * self.multiple.traffic_ratio());
         request.threads <= self.elsewhere.room.0
             && threads + draw * request.threads <= self.fleet.threads * parts
             && (self.settings.memory_line || memory_mb + draw * self.need(request) <= memory_part)
@@ -324,7 +324,7 @@
         }
         self.worth.add(MEAN_GAIN, settings.worth);
         self.usual[class].taken += 1.0;
-        self.multiple.asked(self.now.0);
+        self.multiple.record_request(self.now.0);
         if let Some(key) = query.key.filter(|_| settings.in_key_order) {
             self.keys.entry(key).or_default().waiting.push_back(id);
         }
@@ -375,7 +375,7 @@
             self.settings.probe_price,
             self.settings.classes[class].worth,
         );
-        asking::asked(price, worth, self.worth.0.unwrap_or(worth))
+        probing::probe_count(price, worth, self.worth.0.unwrap_or(worth))
     }
 
     /// Refuses at once what waits beyond its class's bound once all ready engines have been tried, the newest
@@ -500,7 +500,7 @@
                 return None;
             }
             // What can't ask others takes an engine unheard of over an asked one that has no slot.
-            if !asking::again(self.asked(request.class)) {
+            if !probing::may_probe_repeatedly(self.asked(request.class)) {
                 eligible.retain(|engine| self.has_slot(engine, request));
             }
             prefer(&mut eligible, fresh);
@@ -567,7 +567,7 @@
         }
         if well {
             engine.heard_at = self.now;
-            if engine.health.heard() {
+            if engine.health.mark_responsive() {
                 let log = format!("engine {} is back", id.0);
                 self.actions.push(Action::Log(log));
             }
@@ -584,7 +584,10 @@
     fn strike(&mut self, id: EngineId, strikes: u32, why: &str) -> Option<()> {
         self.surveyed.outdated = true;
         let engine = self.engines.get_mut(&id)?;
-        if engine.health.strike(strikes, self.now.0, self.rests) {
+        if engine
+            .health
+            .record_failures(strikes, self.now.0, self.rests)
+        {
             let log = format!("engine {} set aside: {why}", id.0);
             self.actions.push(Action::Log(log));
         }
@@ -605,18 +608,18 @@
         let draw = self.draw(id.0 ^ self.now.0);
         self.surveyed.outdated = true;
         let engine = self.engines.get_mut(&id)?;
-        if engine.health.jammed(self.now.0, self.rests, draw) {
+        if engine.health.record_stall(self.now.0, self.rests, draw) {
             let log = format!("engine {} set aside: what runs there hardly moves", id.0);
             self.actions.push(Action::Log(log));
         }
-        self.multiple.follow(true);
+        self.multiple.adjust(true);
         Some(())
     }
 
     /// Whether the engine has answered others quickly since an attempt was sent to it.
     fn answers_quickly(&self, id: EngineId, sent_at: Micros) -> bool {
         let engine = self.engines.get(&id);
-        engine.is_some_and(|engine| engine.health.has_answered_quickly_since(sent_at.0))
+        engine.is_some_and(|engine| engine.health.has_responded_fast_since(sent_at.0))
     }
 
     /// A draw from 0 to 1 that differs among gateways.
@@ -636,14 +639,14 @@
             let earlier =
                 earlier.filter(|a| a.engine != to && a.outcome.as_ref().is_some_and(failed));
             faulty.extend(earlier.map(|attempt| attempt.engine));
-            self.engines.get_mut(&to)?.health.served(self.now.0);
+            self.engines.get_mut(&to)?.health.record_success(self.now.0);
         } else if self.settings.classes[request.class].effect == Effect::Once {
             faulty.push(to);
         }
         for id in faulty {
             let engine = self.engines.get_mut(&id);
-            if engine.is_some_and(|engine| engine.health.fault()) {
-                self.strike(id, STRIKES, "fails what others can do");
+            if engine.is_some_and(|engine| engine.health.record_engine_error()) {
+                self.strike(id, FAILURES_TO_EJECT, "fails what others can do");
             }
         }
         Some(())
@@ -662,7 +665,7 @@
     /// Learns from how long an answer took.
     fn learn(&mut self, request: RequestId, engine: EngineId, end: &Ended) -> Option<()> {
         self.multiple
-            .follow(self.tells_of_a_crowd(self.requests.get(&request)?, end));
+            .adjust(self.tells_of_a_crowd(self.requests.get(&request)?, end));
         let request = self.requests.get(&request)?;
         let stretch = self.stretch(request, end);
         let usual = &mut self.usual[request.class];
@@ -679,9 +682,9 @@
         usual.spilled *= 1.0 - SPILL_DECAY;
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.pace += PACE_GAIN * (away - engine.pace);
-            engine.crowd.add(self.now.0, stretch);
+            engine.crowd.record(self.now.0, stretch);
             if stretch < CROWDED {
-                engine.health.answered_quickly(self.now.0);
+                engine.health.record_fast_response(self.now.0);
             }
         }
         Some(())
@@ -757,7 +760,7 @@
         self.surveyed.outdated |= engine.rests(now) != rested;
         self.elsewhere.room.0 -= request.threads;
         engine.sent(now, window, work);
-        engine.rights.used(request.class);
+        engine.rights.consume(request.class);
         if let (Some(budget), false) = (self.settings.attempt_budget, request.attempts.is_empty()) {
             self.extra.add(now, budget.window);
         }
@@ -793,7 +796,7 @@
         match end.outcome {
             // One of many gateways comes back so rarely that the second refusal would be another's.
             Outcome::ConnectFailed if self.small_part => {
-                self.strike(to, STRIKES, "can't be reached")
+                self.strike(to, FAILURES_TO_EJECT, "can't be reached")
             }
             Outcome::ConnectFailed => self.strike(to, 1, "refuses connections"),
             Outcome::Reset | Outcome::Error | Outcome::Ok => {
@@ -805,7 +808,7 @@
         let well = matches!(end.outcome, Outcome::Ok | Outcome::Full);
         self.heard(to, well, end.load);
         match end.outcome {
-            Outcome::Full | Outcome::TimedOut => self.multiple.follow(true),
+            Outcome::Full | Outcome::TimedOut => self.multiple.adjust(true),
             Outcome::Ok => self.learn(end.request, to, &end)?,
             _ => {}
         }
@@ -907,7 +910,7 @@
                 .and_then(|()| self.replan(id, number)),
             Note::Progress(done) if self.bad_plan(request, attempt, Some(done)) => {
                 if !self.answers_quickly(to, attempt.sent_at) {
-                    self.multiple.follow(true);
+                    self.multiple.adjust(true);
                 }
                 self.replan(id, number)
             }
@@ -1023,7 +1026,7 @@
             }
             // The first of a line asks others, when those it asked had no slot.
             let first = self.queues.lines[request.class][request.tenant].front() == Some(id);
-            let first = first && asking::again(self.asked(request.class));
+            let first = first && probing::may_probe_repeatedly(self.asked(request.class));
             if first && request.asked_at.is_some_and(|at| now >= at + FRESH) {
                 again.push(*id);
             }
@@ -1048,7 +1051,7 @@
         }
         let common = 2 * silent.len() > self.engines.len();
         for engine in silent.into_iter().filter(|_| !common) {
-            self.strike(engine, STRIKES, "is silent");
+            self.strike(engine, FAILURES_TO_EJECT, "is silent");
         }
         for (id, number, to, sent_at, _) in lost.into_iter().filter(|lost| !(common && lost.4)) {
             self.jammed(to, sent_at);
--- a/src/retune.rs
+++ b/src/retune.rs
@@ -5,7 +5,7 @@
 use crate::policy::Gateway;
 use crate::scale::shares;
 use crate::state::{Credit, Usual};
-use sedgebeam_fleet::cold::Rights;
+use sedgebeam_fleet::slow_start::AdmissionTokens;
 
 impl Settings {
     /// Attempts that a request may have.
@@ -76,15 +76,15 @@
         // place between two rights is another, as at a start: the places of before lie close together.
         let (me, other) = (settings.me, old.warming() != settings.warming());
         for engine in self.engines.values_mut() {
-            engine.rights.begin_anew();
+            engine.rights.reset_baseline();
             if other || old.me != me {
-                engine.rights = Rights::default();
+                engine.rights = AdmissionTokens::default();
                 self.started_at = Some(self.now);
             }
         }
         self.surveyed.outdated = true;
         self.small_part = settings.small_part();
-        self.multiple.retune(settings.multiple());
+        self.multiple.reconfigure(settings.multiple());
         self.rests = settings.rests();
     }
 }
--- a/src/scale.rs
+++ b/src/scale.rs
@@ -1,8 +1,8 @@
 //! What follows from the settings alone: the size of the fleet against that of its queries.
 
 use crate::interface::{Class, Settings, Tenant};
-use sedgebeam_fleet::cold::Warming;
-use sedgebeam_fleet::{Multiple, Rests};
+use sedgebeam_fleet::slow_start::SlowStart;
+use sedgebeam_fleet::{ConcurrencyLimit, EjectionPolicy};
 
 /// Threads out a core, over all gateways, that an engine under pressure gets (DESIGN).
 pub(crate) const THREADS_PER_CORE: f64 = 2.0;
@@ -42,13 +42,13 @@
     }
 
     /// How much of the fleet a gateway may have out. Engines with a line for memory bound themselves what they run.
-    pub(crate) fn multiple(&self) -> Multiple {
+    pub(crate) fn multiple(&self) -> ConcurrencyLimit {
         let bounds = if self.memory_line {
             (OWN_EXCESS, MOST_PARTS)
         } else {
             (LEAST_PART, OWN_EXCESS)
         };
-        Multiple::new(OWN_EXCESS, bounds, self.usual_rate())
+        ConcurrencyLimit::new(OWN_EXCESS, bounds, self.usual_rate())
     }
 
     /// The most of that, for a gateway whose part is so many threads: what engines bear of all together, and what its own
@@ -76,22 +76,22 @@
         threads.fold(1.0, f64::max)
     }
 
-    pub(crate) fn warming(&self) -> Warming {
-        Warming {
-            start: self.start_capacity,
-            warm_after: self.warm_after.0,
-            multiple: self.fall_multiple,
-            window: self.overload_for.0,
-            gateways: self.all_gateways(),
+    pub(crate) fn warming(&self) -> SlowStart {
+        SlowStart {
+            initial_capacity: self.start_capacity,
+            warm_up_us: self.warm_after.0,
+            overload_factor: self.fall_multiple,
+            window_us: self.overload_for.0,
+            gateway_count: self.all_gateways(),
         }
     }
 
     /// Rests of engines that are tried with the lightest query.
-    pub(crate) fn rests(&self) -> Rests {
+    pub(crate) fn rests(&self) -> EjectionPolicy {
         let work = |class: &Class| class.threads.max(1.0) * class.on_time.0 as f64 / 1e6;
         let classes = self.in_use().map(|place| &self.classes[place]);
         let lightest = classes.map(work).fold(f64::MAX, f64::min) * LIGHTEST_PART;
         let (gateways, cores) = (self.all_gateways(), self.most_cores());
-        Rests::new(gateways, cores, lightest, self.small_part())
+        EjectionPolicy::new(gateways, cores, lightest, self.small_part())
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,8 +3,8 @@
 use crate::interface::*;
 use crate::parts::EngineShare;
 use sedgebeam_fleet::Health;
-use sedgebeam_fleet::circle::Crowd;
-use sedgebeam_fleet::cold::Rights;
+use sedgebeam_fleet::slow_start::AdmissionTokens;
+use sedgebeam_fleet::subset::Congestion;
 use std::collections::VecDeque;
 
 pub(crate) struct Attempt {
@@ -128,9 +128,9 @@
     pub heard_at: Micros,
     pub health: Health,
     /// How slow its answers were lately.
-    pub crowd: Crowd,
+    pub crowd: Congestion,
     /// Rights to send to it while it is cold, where a gateway's part is under one query.
-    pub rights: Rights,
+    pub rights: AdmissionTokens,
     /// Work sent in the last cold window.
     pub sends: VecDeque<(Micros, f64)>,
     /// Work sent that the siblings of this part have not been told of.
@@ -178,8 +178,8 @@
         (self.cores, self.memory_mb) = (kind.cores.max(1.0), kind.memory_mb);
         if entry.started_at > self.entry.started_at {
             (self.told, self.pace) = (None, 0.0);
-            (self.health, self.rights) = (Health::default(), Rights::default());
-            self.crowd = Crowd::default();
+            (self.health, self.rights) = (Health::default(), AdmissionTokens::default());
+            self.crowd = Congestion::default();
         }
         self.entry = entry;
     }
--- a/src/survey.rs
+++ b/src/survey.rs
@@ -28,7 +28,7 @@
 }
 
 fn rests_until(engine: &EngineView) -> Micros {
-    Micros(engine.health.rests_until(engine.attempts_out > 0))
+    Micros(engine.health.ejected_until(engine.attempts_out > 0))
 }
 
 impl Gateway {
@@ -43,7 +43,7 @@
             self.look_at_engines();
         }
         let most = self.settings.most_parts(self.fleet.threads);
-        self.multiple.bound(most);
+        self.multiple.set_max(most);
     }
 
     fn look_at_engines(&mut self) {
--- a/src/warming.rs
+++ b/src/warming.rs
@@ -3,7 +3,7 @@
 use crate::interface::Micros;
 use crate::policy::Gateway;
 use crate::state::{Attempt, EngineView, Request, mix};
-use sedgebeam_fleet::cold;
+use sedgebeam_fleet::slow_start;
 
 /// Share of the gateway's part of a cold engine's budget that is used: estimates scatter.
 const COLD_MARGIN: f64 = 0.5;
@@ -59,7 +59,7 @@
         }
         let settled = self.started_at.is_some_and(|at| now >= at + window);
         if self.by_rights() {
-            return settled && engine.rights.open(request.class, now.0);
+            return settled && engine.rights.is_available(request.class, now.0);
         }
         let able = engine.cores * settings.start_capacity * window.0 as f64 / 1e6;
         let part = settings.fall_multiple * able * COLD_MARGIN / settings.all_gateways();
@@ -83,7 +83,7 @@
             true => 0.0,
             false => {
                 let part = (usual.taken + 1.0) / taken;
-                part * work * warming.met(part * self.multiple.rate())
+                part * work * warming.use_probability(part * self.multiple.request_rate())
             }
         });
         let asked: Vec<f64> = asked.collect();
@@ -95,13 +95,14 @@
             let Some(age) = engine.cold_age(now, warm_after) else {
                 continue;
             };
-            let granted = warming.granted(age, engine.cores);
+            let granted = warming.granted_work(age, engine.cores);
             let salt = engine.entry.id.0;
-            let phase =
-                |class: usize| cold::phase(me, warming.gateways, mix(salt ^ mix(class as u64)));
+            let phase = |class: usize| {
+                slow_start::phase(me, warming.gateway_count, mix(salt ^ mix(class as u64)))
+            };
             engine
                 .rights
-                .grow(now.0, granted, &warming, &classes, phase);
+                .refill(now.0, granted, &warming, &classes, phase);
         }
     }
 }
