--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -46,12 +46,12 @@
         let name = match outcome {
             Outcome::Ok => "ok",
             Outcome::Error => "error",
-            Outcome::Full => "full",
+            Outcome::Rejected => "full",
             Outcome::TimedOut => "timed_out",
             Outcome::ConnectFailed => "connect_failed",
             Outcome::Reset => "reset",
             Outcome::Cancelled => "cancelled",
-            Outcome::Moot => "moot",
+            Outcome::NotSent => "moot",
         };
         *self.attempts.entry(name).or_default() += 1;
     }
@@ -149,7 +149,7 @@
         let row = |tenant: &Tenant| TenantRow {
             name: tenant.name.clone(),
             portion: tenant.share,
-            allowance_per_s: tenant.per_second,
+            allowance_per_s: tenant.requests_per_second,
         };
         Told::Tenants(self.settings.tenants.iter().map(row).collect())
     }
--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -5,8 +5,8 @@
 
 use super::{Broker, EngineBox, post};
 use sedgebeam_core::{
-    AttemptNo, CellId, Engine, EngineId, EngineState, Event, Key, ListKind, Load, Micros, Outcome,
-    RequestId,
+    AttemptNo, CellId, Engine, EngineId, EngineState, Event, Key, ListKind, LoadReport, Micros,
+    Outcome, RequestId,
 };
 use sedgebeam_port::{Engines, Listing, Probe, Reports, Resting, Target, ToEngine};
 use sedgebeam_settings::micros;
@@ -252,10 +252,10 @@
 fn number_in(uid: &str) -> u64 {
     let told = uid.rsplit('-').next();
     let told = told.and_then(|hex| u64::from_str_radix(hex, 16).ok());
-    told.unwrap_or_else(|| Key::of(uid).0)
+    told.unwrap_or_else(|| Key::from_name(uid).0)
 }
 
-pub(super) fn probed(probe: Probe) -> (Outcome, Option<Load>) {
+pub(super) fn probed(probe: Probe) -> (Outcome, Option<LoadReport>) {
     match probe {
         Probe::Up(load) => (Outcome::Ok, load),
         Probe::Down => (Outcome::Error, None),
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -15,8 +15,8 @@
 use parts::Part;
 use requests::{GivenUp, Open, Out};
 use sedgebeam_core::{
-    Action, AttemptNo, Effect, Ended, EngineId, Event, Gateway, Held, Key, Micros, Outcome,
-    Published, Query, RequestId, Settings, TimerId,
+    Action, AttemptEnded, AttemptNo, Effect, EngineId, Event, Gateway, HandoverState, Key, Micros,
+    Outcome, Query, RequestId, Settings, ShardUsage, TimerId,
 };
 use sedgebeam_operation::{Figures, figures};
 use sedgebeam_port::clock::{Clock, duration, span};
@@ -138,19 +138,19 @@
 }
 
 /// What other processes hold, as a shard would tell it: classes by their places here.
-fn abroad(held: &Held, classes: &[Arc<str>], until: Micros) -> Published {
+fn abroad(held: &HandoverState, classes: &[Arc<str>], until: Micros) -> ShardUsage {
     let engines = held.engines.iter();
     let class = |name: &Arc<str>| {
         let held = held.classes.iter().find(|held| *held.name == **name);
-        held.map(|held| held.out).unwrap_or_default()
+        held.map(|held| held.usage).unwrap_or_default()
     };
-    Published {
+    ShardUsage {
         engines: engines
-            .map(|held| (held.engine, held.out.clone()))
+            .map(|held| (held.engine, held.usage.clone()))
             .collect(),
         classes: classes.iter().map(class).collect(),
-        until,
-        ..Published::default()
+        all_ended_by: until,
+        ..ShardUsage::default()
     }
 }
 
@@ -252,7 +252,7 @@
             match action {
                 Action::Send {
                     request, engine, ..
-                } if !stands => self.not_sent(request, engine, Outcome::Moot, now),
+                } if !stands => self.not_sent(request, engine, Outcome::NotSent, now),
                 action => self.act(action, now),
             }
         }
@@ -267,7 +267,7 @@
 
     /// Tells the figures what is believed of the engines, where that has changed.
     fn tell_engines(&mut self) {
-        let avoided = self.gateway.avoided().into_iter();
+        let avoided = self.gateway.ejected_engines().into_iter();
         let engines = figures::Engines {
             discovered: self.engines.len(),
             avoided: avoided.map(|(id, until)| (id.0, until.0)).collect(),
@@ -286,10 +286,10 @@
         let Some(part) = self.part.clone() else {
             return (self.gateway.handle(at, events), true);
         };
-        let wish = self.gateway.wish(at, &events);
+        let wish = self.gateway.demand(at, &events);
         let loan = part.borrow(at, &wish, self.open.len());
         self.most_open = loan.open;
-        self.gateway.hear(loan.siblings);
+        self.gateway.update_siblings(loan.siblings);
         let actions = self.gateway.handle(at, events);
         let told = self.gateway.publish();
         let stands = part.settle(loan.ticket, self.clock.micros(Instant::now()), told);
@@ -310,7 +310,7 @@
 
     fn act(&mut self, action: Action, now: Instant) {
         match action {
-            Action::Terms {
+            Action::AttemptResources {
                 request,
                 memory_mb,
                 priority,
@@ -338,7 +338,7 @@
             }
             Action::Probe { engine } => self.probe(engine),
             // The change log is followed by itself.
-            Action::Follow => {}
+            Action::SubscribeToEngineList => {}
             Action::Log(text) => log::info!("{text}"),
         }
     }
@@ -369,15 +369,15 @@
             ToBroker::List(listing, targets) => self.list(listing, targets),
             ToBroker::HeldOver(reply) => {
                 // Whoever asked may have gone.
-                let _ = reply.send(self.gateway.held_over());
+                let _ = reply.send(self.gateway.handover_state());
             }
             ToBroker::TakeOver(held) => {
                 // The gateway must know of the engines first.
                 self.batch(Instant::now());
-                self.gateway.take_over(&held);
+                self.gateway.restore(&held);
             }
             ToBroker::Beside(held, may_warm) => self.beside(&held, may_warm),
-            ToBroker::LastCall => self.events.push(Event::LastCall),
+            ToBroker::LastCall => self.events.push(Event::Shutdown),
             // Whoever told of them waits for the sender to be dropped.
             ToBroker::Retune(tuning, _held) => self.retune(&tuning),
             ToBroker::Admin(asked, reply) => {
@@ -399,7 +399,7 @@
         if let Some(part) = &self.part {
             part.retune(&self.settings, self.most_open);
         }
-        self.gateway.retune(tuning.settings.clone());
+        self.gateway.reconfigure(tuning.settings.clone());
         // Kinds and zones may stand at other places now.
         let targets = self.engines.values().map(|known| known.target.clone());
         self.list(Listing::Complete, targets.collect());
@@ -407,13 +407,13 @@
 
     /// Other processes of this dispatcher hold so much. Of several shards the ledger tells each what the others
     /// hold, and what other processes do; each shard hears of those and tells it the same.
-    fn beside(&mut self, held: &Held, may_warm: bool) {
-        let (now, nothing) = (self.clock.micros(Instant::now()), Held::default());
+    fn beside(&mut self, held: &HandoverState, may_warm: bool) {
+        let (now, nothing) = (self.clock.micros(Instant::now()), HandoverState::default());
         if let Some(part) = &self.part {
             part.beside(now, abroad(held, &self.class_names, now + BESIDE_LASTS));
-            self.gateway.beside(now, &nothing, may_warm);
+            self.gateway.set_peer_process_usage(now, &nothing, may_warm);
         } else {
-            self.gateway.beside(now, held, may_warm);
+            self.gateway.set_peer_process_usage(now, held, may_warm);
         }
     }
 
@@ -456,12 +456,12 @@
             id,
             class: request.class,
             tenant,
-            key: request.order_key.as_deref().map(Key::of),
+            key: request.order_key.as_deref().map(Key::from_name),
             // Set when the gateway is told.
             remaining: Micros(0),
             work: request.work,
             memory_mb: request.memory_mb,
-            group: request.group,
+            table_group: request.group,
             is_retry: request.is_retry,
         }));
         let slack = duration(self.settings.answer_slack);
@@ -562,7 +562,7 @@
         let moot = open.reply.is_none() || now >= open.deadline || spent || doubled;
         let Some(known) = known.filter(|_| !moot) else {
             let outcome = if moot {
-                Outcome::Moot
+                Outcome::NotSent
             } else {
                 Outcome::ConnectFailed
             };
@@ -617,15 +617,15 @@
     ) {
         self.counters.ended(outcome);
         let open = self.open.get(&id);
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::Ended(AttemptEnded {
             request: id,
             attempt: number,
             engine,
             outcome,
-            took: span(now - sent),
-            finished: open.is_none_or(|open| open.reply.is_none()),
+            elapsed: span(now - sent),
+            request_finished: open.is_none_or(|open| open.reply.is_none()),
             work: None,
-            load: None,
+            load_report: None,
         }));
         self.settle(id);
     }
@@ -717,9 +717,9 @@
         };
         let outcome = match end {
             End::Ok { page, work, load } => return self.served(id, number, out, page, work, load),
-            End::Busy => Outcome::Full,
+            End::Busy => Outcome::Rejected,
             End::Error => Outcome::Error,
-            End::Void => Outcome::Moot,
+            End::Void => Outcome::NotSent,
             End::ConnectFailed => Outcome::ConnectFailed,
             End::Reset => Outcome::Reset,
         };
@@ -734,7 +734,7 @@
         out: Out,
         page: Page,
         work: Option<Micros>,
-        load: Option<sedgebeam_core::Load>,
+        load: Option<sedgebeam_core::LoadReport>,
     ) {
         let Some(open) = self.open.get(&id) else {
             return;
@@ -742,15 +742,15 @@
         let delivery = Delivery::new(page, open.deadline, out.mailbox, id, number);
         self.conclude(id, Answer::Rows(delivery));
         self.counters.ended(Outcome::Ok);
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::Ended(AttemptEnded {
             request: id,
             attempt: number,
             engine: out.engine,
             outcome: Outcome::Ok,
-            took: span(out.sent.elapsed()),
-            finished: true,
+            elapsed: span(out.sent.elapsed()),
+            request_finished: true,
             work: work.filter(|_| self.names.tells_cost),
-            load,
+            load_report: load,
         }));
     }
 }
--- a/broker/src/parts.rs
+++ b/broker/src/parts.rs
@@ -1,6 +1,6 @@
 //! A broker as one shard of several: what it shares with its siblings.
 
-use sedgebeam_core::{EngineId, Micros, Published, RequestId, Settings, Wish};
+use sedgebeam_core::{Demand, EngineId, Micros, RequestId, Settings, ShardUsage};
 use sedgebeam_leases::{Ledger, Loan, Settled, ShardId, Terms, Ticket};
 use sedgebeam_port::Desk;
 use std::collections::{BTreeSet, HashMap};
@@ -44,8 +44,8 @@
         shards,
         lease: LEASE,
         tick: settings.tick,
-        cold_window: settings.overload_for,
-        credit_cap: sedgebeam_core::CREDIT_CAP,
+        cold_window: settings.overload_window,
+        credit_cap: sedgebeam_core::MAX_CREDIT,
         open,
     }
 }
@@ -109,16 +109,16 @@
     }
 
     /// What other processes of this dispatcher hold.
-    pub fn beside(&self, now: Micros, told: Published) {
+    pub fn beside(&self, now: Micros, told: ShardUsage) {
         lock(&self.shared.ledger).beside(now, told);
     }
 
-    pub fn borrow(&self, now: Micros, wish: &Wish, open: usize) -> Loan {
+    pub fn borrow(&self, now: Micros, wish: &Demand, open: usize) -> Loan {
         lock(&self.shared.ledger).borrow(self.shard, now, wish, open)
     }
 
     /// Whether what was decided may be carried out.
-    pub fn settle(&self, ticket: Ticket, now: Micros, told: Published) -> bool {
+    pub fn settle(&self, ticket: Ticket, now: Micros, told: ShardUsage) -> bool {
         let settled = lock(&self.shared.ledger).settle(self.shard, ticket, now, told);
         let Settled { stands, wake } = settled;
         self.shared.wake(&wake);
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use bytes::Bytes;
-use sedgebeam_core::{ClassId, GroupId};
+use sedgebeam_core::{ClassId, TableGroupId};
 use sedgebeam_port::{Resting, Target};
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
@@ -80,7 +80,7 @@
         deadline: Instant::now() + Duration::from_secs(9),
         work: Micros(0),
         memory_mb: 0.0,
-        group: GroupId(0),
+        group: TableGroupId(0),
         statement: Bytes::from_static(b"INSERT"),
         is_retry: false,
         token: None,
@@ -116,7 +116,7 @@
     fn outcomes(&mut self) -> Vec<(u32, Outcome, bool)> {
         let ended = std::mem::take(&mut self.broker.events).into_iter();
         let ended = ended.filter_map(|event| match event {
-            Event::Ended(ended) => Some((ended.attempt.0, ended.outcome, ended.finished)),
+            Event::Ended(ended) => Some((ended.attempt.0, ended.outcome, ended.request_finished)),
             _ => None,
         });
         ended.collect()
@@ -147,9 +147,9 @@
 fn each_end_of_an_attempt_is_one_outcome() {
     let cases = [
         (ok(), Outcome::Ok, true),
-        (End::Busy, Outcome::Full, false),
+        (End::Busy, Outcome::Rejected, false),
         (End::Error, Outcome::Error, false),
-        (End::Void, Outcome::Moot, false),
+        (End::Void, Outcome::NotSent, false),
         (End::ConnectFailed, Outcome::ConnectFailed, false),
         (End::Reset, Outcome::Reset, false),
     ];
@@ -199,7 +199,7 @@
         twice.send();
         assert_eq!(
             twice.outcomes(),
-            [(1, Outcome::Moot, false)],
+            [(1, Outcome::NotSent, false)],
             "one is out already"
         );
 
@@ -213,16 +213,16 @@
                 End::Busy,
             );
         }
-        let full = |number| (number, Outcome::Full, false);
+        let full = |number| (number, Outcome::Rejected, false);
         assert_eq!(
             spent.outcomes(),
-            [full(0), full(1), full(2), (3, Outcome::Moot, false)]
+            [full(0), full(1), full(2), (3, Outcome::NotSent, false)]
         );
 
         let mut over = bench();
         over.broker.client_left(ID, Failure::Cancelled);
         over.send();
-        assert_eq!(over.outcomes(), [(0, Outcome::Moot, true)]);
+        assert_eq!(over.outcomes(), [(0, Outcome::NotSent, true)]);
         assert!(over.asked().is_empty());
 
         let mut late = bench();
@@ -233,7 +233,7 @@
             None,
             Instant::now() + Duration::from_secs(10),
         );
-        assert_eq!(late.outcomes(), [(0, Outcome::Moot, false)]);
+        assert_eq!(late.outcomes(), [(0, Outcome::NotSent, false)]);
     });
 }
 
@@ -375,7 +375,7 @@
         bench.broker.open[&ID].cancelled.cancel();
         bench.send();
         assert!(bench.asked().is_empty());
-        assert_eq!(bench.outcomes(), [(0, Outcome::Moot, true)]);
+        assert_eq!(bench.outcomes(), [(0, Outcome::NotSent, true)]);
         let answer = bench.answer.try_recv().expect("an answer");
         assert!(matches!(answer, Answer::Failed(Failure::Cancelled)));
         bench.broker.take(ToBroker::ClientLeft(ID));
@@ -537,7 +537,7 @@
             other => panic!("no attempt, but {other:?}"),
         };
         let act = |bench: &mut Bench, memory_mb| {
-            let terms = Action::terms(ID, memory_mb, 1);
+            let terms = Action::attempt_resources(ID, memory_mb, 1);
             bench.broker.act(terms, Instant::now());
         };
         act(&mut bench, 96.0);
@@ -614,7 +614,7 @@
             assert_eq!(bench.asked(), ["Send", "Abort"]);
             assert_eq!(bench.outcomes(), []);
             bench.send();
-            assert_eq!(bench.outcomes(), [(1, Outcome::Moot, false)]);
+            assert_eq!(bench.outcomes(), [(1, Outcome::NotSent, false)]);
             assert!(bench.asked().is_empty());
             bench.broker.take(given_up(0));
             bench.broker.take(given_up(0));
--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/beside.rs
@@ -7,7 +7,7 @@
 pub use folder::{Folder, Place};
 
 use folder::unix_now;
-use sedgebeam_core::{Held, Micros, Tenant};
+use sedgebeam_core::{HandoverState, Micros, Tenant};
 use sedgebeam_fronts::places::Places;
 use sedgebeam_handover::{Freshness, Life, Pair, Phase, Share, Stated};
 use sedgebeam_operation::Orders;
@@ -166,7 +166,7 @@
         Member::Waiting(place) => {
             // As beside one that sends to cold engines and has half of all limits.
             left.send_replace(Others::MAYBE);
-            own.desk.beside(Held::default(), false).await;
+            own.desk.beside(HandoverState::default(), false).await;
             (place.join_at_last().await, None)
         }
     };
@@ -254,7 +254,9 @@
     async fn tell_brokers(&self) {
         let now = self.own.now();
         let told = self.seen.iter().filter_map(|(_, share)| share.as_ref());
-        let held = told.fold(Held::default(), |sum, share| sum.and(share.held_at(now)));
+        let held = told.fold(HandoverState::default(), |sum, share| {
+            sum.merge(share.held_at(now))
+        });
         self.own.desk.beside(held, self.pair.may_warm()).await;
     }
 
@@ -268,7 +270,7 @@
     }
 
     fn pause(&mut self) -> Duration {
-        self.seed = sedgebeam_core::mix(self.seed);
+        self.seed = sedgebeam_core::splitmix64(self.seed);
         let draw = 2.0 * (self.seed as f64 / u64::MAX as f64) - 1.0;
         LOOK_EVERY.mul_f64(1.0 + SPREAD * draw)
     }
@@ -277,7 +279,7 @@
 /// Has brokers begin with what the administration had set before.
 pub async fn set_again(desk: &Desk, drained: Vec<String>, tenants: Vec<Tenant>) {
     let tenants = tenants.into_iter();
-    let tenants = tenants.map(|t| Asked::SetTenant(t.name, t.share, t.per_second));
+    let tenants = tenants.map(|t| Asked::SetTenant(t.name, t.share, t.requests_per_second));
     let drains = drained.into_iter().map(|uid| Asked::Drain(uid, true));
     for asked in drains.chain(tenants) {
         if let Err(denied) = desk.ask(asked).await {
--- a/dispatcher/src/serve/listeners.rs
+++ b/dispatcher/src/serve/listeners.rs
@@ -112,7 +112,7 @@
             alive: self.alive.clone(),
             places,
             // Two processes of one dispatcher may have one seed, and a client's cancel may come to either.
-            last_key: sedgebeam_core::mix(config.seed ^ sedgebeam_core::mix(began.0)),
+            last_key: sedgebeam_core::splitmix64(config.seed ^ sedgebeam_core::splitmix64(began.0)),
         };
         let newcomers_are_ours = config.passed.is_none();
         let accepting = sessions.accept(listener, self.duty.subscribe(), newcomers_are_ours);
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -123,7 +123,7 @@
         let (serving, key) = (self.serving.clone(), self.next_key());
         let leave = self
             .staying
-            .newcomer(sedgebeam_core::mix(key.0) as f64 / u64::MAX as f64);
+            .newcomer(sedgebeam_core::splitmix64(key.0) as f64 / u64::MAX as f64);
         let alive = self.alive.clone();
         let several = self.crew.is_several();
         let (_, worker) = self.crew.place();
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -2,7 +2,7 @@
 //! test plays.
 
 use crate::pg_client::{query, startup, statement};
-use sedgebeam_core::{ClassId, GroupId, Micros, RequestId};
+use sedgebeam_core::{ClassId, Micros, RequestId, TableGroupId};
 use sedgebeam_fronts::leave::Staying;
 use sedgebeam_fronts::places::{Places, Standing};
 use sedgebeam_fronts::{Shared, pg};
@@ -199,7 +199,7 @@
             deadline: Instant::now() + HANGS,
             work: Micros(0),
             memory_mb: 0.0,
-            group: GroupId(0),
+            group: TableGroupId(0),
             statement: "SELECT".into(),
             is_retry: false,
             token: None,
--- a/dispatcher/tests/scenarios/operation.rs
+++ b/dispatcher/tests/scenarios/operation.rs
@@ -2,7 +2,7 @@
 
 use crate::pg_client;
 use crate::stage::Stage;
-use sedgebeam_core::mix;
+use sedgebeam_core::splitmix64;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::TcpStream;
@@ -350,7 +350,7 @@
 
 /// A settings text of some classes, the dearer ones under other names from time to time.
 fn retuned(config: &str, turn: u64) -> String {
-    let draw = mix(turn);
+    let draw = splitmix64(turn);
     let named = |name: &str, other: u64| format!(r#""name": "{name}-{}""#, other % 4);
     config
         .replace(r#""name": "report""#, &named("report", draw))
@@ -370,7 +370,7 @@
 
 /// The same with something wrong in it.
 fn broken(config: &str, turn: u64) -> String {
-    let at = mix(turn) as usize;
+    let at = splitmix64(turn) as usize;
     match turn % 4 {
         0 => config[..at % config.len()].to_string(),
         1 => config.replace("give_up", "gives_up"),
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -3,7 +3,7 @@
 use crate::stage::{SETTINGS, Stage, folder};
 use sedgebeam::config::{self, Config, Environment};
 use sedgebeam::crew::Crew;
-use sedgebeam_core::{AttemptNo, ClassId, GroupId, Micros, RequestId};
+use sedgebeam_core::{AttemptNo, ClassId, Micros, RequestId, TableGroupId};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{
@@ -260,7 +260,7 @@
             work: Micros(1000),
             memory_mb: 1.0,
             // Each load has a group of its own: none waits for another.
-            group: GroupId(id),
+            group: TableGroupId(id),
             statement: "SELECT".into(),
             is_retry: false,
             token: None,
--- a/dispatcher/tests/soak/world.rs
+++ b/dispatcher/tests/soak/world.rs
@@ -19,11 +19,11 @@
 
 impl Draws {
     pub fn new(seed: u64) -> Draws {
-        Draws(sedgebeam_core::mix(seed))
+        Draws(sedgebeam_core::splitmix64(seed))
     }
 
     pub fn next(&mut self) -> u64 {
-        self.0 = sedgebeam_core::mix(self.0);
+        self.0 = sedgebeam_core::splitmix64(self.0);
         self.0
     }
 
--- a/dispatcher/tests/under_load.rs
+++ b/dispatcher/tests/under_load.rs
@@ -30,7 +30,7 @@
 const PACE: Duration = Duration::from_millis(15);
 
 fn draw(seed: &mut u64) -> u64 {
-    *seed = sedgebeam_core::mix(*seed);
+    *seed = sedgebeam_core::splitmix64(*seed);
     *seed
 }
 
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -14,7 +14,7 @@
 use futures::{FutureExt, StreamExt, TryStreamExt};
 use prost::Message;
 use sedgebeam_arrow as arrow;
-use sedgebeam_core::{AttemptNo, Load, Micros, Note, RequestId};
+use sedgebeam_core::{AttemptNo, LoadReport, Micros, Note, RequestId};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::duration;
 use sedgebeam_port::{Attempt, End, More, Page, Probe, Report, Reports, ToEngine, supervise};
@@ -356,7 +356,7 @@
     }
 }
 
-fn load(body: &[u8]) -> Option<Load> {
+fn load(body: &[u8]) -> Option<LoadReport> {
     let values = std::str::from_utf8(body)
         .ok()?
         .split(';')
--- a/engines/src/resp/codec.rs
+++ b/engines/src/resp/codec.rs
@@ -1,7 +1,7 @@
 //! RESP arrays of bulk strings, and the commands and answers that they carry.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use sedgebeam_core::{Load, Note, RequestId};
+use sedgebeam_core::{LoadReport, Note, RequestId};
 use sedgebeam_port::Attempt;
 use std::io;
 use std::ops::RangeInclusive;
@@ -43,7 +43,7 @@
     Ok {
         parts: u32,
         work: Option<f64>,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         rows: Bytes,
     },
     Busy,
@@ -54,7 +54,7 @@
         page: u32,
         rows: Bytes,
     },
-    Up(Option<Load>),
+    Up(Option<LoadReport>),
     Down,
     /// Whole, but nothing that can be used. It is a fault only of what it is about: an answer that belongs to
     /// nobody may come ahead of a good one.
@@ -313,7 +313,7 @@
         })
     }
 
-    fn load(&self) -> Option<Load> {
+    fn load(&self) -> Option<LoadReport> {
         let values = self.text("gauges")?.split(';').filter_map(|gauge| {
             let (name, value) = gauge.split_once(':')?;
             Some((name, value.parse().ok()?))
--- a/engines/src/resp/codec/tests.rs
+++ b/engines/src/resp/codec/tests.rs
@@ -20,9 +20,9 @@
 #[test]
 fn each_answer_becomes_its_word() {
     let rows = Bytes::from_static(b"a\tb\tc\n");
-    let busy = Load {
-        busy: Some(0.5),
-        ..Load::default()
+    let busy = LoadReport {
+        busy_cores_share: Some(0.5),
+        ..LoadReport::default()
     };
     let ok = Word::Ok {
         parts: 3,
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -14,7 +14,7 @@
 use codec::{About, Command, Reply, Word};
 use connection::{Came, Connection, Link, Number};
 use outgoing::Named;
-use sedgebeam_core::{AttemptNo, Load, Micros, RequestId};
+use sedgebeam_core::{AttemptNo, LoadReport, Micros, RequestId};
 use sedgebeam_fleet::reconnect::{Backoff, Connect, Ended, Pauses, Permit};
 use sedgebeam_port::clock::{duration, span};
 use sedgebeam_port::{Attempt, End, Page, Probe, Report, Reports, Resting, ToEngine};
@@ -64,7 +64,7 @@
 struct Partial {
     pages: Vec<Option<Bytes>>,
     work: Option<f64>,
-    load: Option<Load>,
+    load: Option<LoadReport>,
     /// When the last page came.
     came: Instant,
 }
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -1,7 +1,7 @@
 //! A statement with its fields in a comment ahead of it: what both fronts read alike.
 
 use bytes::Bytes;
-use sedgebeam_core::{GroupId, RequestId};
+use sedgebeam_core::{RequestId, TableGroupId};
 use sedgebeam_port::clock::duration;
 use sedgebeam_port::{NewRequest, SessionKey};
 use sedgebeam_settings::{Names, micros, millis};
@@ -113,7 +113,7 @@
         deadline: came + duration(micros(limit)),
         work: micros(number("cpu", MOST_WORK_MS)?),
         memory_mb: number("memory", MOST_MEMORY_MB)?,
-        group: GroupId(group(text).unwrap_or_default()),
+        group: TableGroupId(group(text).unwrap_or_default()),
         statement,
         is_retry,
         token: word("unique")?,
--- a/handover/src/share.rs
+++ b/handover/src/share.rs
@@ -3,7 +3,8 @@
 use crate::pair::{Life, Phase};
 use miniserde::{Deserialize, Serialize, json};
 use sedgebeam_core::{
-    ClassHeld, ClassOut, EngineHeld, EngineId, GroupId, Held, Micros, Out, Tenant,
+    ClassHandover, ClassUsage, EngineHandover, EngineId, EngineUsage, HandoverState, Micros,
+    TableGroupId, Tenant,
 };
 use sedgebeam_roster::Target;
 
@@ -19,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
     pub stated: Stated,
-    pub held: Held,
+    pub held: HandoverState,
 }
 
 /// All of it but what the gateway holds.
@@ -111,7 +112,7 @@
         TenantRecord {
             name: tenant.name,
             portion: tenant.share,
-            allowance_per_s: tenant.per_second,
+            allowance_per_s: tenant.requests_per_second,
         }
     }
 }
@@ -121,73 +122,82 @@
         Tenant {
             name: record.name,
             share: record.portion,
-            per_second: record.allowance_per_s,
+            requests_per_second: record.allowance_per_s,
         }
     }
 }
 
-impl From<&EngineHeld> for EngineRecord {
-    fn from(held: &EngineHeld) -> EngineRecord {
-        let (rests, jammed) = held.rests_until;
+impl From<&EngineHandover> for EngineRecord {
+    fn from(held: &EngineHandover) -> EngineRecord {
+        let (rests, jammed) = held.ejected_until;
         EngineRecord {
             engine: held.engine.0,
-            threads: held.out.threads,
-            memory_mb: held.out.memory_mb,
-            groups: held.out.groups.iter().map(|group| group.0).collect(),
-            sent: held.sent.iter().map(|(at, work)| (at.0, *work)).collect(),
-            pace: held.pace,
+            threads: held.usage.threads,
+            memory_mb: held.usage.memory_mb,
+            groups: held
+                .usage
+                .table_groups
+                .iter()
+                .map(|group| group.0)
+                .collect(),
+            sent: held
+                .recent_sends
+                .iter()
+                .map(|(at, work)| (at.0, *work))
+                .collect(),
+            pace: held.service_time_ratio,
             rests_until: (rests.0, jammed.0),
         }
     }
 }
 
-impl From<EngineRecord> for EngineHeld {
-    fn from(record: EngineRecord) -> EngineHeld {
+impl From<EngineRecord> for EngineHandover {
+    fn from(record: EngineRecord) -> EngineHandover {
         let sent = record.sent.into_iter();
-        EngineHeld {
+        EngineHandover {
             engine: EngineId(record.engine),
-            out: Out {
+            usage: EngineUsage {
                 threads: record.threads,
                 memory_mb: record.memory_mb,
-                groups: record.groups.into_iter().map(GroupId).collect(),
+                table_groups: record.groups.into_iter().map(TableGroupId).collect(),
             },
-            sent: sent.map(|(at, work)| (Micros(at), work)).collect(),
-            pace: record.pace,
-            rests_until: (Micros(record.rests_until.0), Micros(record.rests_until.1)),
+            recent_sends: sent.map(|(at, work)| (Micros(at), work)).collect(),
+            service_time_ratio: record.pace,
+            ejected_until: (Micros(record.rests_until.0), Micros(record.rests_until.1)),
         }
     }
 }
 
-impl From<&ClassHeld> for ClassRecord {
-    fn from(held: &ClassHeld) -> ClassRecord {
+impl From<&ClassHandover> for ClassRecord {
+    fn from(held: &ClassHandover) -> ClassRecord {
         ClassRecord {
             name: held.name.clone(),
-            threads: held.out.threads,
-            memory_mb: held.out.memory_mb,
-            ratio: held.ratio,
-            pace: held.pace,
-            took: held.took,
-            work: held.work,
-            taken: held.taken,
-            spilled: held.spilled,
+            threads: held.usage.threads,
+            memory_mb: held.usage.memory_mb,
+            ratio: held.usual_ratio,
+            pace: held.service_time_ratio,
+            took: held.mean_attempt_us,
+            work: held.mean_work_us,
+            taken: held.accepted_requests,
+            spilled: held.spill_margin,
         }
     }
 }
 
-impl From<ClassRecord> for ClassHeld {
-    fn from(record: ClassRecord) -> ClassHeld {
-        ClassHeld {
+impl From<ClassRecord> for ClassHandover {
+    fn from(record: ClassRecord) -> ClassHandover {
+        ClassHandover {
             name: record.name,
-            out: ClassOut {
+            usage: ClassUsage {
                 threads: record.threads,
                 memory_mb: record.memory_mb,
             },
-            ratio: record.ratio,
-            pace: record.pace,
-            took: record.took,
-            work: record.work,
-            taken: record.taken,
-            spilled: record.spilled,
+            usual_ratio: record.ratio,
+            service_time_ratio: record.pace,
+            mean_attempt_us: record.took,
+            mean_work_us: record.work,
+            accepted_requests: record.taken,
+            spill_margin: record.spilled,
         }
     }
 }
@@ -225,7 +235,7 @@
             file,
             engines: self.held.engines.iter().map(EngineRecord::from).collect(),
             classes: self.held.classes.iter().map(ClassRecord::from).collect(),
-            multiple: self.held.multiple,
+            multiple: self.held.concurrency_limit,
         };
         let body = json::to_string(&record);
         let sum = crc32fast::hash(body.as_bytes());
@@ -269,10 +279,18 @@
                 tenants: record.tenants.into_iter().map(Tenant::from).collect(),
                 file: record.file,
             },
-            held: Held {
-                engines: record.engines.into_iter().map(EngineHeld::from).collect(),
-                classes: record.classes.into_iter().map(ClassHeld::from).collect(),
-                multiple: record.multiple,
+            held: HandoverState {
+                engines: record
+                    .engines
+                    .into_iter()
+                    .map(EngineHandover::from)
+                    .collect(),
+                classes: record
+                    .classes
+                    .into_iter()
+                    .map(ClassHandover::from)
+                    .collect(),
+                concurrency_limit: record.multiple,
             },
         })
     }
@@ -286,9 +304,9 @@
     }
 
     /// What it holds, with times by the clock of a reader at which it is now this time.
-    pub fn held_at(&self, now: Micros) -> Held {
+    pub fn held_at(&self, now: Micros) -> HandoverState {
         match self.stated.clock {
-            Some(clock) => self.held.clone().on_clock(clock, now),
+            Some(clock) => self.held.clone().translate_clock(clock, now),
             None => self.held.clone(),
         }
     }
--- a/handover/tests/share.rs
+++ b/handover/tests/share.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use sedgebeam_core::{
-    ClassHeld, ClassOut, EngineHeld, EngineId, GroupId, Held, Micros, Out, Tenant,
+    ClassHandover, ClassUsage, EngineHandover, EngineId, EngineUsage, HandoverState, Micros,
+    TableGroupId, Tenant,
 };
 use sedgebeam_handover::{Freshness, Life, Phase, Refused, Share, Stated};
 use sedgebeam_roster::Target;
@@ -22,29 +23,29 @@
         boot_ms: Some(7.5),
         ..Target::default()
     };
-    let engine = EngineHeld {
+    let engine = EngineHandover {
         engine: EngineId(1),
-        out: Out {
+        usage: EngineUsage {
             threads: 3.0,
             memory_mb: 0.1 + 0.2,
-            groups: vec![GroupId(4), GroupId(4)],
+            table_groups: vec![TableGroupId(4), TableGroupId(4)],
         },
-        sent: vec![(Micros(NOW - 5), 1.25)],
-        pace: -0.3,
-        rests_until: (Micros(0), Micros(NOW + 9)),
+        recent_sends: vec![(Micros(NOW - 5), 1.25)],
+        service_time_ratio: -0.3,
+        ejected_until: (Micros(0), Micros(NOW + 9)),
     };
-    let class = ClassHeld {
+    let class = ClassHandover {
         name: "a \"class\"\n".to_string(),
-        out: ClassOut {
+        usage: ClassUsage {
             threads: 1.0,
             memory_mb: 2.0,
         },
-        ratio: None,
-        pace: 1e-9,
-        took: Some(12345.678),
-        work: None,
-        taken: 9.0,
-        spilled: 0.0,
+        usual_ratio: None,
+        service_time_ratio: 1e-9,
+        mean_attempt_us: Some(12345.678),
+        mean_work_us: None,
+        accepted_requests: 9.0,
+        spill_margin: 0.0,
     };
     Share {
         stated: Stated {
@@ -60,14 +61,14 @@
             tenants: vec![Tenant {
                 name: "firm".to_string(),
                 share: 0.25,
-                per_second: 3.0,
+                requests_per_second: 3.0,
             }],
             file: "{\"settings\": {}}".to_string(),
         },
-        held: Held {
+        held: HandoverState {
             engines: vec![engine],
             classes: vec![class],
-            multiple: 1.5,
+            concurrency_limit: 1.5,
         },
     }
 }
@@ -134,9 +135,9 @@
 fn times_are_on_the_clock_of_the_reader() {
     for now in [NOW - HOUR, NOW, NOW + HOUR] {
         let held = share().held_at(Micros(now));
-        assert_eq!(held.engines[0].sent, [(Micros(now - 5), 1.25)]);
+        assert_eq!(held.engines[0].recent_sends, [(Micros(now - 5), 1.25)]);
         // No rest is not one that ends at some time.
-        assert_eq!(held.engines[0].rests_until, (Micros(0), Micros(now + 9)));
+        assert_eq!(held.engines[0].ejected_until, (Micros(0), Micros(now + 9)));
     }
 }
 
--- a/lab/src/decide.rs
+++ b/lab/src/decide.rs
@@ -3,8 +3,8 @@
 
 use clap::Args;
 use sedgebeam_core::{
-    Action, AttemptNo, CREDIT_CAP, Class, ClassId, Effect, Ended, Engine, EngineId, Event, Gateway,
-    GroupId, Kind, KindId, ListKind, Micros, Outcome, Query, RequestId, Settings,
+    Action, AttemptEnded, AttemptNo, Class, ClassId, Effect, Engine, EngineId, Event, Gateway,
+    Kind, KindId, ListKind, MAX_CREDIT, Micros, Outcome, Query, RequestId, Settings, TableGroupId,
 };
 use sedgebeam_leases::{Ledger, ShardId, Terms};
 use std::io;
@@ -73,7 +73,7 @@
                 _ => 0,
             };
             events.push(Event::Request(Query {
-                group: GroupId(self.next % 40),
+                table_group: TableGroupId(self.next % 40),
                 work: Micros(2000),
                 memory_mb: 1.0,
                 ..Query::new(
@@ -92,15 +92,15 @@
                 request, engine, ..
             } = action
             {
-                self.ends.push(Event::Ended(Ended {
+                self.ends.push(Event::Ended(AttemptEnded {
                     request,
                     attempt: AttemptNo(0),
                     engine,
                     outcome: Outcome::Ok,
-                    took: Micros(2000),
-                    finished: true,
+                    elapsed: Micros(2000),
+                    request_finished: true,
                     work: None,
-                    load: None,
+                    load_report: None,
                 }));
             }
         }
@@ -143,10 +143,10 @@
 
 impl Decides for Sharded {
     fn decide(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
-        let wish = self.gateway.wish(now, &events);
+        let wish = self.gateway.demand(now, &events);
         let ledger = || self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
         let loan = ledger().borrow(self.shard, now, &wish, 0);
-        self.gateway.hear(loan.siblings);
+        self.gateway.update_siblings(loan.siblings);
         let actions = self.gateway.handle(now, events);
         let told = self.gateway.publish();
         ledger().settle(self.shard, loan.ticket, now, told);
@@ -167,7 +167,7 @@
                 lease: Micros::from_millis(250),
                 tick: Micros::from_millis(5),
                 cold_window: Micros::from_millis(1000),
-                credit_cap: CREDIT_CAP,
+                credit_cap: MAX_CREDIT,
                 open: 1_000_000,
             };
             let ledger = Arc::new(Mutex::new(Ledger::new(terms)));
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -2,7 +2,7 @@
 //! refused.
 
 use clap::Args;
-use sedgebeam_core::{Micros, Reports};
+use sedgebeam_core::{LoadReportMode, Micros};
 use sedgebeam_virtual::{ClassCounts, Deployment, SCENARIOS, Simulation, scenario};
 use std::io;
 use std::time::{Duration, Instant};
@@ -65,8 +65,10 @@
             "usual" => Deployment::standard(gateways, engines),
             "one-class" => Deployment::single_class(gateways, engines),
             "bare" => Deployment::minimal(gateways, engines),
-            "probes" => Deployment::with_load_reports(gateways, engines, Reports::InProbes),
-            "answers" => Deployment::with_load_reports(gateways, engines, Reports::InAnswers),
+            "probes" => Deployment::with_load_reports(gateways, engines, LoadReportMode::InProbes),
+            "answers" => {
+                Deployment::with_load_reports(gateways, engines, LoadReportMode::InAnswers)
+            }
             "keyed" => Deployment::with_deduplication(gateways, engines),
             _ => return Err(invalid_input("no such deployment")),
         };
--- a/leases/src/engines.rs
+++ b/leases/src/engines.rs
@@ -1,6 +1,6 @@
 //! What all shards hold on one engine.
 
-use sedgebeam_core::{EngineWish, Micros, Out};
+use sedgebeam_core::{EngineDemand, EngineUsage, Micros};
 use std::collections::VecDeque;
 
 /// What a shard asks of each engine alike.
@@ -19,7 +19,7 @@
 /// What one shard holds there.
 #[derive(Clone, Debug, Default)]
 struct Holding {
-    out: Out,
+    out: EngineUsage,
     /// Threads that it has borrowed and not settled.
     lent: f64,
     /// Threads of what had ended when it borrowed, and of which it has not told yet.
@@ -64,7 +64,7 @@
     /// Lends a part of the threads that are free below the limit. One query always has room on an engine
     /// on which there is nothing, whatever the limit; on a cold one, only one shard borrows at a time, since
     /// what it will send is known only afterwards.
-    pub fn lend(&mut self, shard: usize, wished: &EngineWish, claim: &Claim) -> f64 {
+    pub fn lend(&mut self, shard: usize, wished: &EngineDemand, claim: &Claim) -> f64 {
         let Claim {
             now,
             tick,
@@ -73,8 +73,8 @@
             heaviest,
         } = *claim;
         let own = self.holding(shard).out.threads;
-        let held = self.threads() + self.lent() - wished.ended.min(own);
-        let (limit, cold) = (wished.limit, wished.cold);
+        let held = self.threads() + self.lent() - wished.ended_threads.min(own);
+        let (limit, cold) = (wished.max_threads, wished.is_cold);
         let busy = self.others(shard).any(|holding| holding.lent > 0.0);
         let free = if held == 0.0 {
             limit.max(heaviest)
@@ -89,7 +89,7 @@
         // As with one gateway, what comes free is gathered for a tick: many shards that each look at another
         // moment would find one slot at a time, and give it to a light query.
         let free = if tight { free.min(self.open) } else { free };
-        self.holding(shard).ended = wished.ended.min(own);
+        self.holding(shard).ended = wished.ended_threads.min(own);
         let room = if free <= 0.0 || (busy && (cold || tight)) {
             0.0
         } else if tight {
@@ -102,12 +102,13 @@
     }
 
     /// What the others have out there, and what they may be sending.
-    pub fn elsewhere(&self, shard: usize) -> Out {
-        let mut sum = Out::default();
+    pub fn elsewhere(&self, shard: usize) -> EngineUsage {
+        let mut sum = EngineUsage::default();
         for holding in self.others(shard) {
             sum.threads += holding.out.threads + holding.lent;
             sum.memory_mb += holding.out.memory_mb;
-            sum.groups.extend_from_slice(&holding.out.groups);
+            sum.table_groups
+                .extend_from_slice(&holding.out.table_groups);
         }
         sum
     }
@@ -118,7 +119,7 @@
         others.map(|(_, _, work)| work).sum()
     }
 
-    pub fn publish(&mut self, shard: usize, out: Out) {
+    pub fn publish(&mut self, shard: usize, out: EngineUsage) {
         let holding = self.holding(shard);
         let sent = out.threads - (holding.out.threads - holding.ended);
         (holding.out, holding.ended) = (out, 0.0);
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -28,7 +28,8 @@
 use counts::Counts;
 use engines::{Claim, EngineBook};
 use sedgebeam_core::{
-    ClassOut, EngineId, EngineShare, Micros, Out, Published, Room, Siblings, Wish,
+    ClassUsage, Demand, EngineId, EngineUsage, Micros, ShardUsage, SiblingEngineUsage,
+    SiblingUsage, ThreadQuota,
 };
 use std::collections::BTreeMap;
 
@@ -60,7 +61,7 @@
 #[derive(Debug)]
 pub struct Loan {
     pub ticket: Ticket,
-    pub siblings: Siblings,
+    pub siblings: SiblingUsage,
     /// Requests that the shard may have open until it borrows again.
     pub open: usize,
 }
@@ -88,7 +89,7 @@
 struct Shard {
     lent: Option<Lent>,
     wants: f64,
-    classes: Vec<ClassOut>,
+    classes: Vec<ClassUsage>,
     waiting: Vec<Vec<usize>>,
     /// By when all that it has out has ended.
     until: Micros,
@@ -138,7 +139,7 @@
 
     /// Hears what other processes of this dispatcher hold, all of them added up. It counts for every shard, until something
     /// else is told or all that is out there must have ended.
-    pub fn beside(&mut self, now: Micros, told: Published) {
+    pub fn beside(&mut self, now: Micros, told: ShardUsage) {
         self.publish(self.terms.shards, now, told);
     }
 
@@ -148,7 +149,7 @@
     }
 
     /// Lends room for one decision. `open` tells how many requests the shard has open.
-    pub fn borrow(&mut self, shard: ShardId, now: Micros, wish: &Wish, open: usize) -> Loan {
+    pub fn borrow(&mut self, shard: ShardId, now: Micros, wish: &Demand, open: usize) -> Loan {
         self.expire(now);
         self.take_back(shard);
         self.tickets += 1;
@@ -163,25 +164,25 @@
         } else {
             0.0
         };
-        let most = wants.max(wish.heaviest);
+        let most = wants.max(wish.heaviest_class_threads);
         let claim = Claim {
             now,
             tick: self.terms.tick,
             part,
             most,
-            heaviest: wish.heaviest,
+            heaviest: wish.heaviest_class_threads,
         };
         let engines = wish.engines.iter().map(|wished| {
             let book = self.engines.entry(wished.engine).or_default();
             let room = book.lend(own, wished, &claim);
-            EngineShare {
+            SiblingEngineUsage {
                 engine: wished.engine,
-                out: book.elsewhere(own),
-                cold_work: book.work_of_others(own, now, self.terms.cold_window),
-                room: Room(room),
+                usage: book.elsewhere(own),
+                cold_work_core_s: book.work_of_others(own, now, self.terms.cold_window),
+                quota: ThreadQuota(room),
             }
         });
-        let engines: Vec<EngineShare> = engines.collect();
+        let engines: Vec<SiblingEngineUsage> = engines.collect();
         let (classes, waiting) = (self.classes(shard), self.waiting(shard));
         self.shards[own].lent = Some(Lent {
             ticket,
@@ -190,11 +191,11 @@
         });
         Loan {
             ticket,
-            siblings: Siblings {
+            siblings: SiblingUsage {
                 engines,
                 classes,
-                waiting,
-                room: Room(most),
+                waiting_requests: waiting,
+                quota: ThreadQuota(most),
                 class_credit: self.class_credit.clone(),
                 tenant_credit: self.tenant_credit.clone(),
             },
@@ -209,7 +210,7 @@
         shard: ShardId,
         ticket: Ticket,
         now: Micros,
-        told: Published,
+        told: ShardUsage,
     ) -> Settled {
         self.expire(now);
         let own = shard.0;
@@ -289,7 +290,7 @@
         self.shards[shard.0] = Shard::default();
     }
 
-    fn publish(&mut self, own: usize, now: Micros, mut told: Published) {
+    fn publish(&mut self, own: usize, now: Micros, mut told: ShardUsage) {
         told.engines.sort_by_key(|(id, _)| *id);
         let threads: f64 = told.engines.iter().map(|(_, out)| out.threads).sum();
         let window = self.terms.cold_window;
@@ -300,20 +301,20 @@
                 .is_ok();
             if !known {
                 // An engine that the shard no longer knows has nothing of it out.
-                book.publish(own, Out::default());
+                book.publish(own, EngineUsage::default());
             }
             known || !book.is_empty(now, window)
         });
         for (id, out) in told.engines {
             self.engines.entry(id).or_default().publish(own, out);
         }
-        for (id, work) in told.sent {
+        for (id, work) in told.work_sent_core_s {
             let book = self.engines.entry(id).or_default();
             book.sent(own, now, window, work);
         }
         let shard = &mut self.shards[own];
-        (shard.classes, shard.waiting) = (told.classes, told.waiting);
-        shard.until = told.until;
+        (shard.classes, shard.waiting) = (told.classes, told.waiting_requests);
+        shard.until = told.all_ended_by;
         // What it could not send it still waits for.
         let sent = (threads - shard.threads).max(0.0);
         shard.wants = if shard.waits() {
@@ -332,10 +333,10 @@
     }
 
     /// By class, what the others have out, and might be sending.
-    fn classes(&self, shard: ShardId) -> Vec<ClassOut> {
-        let mut sum: Vec<ClassOut> = Vec::new();
+    fn classes(&self, shard: ShardId) -> Vec<ClassUsage> {
+        let mut sum: Vec<ClassUsage> = Vec::new();
         for other in self.others(shard) {
-            sum.resize(sum.len().max(other.classes.len()), ClassOut::default());
+            sum.resize(sum.len().max(other.classes.len()), ClassUsage::default());
             for (sum, out) in sum.iter_mut().zip(&other.classes) {
                 sum.threads += out.threads;
                 sum.memory_mb += out.memory_mb;
--- a/leases/tests/interleavings.rs
+++ b/leases/tests/interleavings.rs
@@ -2,7 +2,9 @@
 
 use proptest::collection::vec;
 use proptest::prelude::*;
-use sedgebeam_core::{ClassOut, EngineId, EngineWish, GroupId, Micros, Out, Published, Wish};
+use sedgebeam_core::{
+    ClassUsage, Demand, EngineDemand, EngineId, EngineUsage, Micros, ShardUsage, TableGroupId,
+};
 use sedgebeam_leases::{Ledger, Loan, ShardId, Terms};
 use std::collections::BTreeMap;
 
@@ -65,23 +67,23 @@
         self.out.get(&engine).map_or(0.0, |out| out.iter().sum())
     }
 
-    fn publish(&self, sent: f64) -> Published {
-        let out = |engine| Out {
+    fn publish(&self, sent: f64) -> ShardUsage {
+        let out = |engine| EngineUsage {
             threads: self.threads(engine),
-            ..Out::default()
+            ..EngineUsage::default()
         };
         let engines: Vec<_> = (0..ENGINES).map(EngineId).map(|id| (id, out(id))).collect();
         let threads = engines.iter().map(|(_, out)| out.threads).sum();
-        Published {
+        ShardUsage {
             engines,
-            classes: vec![ClassOut {
+            classes: vec![ClassUsage {
                 threads,
                 memory_mb: 0.0,
             }],
-            waiting: vec![vec![1]],
-            sent: vec![(COLD, sent)],
-            until: Micros::MAX,
-            ..Published::default()
+            waiting_requests: vec![vec![1]],
+            work_sent_core_s: vec![(COLD, sent)],
+            all_ended_by: Micros::MAX,
+            ..ShardUsage::default()
         }
     }
 }
@@ -120,9 +122,9 @@
             wished.push(engine(id, id == COLD, before - shard.threads(id)));
         }
         shard.open = shard.open.saturating_sub(usize::from(ends));
-        let wish = Wish {
+        let wish = Demand {
             threads: f64::from(wants),
-            heaviest: HEAVIEST,
+            heaviest_class_threads: HEAVIEST,
             engines: wished,
         };
         let loan = self
@@ -140,13 +142,13 @@
             return;
         };
         let threads = f64::from(threads);
-        let (mut sends, mut work, mut fleet) = (Vec::new(), 0.0, loan.siblings.room.0);
+        let (mut sends, mut work, mut fleet) = (Vec::new(), 0.0, loan.siblings.quota.0);
         for share in &loan.siblings.engines {
-            let (mut room, mut own) = (share.room.0, shard.threads(share.engine));
+            let (mut room, mut own) = (share.quota.0, shard.threads(share.engine));
             for _ in 0..queries {
-                let all = own + share.out.threads;
+                let all = own + share.usage.threads;
                 let fits = all == 0.0 || all + threads <= LIMIT;
-                let cold = recent(&shard.sent, self.now) + share.cold_work + work + 0.5;
+                let cold = recent(&shard.sent, self.now) + share.cold_work_core_s + work + 0.5;
                 let bears = share.engine != COLD || cold <= COLD_PART;
                 if threads <= room && threads <= fleet && fits && bears {
                     sends.push(share.engine);
@@ -247,12 +249,12 @@
     }
 }
 
-fn engine(engine: EngineId, cold: bool, ended: f64) -> EngineWish {
-    EngineWish {
+fn engine(engine: EngineId, cold: bool, ended: f64) -> EngineDemand {
+    EngineDemand {
         engine,
-        limit: LIMIT,
-        cold,
-        ended,
+        max_threads: LIMIT,
+        is_cold: cold,
+        ended_threads: ended,
     }
 }
 
@@ -267,34 +269,34 @@
     }
 }
 
-fn wish(threads: f64, cold: bool) -> Wish {
-    Wish {
+fn wish(threads: f64, cold: bool) -> Demand {
+    Demand {
         threads,
-        heaviest: HEAVIEST,
+        heaviest_class_threads: HEAVIEST,
         engines: vec![engine(EngineId(1), cold, 0.0)],
     }
 }
 
-fn holds(threads: f64, until: Micros) -> Published {
-    let out = Out {
+fn holds(threads: f64, until: Micros) -> ShardUsage {
+    let out = EngineUsage {
         threads,
-        groups: vec![GroupId(7)],
-        ..Out::default()
+        table_groups: vec![TableGroupId(7)],
+        ..EngineUsage::default()
     };
-    Published {
+    ShardUsage {
         engines: vec![(EngineId(1), out)],
-        classes: vec![ClassOut {
+        classes: vec![ClassUsage {
             threads,
             memory_mb: 0.0,
         }],
-        waiting: vec![vec![0, 2]],
-        until,
-        ..Published::default()
+        waiting_requests: vec![vec![0, 2]],
+        all_ended_by: until,
+        ..ShardUsage::default()
     }
 }
 
 fn room(loan: &Loan) -> f64 {
-    loan.siblings.engines[0].room.0
+    loan.siblings.engines[0].quota.0
 }
 
 #[test]
@@ -310,8 +312,8 @@
     );
     let loan = ledger.borrow(second, Micros(2), &wish(30.0, false), 0);
     assert_eq!(room(&loan), 2.0);
-    assert_eq!(loan.siblings.engines[0].out.threads, 8.0);
-    assert_eq!(loan.siblings.waiting, [[0, 2]]);
+    assert_eq!(loan.siblings.engines[0].usage.threads, 8.0);
+    assert_eq!(loan.siblings.waiting_requests, [[0, 2]]);
     assert!(
         ledger
             .settle(second, loan.ticket, Micros(3), holds(2.0, Micros(900)))
@@ -361,7 +363,10 @@
     );
     let loan = ledger.borrow(other, Micros(400), &wish(30.0, false), 0);
     assert_eq!(
-        (room(&loan), loan.siblings.engines[0].out.groups.len()),
+        (
+            room(&loan),
+            loan.siblings.engines[0].usage.table_groups.len()
+        ),
         (2.0, 1)
     );
     let loan = ledger.borrow(other, Micros(600), &wish(30.0, false), 0);
@@ -374,13 +379,13 @@
     let (dead, other) = (ShardId(0), ShardId(1));
     let loan = ledger.borrow(dead, Micros(0), &wish(8.0, true), 0);
     let mut told = holds(8.0, Micros(500));
-    told.sent = vec![(EngineId(1), 2.5)];
+    told.work_sent_core_s = vec![(EngineId(1), 2.5)];
     assert!(ledger.settle(dead, loan.ticket, Micros(1), told).stands);
     ledger.crash(dead);
     for shard in [other, dead] {
         let loan = ledger.borrow(shard, Micros(100), &wish(8.0, true), 0);
         let share = &loan.siblings.engines[0];
-        assert_eq!((share.out.threads, share.cold_work), (0.0, 2.5));
+        assert_eq!((share.usage.threads, share.cold_work_core_s), (0.0, 2.5));
         assert!(
             ledger
                 .settle(shard, loan.ticket, Micros(101), holds(0.0, Micros(0)))
@@ -409,10 +414,10 @@
     let mut ledger = Ledger::new(terms(2));
     for (shard, change) in [(0, 0.5), (1, 0.75)] {
         let loan = ledger.borrow(ShardId(shard), Micros(0), &wish(0.0, false), 0);
-        let told = Published {
+        let told = ShardUsage {
             class_credit: vec![change, -change],
             tenant_credit: vec![vec![], vec![change]],
-            ..Published::default()
+            ..ShardUsage::default()
         };
         assert!(
             ledger
@@ -428,17 +433,17 @@
 #[test]
 fn what_another_process_holds_counts_for_every_shard_until_it_must_have_ended() {
     let mut ledger = Ledger::new(terms(2));
-    let beside = |threads, until| Published {
-        waiting: Vec::new(),
+    let beside = |threads, until| ShardUsage {
+        waiting_requests: Vec::new(),
         ..holds(threads, until)
     };
     ledger.beside(Micros(0), beside(8.0, Micros(900)));
     for shard in [ShardId(0), ShardId(1)] {
         let loan = ledger.borrow(shard, Micros(1), &wish(30.0, false), 0);
-        let told = &loan.siblings.engines[0].out;
+        let told = &loan.siblings.engines[0].usage;
         assert_eq!((room(&loan), told.threads), (LIMIT - 8.0, 8.0));
         assert_eq!(loan.siblings.classes[0].threads, 8.0);
-        assert!(told.groups.contains(&GroupId(7)));
+        assert!(told.table_groups.contains(&TableGroupId(7)));
         let nothing = beside(0.0, Micros(0));
         assert!(ledger.settle(shard, loan.ticket, Micros(2), nothing).stands);
     }
--- a/leases/tests/together.rs
+++ b/leases/tests/together.rs
@@ -2,8 +2,9 @@
 //! beside what one gateway does with the same traffic.
 
 use sedgebeam_core::{
-    Action, AttemptNo, Class, ClassId, Effect, Ended, Engine, EngineId, Event, Gateway, GroupId,
-    Kind, KindId, ListKind, Micros, Outcome, Query, RequestId, Settings, Tenant, TenantId, TimerId,
+    Action, AttemptEnded, AttemptNo, Class, ClassId, Effect, Engine, EngineId, Event, Gateway,
+    Kind, KindId, ListKind, Micros, Outcome, Query, RequestId, Settings, TableGroupId, Tenant,
+    TenantId, TimerId,
 };
 use sedgebeam_leases::{Ledger, Loan, ShardId, Terms};
 use std::collections::{BTreeMap, HashMap};
@@ -57,8 +58,8 @@
         may_cancel: true,
         start_capacity: START,
         warm_after: ms(14_000),
-        fall_multiple: FALLS,
-        overload_for: ms(1000),
+        overload_multiple: FALLS,
+        overload_window: ms(1000),
         answer_slack: ms(20),
         tick: Micros(TICK),
         ..Settings::default()
@@ -138,8 +139,8 @@
             shards,
             lease: ms(250),
             tick: Micros(TICK),
-            cold_window: settings().overload_for,
-            credit_cap: sedgebeam_core::CREDIT_CAP,
+            cold_window: settings().overload_window,
+            credit_cap: sedgebeam_core::MAX_CREDIT,
             open: 1_000_000,
         };
         let mut world = World {
@@ -181,12 +182,12 @@
             LOAD
         };
         let firm = ((self.random.next() * 3.0) as usize).min(2);
-        let group = GroupId((self.random.next() * self.groups as f64) as u64);
+        let group = TableGroupId((self.random.next() * self.groups as f64) as u64);
         let count = self.shards.len() as u64;
         let shard = (id.0 % count) as usize;
         let query = Query {
             tenant: Some(TenantId(firm)),
-            group,
+            table_group: group,
             work: Micros((CLASSES[class].0 * CLASSES[class].1 as f64) as u64),
             memory_mb: 1.0,
             ..Query::new(id, ClassId(class), ms(20_000))
@@ -249,16 +250,18 @@
         };
         self.counts.served[out.class][out.firm] += 1;
         let took = Micros(CLASSES[out.class].1);
-        self.shards[out.shard].events.push(Event::Ended(Ended {
-            request: id,
-            attempt: out.attempt,
-            engine: out.engine,
-            outcome: Outcome::Ok,
-            took,
-            finished: true,
-            work: Some(Micros((took.0 as f64 * CLASSES[out.class].0) as u64)),
-            load: None,
-        }));
+        self.shards[out.shard]
+            .events
+            .push(Event::Ended(AttemptEnded {
+                request: id,
+                attempt: out.attempt,
+                engine: out.engine,
+                outcome: Outcome::Ok,
+                elapsed: took,
+                request_finished: true,
+                work: Some(Micros((took.0 as f64 * CLASSES[out.class].0) as u64)),
+                load_report: None,
+            }));
     }
 
     fn borrow(&mut self, place: usize) -> (usize, Vec<Event>, Option<Loan>) {
@@ -267,7 +270,7 @@
         shard.woken = false;
         let events = std::mem::take(&mut shard.events);
         let loan = self.ledger.as_mut().map(|ledger| {
-            let wish = shard.gateway.wish(now, &events);
+            let wish = shard.gateway.demand(now, &events);
             ledger.borrow(ShardId(place), now, &wish, 0)
         });
         (place, events, loan)
@@ -278,7 +281,7 @@
         let shard = &mut self.shards[place];
         let ticket = loan.as_ref().map(|loan| loan.ticket);
         if let Some(loan) = loan {
-            shard.gateway.hear(loan.siblings);
+            shard.gateway.update_siblings(loan.siblings);
         }
         let actions = shard.gateway.handle(now, events);
         if let (Some(ledger), Some(ticket)) = (&mut self.ledger, ticket) {
--- a/port/src/desk.rs
+++ b/port/src/desk.rs
@@ -13,7 +13,7 @@
     Answer, Asked, BrokerBox, Denied, Failure, Listing, NewRequest, Pending, SessionKey, Target,
     ToBroker, Told,
 };
-use sedgebeam_core::{Effect, Held, Key, Micros, RequestId, Tenant, mix};
+use sedgebeam_core::{Effect, HandoverState, Key, Micros, RequestId, Tenant, splitmix64};
 use sedgebeam_operation::Figures;
 use sedgebeam_retune::{Table, Tuning};
 use std::collections::HashMap;
@@ -234,7 +234,8 @@
 
     /// The shard that a name draws at this turn.
     fn draw(&self, name: u64, turn: u64) -> usize {
-        (mix(name ^ mix(self.shared.seed ^ turn)) % self.slots().len() as u64) as usize
+        (splitmix64(name ^ splitmix64(self.shared.seed ^ turn)) % self.slots().len() as u64)
+            as usize
     }
 
     /// The mailbox for a request that keeps no order: of the shard that its id names, or of another while that one
@@ -252,7 +253,7 @@
 
     /// Where requests of this one's key keep their order, if it has a key and there are several shards.
     fn ordered_slot(&self, request: &NewRequest) -> Option<&Slot> {
-        let key = Key::of(request.order_key.as_deref()?);
+        let key = Key::from_name(request.order_key.as_deref()?);
         let slots = self.slots();
         (slots.len() > 1).then(|| &slots[self.draw(key.0, 0)])
     }
@@ -386,7 +387,7 @@
     }
 
     /// What the gateways hold, added up; nothing of one that is silent.
-    pub async fn held_over(&self) -> Held {
+    pub async fn held_over(&self) -> HandoverState {
         let asked = self.all().map(|mailbox| async move {
             let (reply, held) = oneshot::channel();
             mailbox.send(ToBroker::HeldOver(reply)).await.ok()?;
@@ -395,7 +396,7 @@
         let held = futures::future::join_all(asked).await;
         let mut held = held.into_iter().flatten();
         let first = held.next().unwrap_or_default();
-        held.fold(first, Held::and)
+        held.fold(first, HandoverState::merge)
     }
 
     /// Tells all brokers what needs no answer; one that is gone needs not hear it.
@@ -408,13 +409,13 @@
     }
 
     /// Has the gateways begin with what an earlier process held.
-    pub async fn take_over(&self, held: Held) {
+    pub async fn take_over(&self, held: HandoverState) {
         let held = Arc::new(held);
         self.tell_all(|| ToBroker::TakeOver(held.clone())).await;
     }
 
     /// What other processes of this dispatcher hold, and whether this one may send to cold engines.
-    pub async fn beside(&self, held: Held, may_warm: bool) {
+    pub async fn beside(&self, held: HandoverState, may_warm: bool) {
         let held = Arc::new(held);
         self.tell_all(|| ToBroker::Beside(held.clone(), may_warm))
             .await;
@@ -468,7 +469,7 @@
             let tenant = Tenant {
                 name: name.clone(),
                 share: *share,
-                per_second: *per_second,
+                requests_per_second: *per_second,
             };
             if !standing.table.set_tenant(&tenant) {
                 return Err(Denied::Invalid("there are too many tenants".to_string()));
--- a/port/src/engine.rs
+++ b/port/src/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::{BrokerBox, Target, ToBroker};
 use bytes::Bytes;
-use sedgebeam_core::{AttemptNo, EngineId, Load, Micros, Note, RequestId};
+use sedgebeam_core::{AttemptNo, EngineId, LoadReport, Micros, Note, RequestId};
 use std::num::NonZeroU32;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -97,7 +97,7 @@
     Ok {
         page: Page,
         work: Option<Micros>,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// Turned away unseen.
     Busy,
@@ -135,7 +135,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Probe {
-    Up(Option<Load>),
+    Up(Option<LoadReport>),
     Down,
     Silent,
     ConnectFailed,
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::{Answer, Asked, Denied, Listing, Report, Target, Told};
 use bytes::Bytes;
-use sedgebeam_core::{ClassId, EngineId, GroupId, Held, Micros, RequestId};
+use sedgebeam_core::{ClassId, EngineId, HandoverState, Micros, RequestId, TableGroupId};
 use sedgebeam_retune::Tuning;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -21,7 +21,7 @@
     pub deadline: Instant,
     pub work: Micros,
     pub memory_mb: f64,
-    pub group: GroupId,
+    pub group: TableGroupId,
     pub statement: Bytes,
     /// Its client says that it has tried before.
     pub is_retry: bool,
@@ -49,11 +49,11 @@
     EngineDied(EngineId),
     List(Listing, Vec<Target>),
     /// Asks what the gateway holds.
-    HeldOver(oneshot::Sender<Held>),
+    HeldOver(oneshot::Sender<HandoverState>),
     /// What an earlier process held, to begin with.
-    TakeOver(Arc<Held>),
+    TakeOver(Arc<HandoverState>),
     /// What other processes of this dispatcher hold, and whether this one may send to cold engines.
-    Beside(Arc<Held>, bool),
+    Beside(Arc<HandoverState>, bool),
     /// The process ends: what has no answer yet gets one now.
     LastCall,
     /// New settings; the sender is dropped once they hold.
--- a/port/tests/ordered_requests.rs
+++ b/port/tests/ordered_requests.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
-use sedgebeam_core::{Class, ClassId, GroupId, Micros, RequestId, Settings};
+use sedgebeam_core::{Class, ClassId, Micros, RequestId, Settings, TableGroupId};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::{Answer, Desk, Failure, NewRequest, Pending, SessionKey, ToBroker};
 use sedgebeam_retune::Tuning;
@@ -45,7 +45,7 @@
         deadline: Instant::now() + LONG,
         work: Micros(0),
         memory_mb: 0.0,
-        group: GroupId(0),
+        group: TableGroupId(0),
         statement: Bytes::from_static(b"INSERT"),
         is_retry: false,
         token: None,
--- a/retune/src/table.rs
+++ b/retune/src/table.rs
@@ -45,7 +45,7 @@
 /// Whether a request of the one is decided on as one of the other would be, but for figures.
 fn same(one: &Class, other: &Class) -> bool {
     let terms = |class: &Class| {
-        let order = (class.holds_group, class.in_key_order, class.stream);
+        let order = (class.holds_group, class.in_key_order, class.is_streamed);
         (class.effect, order)
     };
     let placement = (&one.only_kinds, &one.only_zones) == (&other.only_kinds, &other.only_zones);
@@ -191,7 +191,7 @@
                     self.tenants[place] = Life::Retired(named, self.all_open_until(named));
                     // What is under way of it goes on with no claim of its own.
                     let tenant = &mut self.tuning.settings.tenants[place];
-                    (tenant.share, tenant.per_second) = (0.0, 0.0);
+                    (tenant.share, tenant.requests_per_second) = (0.0, 0.0);
                 }
                 // Its last requests may be of classes whose deadlines are longer now.
                 Life::Retired(named, taken) => {
--- a/retune/tests/places.rs
+++ b/retune/tests/places.rs
@@ -2,7 +2,7 @@
 //! may be open, and every class of the settings can be named.
 
 use proptest::prelude::*;
-use sedgebeam_core::{Class, Effect, Group, Micros, Settings, Tenant};
+use sedgebeam_core::{Class, DedupScope, Effect, Micros, Settings, Tenant};
 use sedgebeam_retune::{MOST_PLACES, Table, Tuning};
 use sedgebeam_settings::Names;
 
@@ -10,7 +10,11 @@
 
 /// A class by its number among a few: those of one name differ in effect, placement or figures.
 fn class(number: u8, give_up: u64) -> Class {
-    let effects = [Effect::Repeatable, Effect::Once, Effect::Keyed(Group::Zone)];
+    let effects = [
+        Effect::Repeatable,
+        Effect::Once,
+        Effect::Keyed(DedupScope::Zone),
+    ];
     Class {
         name: format!("class-{}", number % 4),
         effect: effects[usize::from(number / 4) % 3],
@@ -32,7 +36,7 @@
     let tenant = |number: &u8| Tenant {
         name: format!("tenant-{number}"),
         share: 0.5,
-        per_second: 1.0,
+        requests_per_second: 1.0,
     };
     let names = Names {
         classes: classes.iter().map(|class| class.name.clone()).collect(),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -4,8 +4,8 @@
 
 use miniserde::Deserialize;
 use sedgebeam_core::{
-    AttemptBudget, Class, ClassId, Effect, Group, Kind, KindId, ListMode, Load, Micros, Reports,
-    Settings, Tenant, TenantId, ZoneId,
+    AttemptBudget, Class, ClassId, DedupScope, Effect, Kind, KindId, ListMode, LoadReport,
+    LoadReportMode, Micros, Settings, Tenant, TenantId, ZoneId,
 };
 
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -144,14 +144,14 @@
 }
 
 /// A load report from its named values, under the names of the settings or of the engines' wire.
-pub fn load<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Load {
-    let mut load = Load::default();
+pub fn load<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in values {
         match name {
-            "active" | "inflight" => load.active = Some(value),
-            "waiting" | "queue" => load.waiting = Some(value),
-            "cpu" | "util" => load.busy = Some(value),
-            "x0" => load.granted = Some(value),
+            "active" | "inflight" => load.active_queries = Some(value),
+            "waiting" | "queue" => load.queries_waiting_for_memory = Some(value),
+            "cpu" | "util" => load.busy_cores_share = Some(value),
+            "x0" => load.granted_memory_share = Some(value),
             _ => {}
         }
     }
@@ -199,9 +199,9 @@
         let effect = self.effect.as_deref().unwrap_or_default();
         match (effect, self.group.as_deref().unwrap_or_default()) {
             ("repeatable", _) => Effect::Repeatable,
-            ("by_key", "zone") => Effect::Keyed(Group::Zone),
-            ("by_key", "cell") => Effect::Keyed(Group::Cell),
-            ("by_key", _) => Effect::Keyed(Group::All),
+            ("by_key", "zone") => Effect::Keyed(DedupScope::Zone),
+            ("by_key", "cell") => Effect::Keyed(DedupScope::Cell),
+            ("by_key", _) => Effect::Keyed(DedupScope::All),
             // What is not known to be safe is never sent twice.
             _ => Effect::Once,
         }
@@ -287,12 +287,12 @@
             aim_stretch: service.aim_stretch.unwrap_or_default(),
             give_up: time(service.give_up),
             effect: service.effect(),
-            window: time(service.window),
+            dedup_window: time(service.window),
             threads: at(&domain.threads_by_class, index).unwrap_or(1.0),
             holds_group: at(&domain.class_load, index).unwrap_or_default(),
             waits_for_load: at(&domain.class_waits, index).unwrap_or_default(),
             in_key_order: service.fifo_by_key.unwrap_or_default(),
-            stream: service.stream.unwrap_or_default(),
+            is_streamed: service.stream.unwrap_or_default(),
             only_kinds: only_kinds.map(|places| places.into_iter().map(KindId).collect()),
             only_zones: only_zones.map(|places| places.into_iter().map(ZoneId).collect()),
             retired: false,
@@ -310,7 +310,7 @@
         let tenants = list(&self.tenants).iter().map(|tenant| Tenant {
             name: tenant.name.clone(),
             share: tenant.portion.unwrap_or_default(),
-            per_second: tenant.allowance_per_s.unwrap_or_default(),
+            requests_per_second: tenant.allowance_per_s.unwrap_or_default(),
         });
         let kinds = (0..list(&self.kinds).len()).map(|index| Kind {
             cores: at(&domain.size_cores, index).unwrap_or_default(),
@@ -320,7 +320,7 @@
         let advice = limits.retry_after.unwrap_or_default();
         Settings {
             gateways: self.balancers.unwrap_or_default(),
-            me: self.me,
+            gateway_index: self.me,
             zone: self
                 .zone
                 .as_deref()
@@ -330,35 +330,35 @@
             tenants: tenants.collect(),
             kinds: kinds.collect(),
             list_mode: match self.registry_mode.as_deref() {
-                Some("subscribe") => ListMode::Asked,
+                Some("subscribe") => ListMode::OnRequest,
                 _ => ListMode::Pushed,
             },
-            reports: match telemetry.how.as_deref() {
-                Some("piggyback") => Reports::InAnswers,
-                Some("pull") => Reports::InProbes,
-                _ => Reports::None,
+            load_reports: match telemetry.how.as_deref() {
+                Some("piggyback") => LoadReportMode::InAnswers,
+                Some("pull") => LoadReportMode::InProbes,
+                _ => LoadReportMode::None,
             },
             drain_grace: time(rules.drain_grace),
             start_capacity: rules.start_capacity.unwrap_or_default(),
             warm_after: time(rules.warm_after),
-            fall_multiple: rules.fall_multiple.unwrap_or_default(),
-            overload_for: time(rules.overload_for),
-            key_rest: time(rules.key_quiet),
+            overload_multiple: rules.fall_multiple.unwrap_or_default(),
+            overload_window: time(rules.overload_for),
+            key_quiet_period: time(rules.key_quiet),
             attempt_budget: rationed.then_some(AttemptBudget {
                 window: time(rules.look_back),
-                free: rules.extra_free.unwrap_or_default(),
-                per_request: rules.extra_per_request.unwrap_or_default(),
+                free_attempts: rules.extra_free.unwrap_or_default(),
+                extra_per_request: rules.extra_per_request.unwrap_or_default(),
             }),
             max_attempts: limits.max_attempts.unwrap_or_default(),
             may_cancel: limits.cancel.unwrap_or_default(),
             second_copies: limits.second_copies.unwrap_or_default(),
             may_probe: limits.probes.unwrap_or_default(),
-            probe_price: self.prices.and_then(|p| p.probe).unwrap_or_default(),
+            probe_cost: self.prices.and_then(|p| p.probe).unwrap_or_default(),
             takes_grants: domain.takes_grants.unwrap_or_default(),
             takes_priorities: domain.priorities.unwrap_or_default(),
-            memory_line: domain.on_shortage.as_deref() == Some("wait"),
+            queues_for_memory: domain.on_shortage.as_deref() == Some("wait"),
             max_grant_share: domain.max_grant_share.unwrap_or_default(),
-            note_every: time(domain.progress),
+            note_interval: time(domain.progress),
             max_retry_after: time(limits.max_retry_after.filter(|_| advice)),
             answer_slack: time(rules.answer_slack),
             tick: time(self.tick),
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -3,8 +3,8 @@
 use miniserde::json::Value;
 use miniserde::{Deserialize, json};
 use sedgebeam_core::{
-    Action, AttemptNo, CellId, Ended, Engine, EngineId, EngineState, Event, GroupId, Key, ListKind,
-    Load, Micros, Note, Outcome, Query, RequestId, TimerId,
+    Action, AttemptEnded, AttemptNo, CellId, Engine, EngineId, EngineState, Event, Key, ListKind,
+    LoadReport, Micros, Note, Outcome, Query, RequestId, TableGroupId, TimerId,
 };
 use sedgebeam_settings::{Facts, Names, micros, millis};
 use std::collections::BTreeMap;
@@ -101,7 +101,7 @@
     Due(u64),
     Interim(String, u32, u8, f64),
     First(String, u32),
-    StatusBack(String, u64, Option<Load>),
+    StatusBack(String, u64, Option<LoadReport>),
     ClientLeft(String),
     Completed(Completed),
 }
@@ -143,7 +143,7 @@
     wait_time: f64,
     finished: bool,
     executor: u64,
-    load: Option<Load>,
+    load: Option<LoadReport>,
 }
 
 impl Batch {
@@ -276,17 +276,17 @@
     Ok(match text {
         "OK" => Outcome::Ok,
         "INTERNAL" => Outcome::Error,
-        "RESOURCE_EXHAUSTED" => Outcome::Full,
+        "RESOURCE_EXHAUSTED" => Outcome::Rejected,
         "DEADLINE_EXCEEDED" => Outcome::TimedOut,
         "UNAVAILABLE" => Outcome::ConnectFailed,
         "ABORTED" => Outcome::Reset,
         "CANCELLED" => Outcome::Cancelled,
-        "TOO_LATE" => Outcome::Moot,
+        "TOO_LATE" => Outcome::NotSent,
         other => return Err(format!("unknown outcome {other:?}")),
     })
 }
 
-fn load(values: Option<BTreeMap<String, f64>>) -> Option<Load> {
+fn load(values: Option<BTreeMap<String, f64>>) -> Option<LoadReport> {
     let values = values?;
     let named = values.iter().map(|(name, value)| (name.as_str(), *value));
     Some(sedgebeam_settings::load(named))
@@ -325,32 +325,32 @@
             id: request(&self.req)?,
             class: class.ok_or_else(|| format!("unknown class {:?}", self.band))?,
             tenant: self.account.and_then(|account| names.tenant(&account)),
-            key: self.order_key.as_deref().map(Key::of),
+            key: self.order_key.as_deref().map(Key::from_name),
             remaining: micros(self.remaining),
             work: match self.opts & HAS_ESTIMATE {
                 0 => Micros(0),
                 _ => micros(self.estimate),
             },
             memory_mb: self.need_mb,
-            group: GroupId(self.tables),
+            table_group: TableGroupId(self.tables),
             is_retry: self.opts & IS_RETRY != 0,
         })
     }
 }
 
 impl Completed {
-    fn ended(self) -> Result<Ended, String> {
+    fn ended(self) -> Result<AttemptEnded, String> {
         let how = outcome(&self.outcome)?;
         let told = how == Outcome::Ok && self.bill > 0;
-        Ok(Ended {
+        Ok(AttemptEnded {
             request: request(&self.req)?,
             attempt: AttemptNo(self.seq_no),
             engine: EngineId(self.executor),
             outcome: how,
-            took: micros(self.wait_time),
-            finished: self.finished,
+            elapsed: micros(self.wait_time),
+            request_finished: self.finished,
             work: told.then_some(Micros::from_millis(self.bill / 4096)),
-            load: self.load,
+            load_report: self.load,
         })
     }
 }
@@ -420,7 +420,7 @@
 
     pub fn order(&mut self, i: u64, action: Action) {
         match action {
-            Action::Terms {
+            Action::AttemptResources {
                 request,
                 memory_mb,
                 priority,
@@ -478,7 +478,9 @@
             Action::Probe { engine } => {
                 self.push(i, "ask_load", format_args!(r#""executor":{}"#, engine.0));
             }
-            Action::Follow => self.push(i, "follow", format_args!(r#""enable":true"#)),
+            Action::SubscribeToEngineList => {
+                self.push(i, "follow", format_args!(r#""enable":true"#))
+            }
             Action::Log(msg) => {
                 self.push(
                     i,
--- a/src/survey.rs
+++ b/src/fleet_scan.rs
@@ -86,7 +86,7 @@
     }
 
     /// Engines that are listed and set aside, and until when if nothing is heard of them.
-    pub fn avoided(&self) -> Vec<(EngineId, Micros)> {
+    pub fn ejected_engines(&self) -> Vec<(EngineId, Micros)> {
         if self.survey_holds() {
             self.surveyed.resting.clone()
         } else {
--- a/src/survey/tests.rs
+++ b/src/fleet_scan/tests.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::*;
 use crate::policy::Gateway;
-use crate::state::mix;
+use crate::state::splitmix64;
 use std::collections::VecDeque;
 
 const MS: u64 = 1000;
@@ -12,7 +12,7 @@
 
 impl Draws {
     fn below(&mut self, bound: u64) -> u64 {
-        self.0 = mix(self.0);
+        self.0 = splitmix64(self.0);
         self.0 % bound
     }
 }
@@ -40,11 +40,11 @@
         }],
         start_capacity: 0.3,
         warm_after: Micros::from_millis(3000),
-        fall_multiple: 4.0,
-        overload_for: Micros::from_millis(1000),
+        overload_multiple: 4.0,
+        overload_window: Micros::from_millis(1000),
         max_attempts: 3,
         may_cancel: true,
-        note_every: Micros::from_millis(200),
+        note_interval: Micros::from_millis(200),
         ..Settings::default()
     }
 }
@@ -59,16 +59,16 @@
 }
 
 /// What the engines and clients do next, given what was sent.
-fn events(draws: &mut Draws, now: Micros, out: &mut VecDeque<Ended>) -> Vec<Event> {
+fn events(draws: &mut Draws, now: Micros, out: &mut VecDeque<AttemptEnded>) -> Vec<Event> {
     let mut events = Vec::new();
     for _ in 0..draws.below(3) {
         let class = ClassId(draws.below(3) as usize);
         let remaining = Micros::from_millis(300 + draws.below(2000));
         let query = Query {
             work: Micros::from_millis(20 + draws.below(400)),
-            group: GroupId(draws.below(9)),
+            table_group: TableGroupId(draws.below(9)),
             ..Query::new(
-                RequestId(mix(now.0 ^ draws.below(1 << 40))),
+                RequestId(splitmix64(now.0 ^ draws.below(1 << 40))),
                 class,
                 remaining,
             )
@@ -83,11 +83,11 @@
             0 => Outcome::Reset,
             1 => Outcome::ConnectFailed,
             2 => Outcome::TimedOut,
-            3 => Outcome::Full,
+            3 => Outcome::Rejected,
             _ => Outcome::Ok,
         };
-        end.finished = end.outcome == Outcome::Ok;
-        end.took = Micros::from_millis(5 + draws.below(900));
+        end.request_finished = end.outcome == Outcome::Ok;
+        end.elapsed = Micros::from_millis(5 + draws.below(900));
         events.push(Event::Ended(end));
     }
     if draws.below(20) == 0 {
@@ -128,25 +128,31 @@
         always.surveyed.outdated = true;
         let actions = always.handle(now, next.clone());
         assert_eq!(actions, seldom.handle(now, next), "seed {seed} at {now:?}");
-        assert_eq!(always.avoided(), seldom.avoided(), "seed {seed} at {now:?}");
+        assert_eq!(
+            always.ejected_engines(),
+            seldom.ejected_engines(),
+            "seed {seed} at {now:?}"
+        );
         for action in &actions {
             if let Action::Send {
                 request, engine, ..
             } = action
             {
                 sent += 1;
-                let earlier = out.iter().filter(|end: &&Ended| end.request == *request);
+                let earlier = out
+                    .iter()
+                    .filter(|end: &&AttemptEnded| end.request == *request);
                 assert_eq!(earlier.count(), 0, "two attempts are out");
                 let known = &always.requests[request];
-                out.push_back(Ended {
+                out.push_back(AttemptEnded {
                     request: *request,
                     attempt: AttemptNo(known.attempts.len() as u32 - 1),
                     engine: *engine,
                     outcome: Outcome::Ok,
-                    took: Micros(0),
-                    finished: true,
+                    elapsed: Micros(0),
+                    request_finished: true,
                     work: None,
-                    load: None,
+                    load_report: None,
                 });
             }
         }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -2,96 +2,96 @@
 //! what the other makes of it. Nothing is decided here; as long as nothing is heard, a gateway is alone.
 
 use crate::interface::*;
-use crate::parts::{ClassOut, EngineShare, Out, Room};
 use crate::policy::Gateway;
+use crate::shard_usage::{ClassUsage, EngineUsage, SiblingEngineUsage, ThreadQuota};
 use crate::state::{Mean, Request, Usual};
 use std::collections::BTreeMap;
 
 /// What a gateway holds, and what it has learned.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Held {
-    pub engines: Vec<EngineHeld>,
-    pub classes: Vec<ClassHeld>,
+pub struct HandoverState {
+    pub engines: Vec<EngineHandover>,
+    pub classes: Vec<ClassHandover>,
     /// How many times its part of the fleet it may have out.
-    pub multiple: f64,
+    pub concurrency_limit: f64,
 }
 
 /// The same of an engine.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EngineHeld {
+pub struct EngineHandover {
     pub engine: EngineId,
-    pub out: Out,
+    pub usage: EngineUsage,
     /// Work sent within the window in which a cold engine counts it, in core seconds, and when.
-    pub sent: Vec<(Micros, f64)>,
+    pub recent_sends: Vec<(Micros, f64)>,
     /// Log ratio of time taken to the usual.
-    pub pace: f64,
+    pub service_time_ratio: f64,
     /// Until when it is set aside after strikes, and after a jam; zero where it is not.
-    pub rests_until: (Micros, Micros),
+    pub ejected_until: (Micros, Micros),
 }
 
 /// The same of a class, by its name.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ClassHeld {
+pub struct ClassHandover {
     pub name: String,
-    pub out: ClassOut,
+    pub usage: ClassUsage,
     /// Log ratios of time taken to time expected, usually, and lately to that.
-    pub ratio: Option<f64>,
-    pub pace: f64,
+    pub usual_ratio: Option<f64>,
+    pub service_time_ratio: f64,
     /// Mean time of an attempt, and mean estimate of the work, in microseconds.
-    pub took: Option<f64>,
-    pub work: Option<f64>,
+    pub mean_attempt_us: Option<f64>,
+    pub mean_work_us: Option<f64>,
     /// How many were taken.
-    pub taken: f64,
+    pub accepted_requests: f64,
     /// Memory needed over the granted estimate.
-    pub spilled: f64,
+    pub spill_margin: f64,
 }
 
 impl Gateway {
     /// Tells what it holds and has learned.
-    pub fn held_over(&self) -> Held {
+    pub fn handover_state(&self) -> HandoverState {
         let engines = self.engines.iter().map(|(id, engine)| {
             let (rests, jammed) = engine.health.rests_handed_over();
-            EngineHeld {
+            EngineHandover {
                 engine: *id,
-                out: Out {
+                usage: EngineUsage {
                     threads: engine.threads_out,
                     memory_mb: engine.memory_out,
-                    groups: engine.held.clone(),
+                    table_groups: engine.held.clone(),
                 },
-                sent: engine.sends.iter().copied().collect(),
-                pace: engine.pace,
-                rests_until: (Micros(rests), Micros(jammed)),
+                recent_sends: engine.sends.iter().copied().collect(),
+                service_time_ratio: engine.pace,
+                ejected_until: (Micros(rests), Micros(jammed)),
             }
         });
-        let mut classes: Vec<ClassHeld> = Vec::new();
+        let mut classes: Vec<ClassHandover> = Vec::new();
         for (class, usual) in self.settings.classes.iter().zip(&self.usual) {
-            classes.push(ClassHeld {
+            classes.push(ClassHandover {
                 name: class.name.clone(),
-                out: ClassOut::default(),
-                ratio: usual.ratio,
-                pace: usual.pace,
-                took: usual.took.0,
-                work: usual.work.0,
-                taken: usual.taken,
-                spilled: usual.spilled,
+                usage: ClassUsage::default(),
+                usual_ratio: usual.ratio,
+                service_time_ratio: usual.pace,
+                mean_attempt_us: usual.took.0,
+                mean_work_us: usual.work.0,
+                accepted_requests: usual.taken,
+                spill_margin: usual.spilled,
             });
         }
         let out = |request: &&Request| request.attempts_out() > 0;
         for request in self.requests.values().filter(out) {
             if let Some(class) = classes.get_mut(request.class) {
-                class.out.threads += request.threads;
-                class.out.memory_mb += request.memory_held;
+                class.usage.threads += request.threads;
+                class.usage.memory_mb += request.memory_held;
             }
         }
-        Held {
+        HandoverState {
             engines: engines.collect(),
             classes,
-            multiple: self.multiple.handed_over(),
+            concurrency_limit: self.multiple.handed_over(),
         }
     }
 
     /// Begins with what another process of this gateway has learned, where it has learned nothing itself.
-    pub fn take_over(&mut self, held: &Held) {
+    pub fn restore(&mut self, held: &HandoverState) {
         self.surveyed.outdated = true;
         for (class, usual) in self.settings.classes.iter().zip(&mut self.usual) {
             let known = held.classes.iter().find(|known| known.name == class.name);
@@ -99,22 +99,22 @@
                 continue;
             };
             *usual = Usual {
-                ratio: known.ratio,
-                pace: known.pace,
-                took: Mean(known.took),
-                work: Mean(known.work),
-                taken: known.taken,
-                spilled: known.spilled,
+                ratio: known.usual_ratio,
+                pace: known.service_time_ratio,
+                took: Mean(known.mean_attempt_us),
+                work: Mean(known.mean_work_us),
+                taken: known.accepted_requests,
+                spilled: known.spill_margin,
             };
         }
         for held in &held.engines {
             if let Some(engine) = self.engines.get_mut(&held.engine) {
-                engine.pace = held.pace;
-                let (rests, jammed) = held.rests_until;
+                engine.pace = held.service_time_ratio;
+                let (rests, jammed) = held.ejected_until;
                 engine.health.take_rests((rests.0, jammed.0));
             }
         }
-        self.multiple.take_over(held.multiple);
+        self.multiple.take_over(held.concurrency_limit);
     }
 
     /// Gives every request its final answer: whoever ends the process waits no longer.
@@ -127,25 +127,28 @@
 
     /// Hears what the others hold, all of them added up; nothing, where it is alone. While another sends to cold
     /// engines, this one does not, nor for a window after that.
-    pub fn beside(&mut self, now: Micros, others: &Held, may_warm: bool) {
-        let window = self.settings.overload_for;
+    pub fn set_peer_process_usage(&mut self, now: Micros, others: &HandoverState, may_warm: bool) {
+        let window = self.settings.overload_window;
         let held = others.engines.iter().map(|held| (held.engine, held));
-        let held: BTreeMap<EngineId, &EngineHeld> = held.collect();
+        let held: BTreeMap<EngineId, &EngineHandover> = held.collect();
         for (id, engine) in &mut self.engines {
             let held = held.get(id).copied().cloned().unwrap_or_default();
-            let recent = held.sent.iter().filter(|(at, _)| *at + window > now);
-            engine.elsewhere = EngineShare {
+            let recent = held
+                .recent_sends
+                .iter()
+                .filter(|(at, _)| *at + window > now);
+            engine.elsewhere = SiblingEngineUsage {
                 engine: *id,
-                out: held.out,
-                cold_work: recent.map(|(_, work)| work).sum(),
-                room: Room::default(),
+                usage: held.usage,
+                cold_work_core_s: recent.map(|(_, work)| work).sum(),
+                quota: ThreadQuota::default(),
             };
         }
         let classes = self.settings.classes.iter();
         let out = |class: &Class| {
-            let named = |held: &&ClassHeld| held.name == class.name && !class.retired;
+            let named = |held: &&ClassHandover| held.name == class.name && !class.retired;
             let held = others.classes.iter().find(named);
-            held.map(|held| held.out).unwrap_or_default()
+            held.map(|held| held.usage).unwrap_or_default()
         };
         self.elsewhere.classes = classes.map(out).collect();
         if !may_warm {
@@ -162,21 +165,21 @@
     Micros(at.0.saturating_add(to.0).saturating_sub(from.0))
 }
 
-impl Held {
+impl HandoverState {
     /// The same with its times on another clock, given what both clocks show now.
-    pub fn on_clock(mut self, from: Micros, to: Micros) -> Held {
+    pub fn translate_clock(mut self, from: Micros, to: Micros) -> HandoverState {
         for engine in &mut self.engines {
-            for (at, _) in &mut engine.sent {
+            for (at, _) in &mut engine.recent_sends {
                 *at = moved(*at, from, to);
             }
-            let (rests, jammed) = engine.rests_until;
-            engine.rests_until = (moved(rests, from, to), moved(jammed, from, to));
+            let (rests, jammed) = engine.ejected_until;
+            engine.ejected_until = (moved(rests, from, to), moved(jammed, from, to));
         }
         self
     }
 
     /// What several hold, as one.
-    pub fn and(mut self, other: Held) -> Held {
+    pub fn merge(mut self, other: HandoverState) -> HandoverState {
         for more in other.engines {
             match self
                 .engines
@@ -184,10 +187,10 @@
                 .find(|held| held.engine == more.engine)
             {
                 Some(held) => {
-                    held.out.threads += more.out.threads;
-                    held.out.memory_mb += more.out.memory_mb;
-                    held.out.groups.extend(more.out.groups);
-                    held.sent.extend(more.sent);
+                    held.usage.threads += more.usage.threads;
+                    held.usage.memory_mb += more.usage.memory_mb;
+                    held.usage.table_groups.extend(more.usage.table_groups);
+                    held.recent_sends.extend(more.recent_sends);
                 }
                 None => self.engines.push(more),
             }
@@ -195,8 +198,8 @@
         for more in other.classes {
             match self.classes.iter_mut().find(|held| held.name == more.name) {
                 Some(held) => {
-                    held.out.threads += more.out.threads;
-                    held.out.memory_mb += more.out.memory_mb;
+                    held.usage.threads += more.usage.threads;
+                    held.usage.memory_mb += more.usage.memory_mb;
                 }
                 None => self.classes.push(more),
             }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -57,7 +57,7 @@
     /// A cell: engines that share which keys they have seen.
     CellId(u64);
     /// The group of tables that a query reads or writes.
-    GroupId(u64);
+    TableGroupId(u64);
     /// Requests with the same key may have to keep their order.
     Key(u64);
     /// Names an attempt within its request, from 0.
@@ -68,7 +68,7 @@
 
 impl Key {
     /// The key of this name: the same at every gateway.
-    pub fn of(name: &str) -> Key {
+    pub fn from_name(name: &str) -> Key {
         let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         Key(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
     }
@@ -81,14 +81,14 @@
     #[default]
     Repeatable,
     /// Only where repeats are dropped: within this group, for [`Class::window`].
-    Keyed(Group),
+    Keyed(DedupScope),
     /// Never, once it may have run.
     Once,
 }
 
 /// The engines that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -108,7 +108,7 @@
     pub give_up: Micros,
     pub effect: Effect,
     /// How long a repeat of a keyed request is dropped.
-    pub window: Micros,
+    pub dedup_window: Micros,
     pub threads: f64,
     /// A load: holds its table group on its engine while it runs.
     pub holds_group: bool,
@@ -116,7 +116,7 @@
     pub waits_for_load: bool,
     pub in_key_order: bool,
     /// The answer is streamed: the client has it from its start on.
-    pub stream: bool,
+    pub is_streamed: bool,
     /// Where given, the only kinds, or zones, it may be sent to.
     pub only_kinds: Option<Vec<KindId>>,
     pub only_zones: Option<Vec<ZoneId>>,
@@ -129,7 +129,7 @@
     pub name: String,
     pub share: f64,
     /// Requests a second within its share, over all gateways; zero where not told.
-    pub per_second: f64,
+    pub requests_per_second: f64,
 }
 
 /// A kind of engine.
@@ -143,8 +143,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptBudget {
     pub window: Micros,
-    pub free: f64,
-    pub per_request: f64,
+    pub free_attempts: f64,
+    pub extra_per_request: f64,
 }
 
 /// How the list of engines comes.
@@ -154,12 +154,12 @@
     #[default]
     Pushed,
     /// Changes come after [`Action::Follow`].
-    Asked,
+    OnRequest,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportMode {
     #[default]
     None,
     InAnswers,
@@ -171,22 +171,22 @@
 pub struct Settings {
     pub gateways: u32,
     /// This gateway's number among them, where told.
-    pub me: Option<u32>,
+    pub gateway_index: Option<u32>,
     pub zone: Option<ZoneId>,
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
     pub kinds: Vec<Kind>,
     pub list_mode: ListMode,
-    pub reports: Reports,
+    pub load_reports: LoadReportMode,
     pub drain_grace: Micros,
     /// A starting engine can do at least this share of its capacity, and all of it after `warm_after`.
     pub start_capacity: f64,
     pub warm_after: Micros,
     /// Sent more than this multiple of what it can do, for `overload_for`, it falls over.
-    pub fall_multiple: f64,
-    pub overload_for: Micros,
+    pub overload_multiple: f64,
+    pub overload_window: Micros,
     /// A key rests this long after an attempt that may still be running.
-    pub key_rest: Micros,
+    pub key_quiet_period: Micros,
     pub attempt_budget: Option<AttemptBudget>,
     /// Most attempts for a request; zero where not told.
     pub max_attempts: u32,
@@ -194,15 +194,15 @@
     pub second_copies: bool,
     pub may_probe: bool,
     /// What a probe costs, in mean requests' worth; zero where not told.
-    pub probe_price: f64,
+    pub probe_cost: f64,
     pub takes_grants: bool,
     pub takes_priorities: bool,
     /// A query waits in the engine's line while memory is short; else it gets less, or all slow down.
-    pub memory_line: bool,
+    pub queues_for_memory: bool,
     /// Most of an engine's memory that one query gets.
     pub max_grant_share: f64,
     /// Time between notes of progress; zero where there are none.
-    pub note_every: Micros,
+    pub note_interval: Micros,
     /// The longest advice that clients follow; zero where they get none.
     pub max_retry_after: Micros,
     /// A final answer may come this long after the client's deadline.
@@ -262,7 +262,7 @@
     /// Estimated work of all its threads, and memory; zero where not told.
     pub work: Micros,
     pub memory_mb: f64,
-    pub group: GroupId,
+    pub table_group: TableGroupId,
     /// The client says that it has tried before, where clients mark that; nothing is decided by it yet.
     pub is_retry: bool,
 }
@@ -284,33 +284,36 @@
     Ok,
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
     /// Not sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the attempt may have run.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        !matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
 /// What an engine says of its load; a value it does not give is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Queries that it holds.
-    pub active: Option<f64>,
+    pub active_queries: Option<f64>,
     /// Queries that wait for memory.
-    pub waiting: Option<f64>,
+    pub queries_waiting_for_memory: Option<f64>,
     /// Share of its cores that is busy.
-    pub busy: Option<f64>,
+    pub busy_cores_share: Option<f64>,
     /// Share of its memory that is granted.
-    pub granted: Option<f64>,
+    pub granted_memory_share: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -324,17 +327,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptEnded {
     pub request: RequestId,
     pub attempt: AttemptNo,
     pub engine: EngineId,
     pub outcome: Outcome,
-    pub took: Micros,
+    pub elapsed: Micros,
     /// The request is finished: nothing more is owed for it.
-    pub finished: bool,
+    pub request_finished: bool,
     /// The work that it took, where told.
     pub work: Option<Micros>,
-    pub load: Option<Load>,
+    pub load_report: Option<LoadReport>,
 }
 
 #[derive(Clone, Debug)]
@@ -349,19 +352,19 @@
     Started(RequestId, AttemptNo),
     /// Word on an attempt that is out.
     Note(RequestId, AttemptNo, Note),
-    Ended(Ended),
+    Ended(AttemptEnded),
     ClientLeft(RequestId),
     /// What a probe found.
-    Probed(EngineId, Outcome, Option<Load>),
+    Probed(EngineId, Outcome, Option<LoadReport>),
     Timer(TimerId),
     /// The gateway ends: all that has no final answer yet gets one now.
-    LastCall,
+    Shutdown,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Memory (zero: the engine chooses) and priority for what is sent next.
-    Terms {
+    AttemptResources {
         request: RequestId,
         memory_mb: f64,
         priority: u8,
@@ -395,13 +398,13 @@
         engine: EngineId,
     },
     /// Ask for the list of engines and its changes.
-    Follow,
+    SubscribeToEngineList,
     Log(String),
 }
 
 impl Action {
-    pub fn terms(request: RequestId, memory_mb: f64, priority: u8) -> Action {
-        Action::Terms {
+    pub fn attempt_resources(request: RequestId, memory_mb: f64, priority: u8) -> Action {
+        Action::AttemptResources {
             request,
             memory_mb,
             priority,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,23 +22,26 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { engine: EngineId(1), .. })));
 //! ```
 
-mod circle;
+mod fleet_scan;
 mod handover;
 mod interface;
-mod parts;
 mod policy;
-mod remembered;
-mod repeats;
-mod retune;
-mod scale;
+mod reconfigure;
+mod retries;
+mod shard_usage;
 mod sharding;
+mod sizing;
+mod slow_start;
 mod state;
-mod survey;
-mod warming;
+mod state_sizes;
+mod subset;
 
-pub use handover::{ClassHeld, EngineHeld, Held};
+pub use handover::{ClassHandover, EngineHandover, HandoverState};
 pub use interface::*;
-pub use parts::{ClassOut, EngineShare, EngineWish, Out, Published, Room, Siblings, Wish};
-pub use policy::{CREDIT_CAP, Gateway};
-pub use remembered::Remembered;
-pub use state::mix;
+pub use policy::{Gateway, MAX_CREDIT};
+pub use shard_usage::{
+    ClassUsage, Demand, EngineDemand, EngineUsage, ShardUsage, SiblingEngineUsage, SiblingUsage,
+    ThreadQuota,
+};
+pub use state::splitmix64;
+pub use state_sizes::StateSizes;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -3,19 +3,19 @@
 //! A request passes straight to an engine while nothing waits and a slot is spare; otherwise it
 //! waits in the queue of its class and tenant, and Most Credit First says who goes next.
 
-use crate::circle::Ring;
+use crate::fleet_scan::{Surveyed, bears_on_engines};
 use crate::interface::*;
-use crate::parts::Elsewhere;
-use crate::scale::{OWN_EXCESS, THREADS_PER_CORE, shares};
+use crate::shard_usage::Elsewhere;
+use crate::sizing::{OWN_EXCESS, THREADS_PER_CORE, shares};
 use crate::state::*;
-use crate::survey::{Surveyed, bears_on_engines};
+use crate::subset::Ring;
 use sedgebeam_fleet::{Multiple, Rests, STRIKES, asking};
 use std::collections::{BTreeMap, BTreeSet};
 
 // ---- 1. Constants ----
 
 /// Most credit or debt, in releases: an idle spell or a run of yielded turns is soon forgotten.
-pub const CREDIT_CAP: f64 = 4.0;
+pub const MAX_CREDIT: f64 = 4.0;
 /// A draw that holds less than this part of the heaviest waiting one's thread time is light.
 const LIGHT_DRAW: f64 = 0.25;
 /// Slower than usual by this factor is pressure.
@@ -97,7 +97,7 @@
             let earned = self.weights[party] / total.max(f64::MIN_POSITIVE);
             let paid = f64::from(u8::from(party == released));
             let credit = self.credit[party] + price * (earned - paid);
-            self.credit[party] = credit.clamp(-CREDIT_CAP, CREDIT_CAP);
+            self.credit[party] = credit.clamp(-MAX_CREDIT, MAX_CREDIT);
         }
     }
 }
@@ -158,7 +158,7 @@
 impl Gateway {
     /// A gateway that knows nothing yet. The seed is for the choices that spread gateways apart.
     pub fn new(settings: Settings, seed: u64) -> Gateway {
-        let asked = settings.list_mode == ListMode::Asked;
+        let asked = settings.list_mode == ListMode::OnRequest;
         let worths = settings.classes.iter().map(|class| class.worth.max(0.0));
         let shares = shares(&settings.tenants);
         Gateway {
@@ -208,7 +208,7 @@
             Event::ClientLeft(id) => self.close(id)?,
             Event::Probed(id, how, load) => self.heard(id, how == Outcome::Ok, load)?,
             Event::Timer(_) => self.timer_set = false,
-            Event::LastCall => self.last_call(),
+            Event::Shutdown => self.last_call(),
         }
         Some(())
     }
@@ -299,7 +299,8 @@
             self.fleet.memory_mb * (MEMORY_PART * parts).min(MEMORY_MOST * self.multiple.traffic());
         request.threads <= self.elsewhere.room.0
             && threads + draw * request.threads <= self.fleet.threads * parts
-            && (self.settings.memory_line || memory_mb + draw * self.need(request) <= memory_part)
+            && (self.settings.queues_for_memory
+                || memory_mb + draw * self.need(request) <= memory_part)
     }
 
     /// Memory that the query will hold, by its estimate and what its class lacked lately.
@@ -345,7 +346,8 @@
 
     /// Asks the first engines of its order for their load before a heavy query is sent.
     fn ask(&mut self, id: RequestId) -> Option<()> {
-        let told = self.settings.reports == Reports::InProbes && self.settings.may_probe;
+        let told =
+            self.settings.load_reports == LoadReportMode::InProbes && self.settings.may_probe;
         let request = self.requests.get(&id)?;
         if !told || self.light(request.class) || !self.small_part {
             return None;
@@ -371,10 +373,7 @@
 
     /// Engines that a query of the class asks.
     fn asked(&self, class: usize) -> usize {
-        let (price, worth) = (
-            self.settings.probe_price,
-            self.settings.classes[class].worth,
-        );
+        let (price, worth) = (self.settings.probe_cost, self.settings.classes[class].worth);
         asking::asked(price, worth, self.worth.0.unwrap_or(worth))
     }
 
@@ -470,7 +469,7 @@
     fn choose(&self, id: RequestId) -> Option<EngineId> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
-        let group = request.query.group;
+        let group = request.query.table_group;
         let room = self.fleet_room(request);
         if !room && !self.by_rights() {
             return None;
@@ -533,8 +532,8 @@
     /// among the first half of the engines: one order at all gateways would send a hot
     /// group's whole herd to one engine. Loads start from the other end where queries wait for them.
     fn in_order(&self, request: &Request, engines: &mut Vec<&EngineView>) {
-        let group = request.query.group;
-        engines.sort_by_key(|engine| mix(mix(group.0) ^ engine.entry.id.0));
+        let group = request.query.table_group;
+        engines.sort_by_key(|engine| splitmix64(splitmix64(group.0) ^ engine.entry.id.0));
         if self.small_part && !engines.is_empty() {
             let waits = self.settings.classes.iter().any(|c| c.waits_for_load);
             if self.settings.classes[request.class].holds_group && waits {
@@ -550,17 +549,19 @@
     // ---- 6. Engine health ----
 
     /// A word from the engine, good or bad, with its load where it gives it.
-    fn heard(&mut self, id: EngineId, well: bool, load: Option<Load>) -> Option<()> {
+    fn heard(&mut self, id: EngineId, well: bool, load: Option<LoadReport>) -> Option<()> {
         let engine = self.engines.get_mut(&id)?;
-        if load.and_then(|load| load.waiting) >= Some(1.0) {
+        if load.and_then(|load| load.queries_waiting_for_memory) >= Some(1.0) {
             engine.pressed_until = self.now + SIGN_LASTS;
         }
         let (threads, time) = (self.thread_time.0, self.time.0);
         let threads = threads.zip(time).map_or(1.0, |(sum, time)| sum / time);
         let load = load.unwrap_or_default();
-        let active = load.active.map(|active| active * threads / engine.cores);
-        let busy = load.busy.map(|busy| busy * THREADS_PER_CORE);
-        let granted = load.granted.map(|granted| granted * FULL_TOLD);
+        let active = load
+            .active_queries
+            .map(|active| active * threads / engine.cores);
+        let busy = load.busy_cores_share.map(|busy| busy * THREADS_PER_CORE);
+        let granted = load.granted_memory_share.map(|granted| granted * FULL_TOLD);
         let told = [active, busy, granted].into_iter().flatten();
         if let Some(told) = told.max_by(f64::total_cmp) {
             engine.told = Some((told, self.now));
@@ -621,7 +622,7 @@
 
     /// A draw from 0 to 1 that differs among gateways.
     fn draw(&self, salt: u64) -> f64 {
-        mix(self.seed ^ mix(salt)) as f64 / u64::MAX as f64
+        splitmix64(self.seed ^ splitmix64(salt)) as f64 / u64::MAX as f64
     }
 
     /// Whose fault a reset or an error was shows only once another engine has answered the same request well:
@@ -651,7 +652,7 @@
 
     /// Whether an answer tells of a crowd: it took long for its work, or by its report more runs or is
     /// granted on the engine than it can bear. A line for memory is no crowd: it costs no work.
-    fn tells_of_a_crowd(&self, request: &Request, end: &Ended) -> bool {
+    fn tells_of_a_crowd(&self, request: &Request, end: &AttemptEnded) -> bool {
         // Twice as far from a guess as from the work told: a heavy query is no crowd.
         let guess = if end.work.is_some() { 1.0 } else { CROWDED };
         let engine = self.engines.get(&end.engine);
@@ -660,13 +661,13 @@
     }
 
     /// Learns from how long an answer took.
-    fn learn(&mut self, request: RequestId, engine: EngineId, end: &Ended) -> Option<()> {
+    fn learn(&mut self, request: RequestId, engine: EngineId, end: &AttemptEnded) -> Option<()> {
         self.multiple
             .follow(self.tells_of_a_crowd(self.requests.get(&request)?, end));
         let request = self.requests.get(&request)?;
         let stretch = self.stretch(request, end);
         let usual = &mut self.usual[request.class];
-        let took = end.took.0.max(1) as f64;
+        let took = end.elapsed.0.max(1) as f64;
         let ratio = (took / request.estimate().unwrap_or(1e6)).ln();
         let level = usual.ratio.get_or_insert(ratio);
         let away = (ratio - *level).clamp(-RATIO_CAP, RATIO_CAP);
@@ -729,7 +730,7 @@
     // ---- 8. Attempts ----
 
     fn send(&mut self, id: RequestId, to: EngineId) -> Option<()> {
-        let (now, window) = (self.now, self.settings.overload_for);
+        let (now, window) = (self.now, self.settings.overload_window);
         let (request, engine) = self.requests.get(&id).zip(self.engines.get(&to))?;
         if !self.may_send(request, engine) {
             return None;
@@ -776,10 +777,10 @@
         let largest_grant = (self.settings.max_grant_share * engine.memory_mb).floor();
         let memory_mb = heeded * self.need(request).ceil().min(largest_grant);
         let priority = (1 + less).min(MOST_PRIORITY) as u8;
-        Action::terms(request.query.id, memory_mb, priority)
+        Action::attempt_resources(request.query.id, memory_mb, priority)
     }
 
-    fn ended(&mut self, end: Ended) -> Option<()> {
+    fn ended(&mut self, end: AttemptEnded) -> Option<()> {
         let request = self.requests.get_mut(&end.request)?;
         let attempt = request.attempts.get_mut(end.attempt.0 as usize)?;
         if attempt.outcome.is_some() {
@@ -799,17 +800,17 @@
             Outcome::Reset | Outcome::Error | Outcome::Ok => {
                 self.blame(end.request, to, end.outcome)
             }
-            Outcome::Full => self.pressed(to),
+            Outcome::Rejected => self.pressed(to),
             _ => None,
         };
-        let well = matches!(end.outcome, Outcome::Ok | Outcome::Full);
-        self.heard(to, well, end.load);
+        let well = matches!(end.outcome, Outcome::Ok | Outcome::Rejected);
+        self.heard(to, well, end.load_report);
         match end.outcome {
-            Outcome::Full | Outcome::TimedOut => self.multiple.follow(true),
+            Outcome::Rejected | Outcome::TimedOut => self.multiple.follow(true),
             Outcome::Ok => self.learn(end.request, to, &end)?,
             _ => {}
         }
-        if end.finished {
+        if end.request_finished {
             self.close(end.request);
         } else {
             self.again(end.request);
@@ -838,7 +839,7 @@
     pub(crate) fn give_up(&mut self, id: RequestId) -> Option<()> {
         let request = self.requests.get(&id).filter(|request| !request.over)?;
         let harmless = match self.settings.classes[request.class].effect {
-            Effect::Repeatable | Effect::Keyed(Group::All) => true,
+            Effect::Repeatable | Effect::Keyed(DedupScope::All) => true,
             Effect::Keyed(_) | Effect::Once => request.may_have_run().is_none(),
         };
         // It is worth coming back once the class's queue has moved on.
@@ -883,7 +884,9 @@
             return None;
         }
         let (request, now) = (self.requests.remove(&id)?, self.now);
-        let rest = request.may_still_run().then_some(self.settings.key_rest);
+        let rest = request
+            .may_still_run()
+            .then_some(self.settings.key_quiet_period);
         let line = self.keys.get_mut(&request.query.key?)?;
         let next = line.leave(id, now + rest.unwrap_or_default());
         if let Some(next) = next.and_then(|next| self.requests.get_mut(&next)) {
@@ -929,7 +932,7 @@
     /// An attempt stands still behind a load, maybe of another gateway: its group is held there for a while,
     /// and it goes elsewhere, as it has done nothing yet.
     fn stands_still(&mut self, id: RequestId, number: AttemptNo, to: EngineId) -> Option<()> {
-        let group = self.requests.get(&id)?.query.group;
+        let group = self.requests.get(&id)?.query.table_group;
         let (now, until) = (self.now, self.now + HELD_LASTS);
         self.engines.get_mut(&to)?.holds(group, now, until);
         let request = self.requests.get(&id)?;
@@ -943,7 +946,7 @@
         self.replan(id, number)
     }
 
-    fn held_there(&self, engine: &EngineView, group: GroupId) -> bool {
+    fn held_there(&self, engine: &EngineView, group: TableGroupId) -> bool {
         let told = engine.held_by_others.iter();
         let mut told = told.filter(|(_, until)| self.now < *until);
         engine.holds_now(group) || told.any(|(held, _)| *held == group)
@@ -971,7 +974,7 @@
         let tries = 2f64.powi(request.attempts.len() as i32 - 1);
         let fresh_now = fresh * slow.exp().max(1.0) * tries / self.able_of(attempt.engine);
         let spent = (self.now - attempt.sent_at).0 as f64;
-        let noted = self.now < attempt.noted_at + self.settings.note_every.times(SILENT_NOTES);
+        let noted = self.now < attempt.noted_at + self.settings.note_interval.times(SILENT_NOTES);
         let patience = if class.waits_for_load {
             OVERDUE_HELD
         } else {
@@ -992,7 +995,7 @@
         let fresh = fresh.map_or(f64::MAX, |(ratio, work)| work * (ratio + slow).exp());
         let spent = (self.now - attempt.sent_at).0 as f64;
         let longest = JAMMED * fresh / self.able_of(attempt.engine);
-        let due = self.settings.note_every.0 as f64 / 4.0;
+        let due = self.settings.note_interval.0 as f64 / 4.0;
         self.small_part && due > 0.0 && spent > due && spent / done.max(0.001) > longest
     }
 
@@ -1001,7 +1004,7 @@
         let request = self.requests.get(&id)?;
         let room = request.attempts.len() < request.attempts_allowed;
         let effect = self.settings.classes[request.class].effect;
-        if room && matches!(effect, Effect::Repeatable | Effect::Keyed(Group::All)) {
+        if room && matches!(effect, Effect::Repeatable | Effect::Keyed(DedupScope::All)) {
             self.call_off(id, number);
         }
         Some(())
@@ -1009,7 +1012,7 @@
 
     /// A look at all that waits or is out: ends what is overdue, finds engines that went silent.
     fn look(&mut self) {
-        let (now, silence) = (self.now, self.settings.note_every.times(SILENT_NOTES));
+        let (now, silence) = (self.now, self.settings.note_interval.times(SILENT_NOTES));
         let (mut late, mut lost, mut silent) = (Vec::new(), Vec::new(), BTreeSet::new());
         let mut again = Vec::new();
         for (id, request) in &self.requests {
@@ -1055,7 +1058,7 @@
             self.replan(id, number);
         }
         if self.follow_at.take_if(|at| now >= *at).is_some() {
-            self.actions.push(Action::Follow);
+            self.actions.push(Action::SubscribeToEngineList);
         }
         for id in again {
             self.ask(id);
--- a/src/retune.rs
+++ b/src/reconfigure.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::{Class, Settings};
 use crate::policy::Gateway;
-use crate::scale::shares;
+use crate::sizing::shares;
 use crate::state::{Credit, Usual};
 use sedgebeam_fleet::cold::Rights;
 
@@ -44,7 +44,7 @@
 impl Gateway {
     /// Takes new settings. Classes and tenants that were there before have the places that they had; a request
     /// under way keeps its class's place, and has the fewest attempts that were allowed since it came.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn reconfigure(&mut self, settings: Settings) {
         let old = std::mem::replace(&mut self.settings, settings);
         let (settings, classes) = (&self.settings, self.settings.classes.iter());
         let usual = |(place, class): (usize, &Class)| {
@@ -74,10 +74,10 @@
         }
         // A gateway that is told of fewer others has a larger part from now on, not of what was granted before; and its
         // place between two rights is another, as at a start: the places of before lie close together.
-        let (me, other) = (settings.me, old.warming() != settings.warming());
+        let (me, other) = (settings.gateway_index, old.warming() != settings.warming());
         for engine in self.engines.values_mut() {
             engine.rights.begin_anew();
-            if other || old.me != me {
+            if other || old.gateway_index != me {
                 engine.rights = Rights::default();
                 self.started_at = Some(self.now);
             }
@@ -120,7 +120,7 @@
             gateway.class_credit.credit[place] = taken;
             gateway.tenant_credit[place].credit = vec![1.0, -2.0];
         }
-        gateway.retune(settings(&["c", "b", "a"], &["x", "y"]));
+        gateway.reconfigure(settings(&["c", "b", "a"], &["x", "y"]));
         let taken: Vec<f64> = gateway.usual.iter().map(|usual| usual.taken).collect();
         assert_eq!(taken, [0.0, 7.0, 5.0]);
         assert_eq!(gateway.class_credit.credit, [5.0, 7.0, 0.0]);
--- a/src/repeats.rs
+++ b/src/retries.rs
@@ -17,9 +17,9 @@
         let same = match class.effect {
             Effect::Repeatable => return true,
             Effect::Once => false,
-            Effect::Keyed(Group::All) => true,
-            Effect::Keyed(Group::Zone) => first.is_some_and(|first| first.zone == engine.zone),
-            Effect::Keyed(Group::Cell) => first.is_some_and(|first| first.cell == engine.cell),
+            Effect::Keyed(DedupScope::All) => true,
+            Effect::Keyed(DedupScope::Zone) => first.is_some_and(|first| first.zone == engine.zone),
+            Effect::Keyed(DedupScope::Cell) => first.is_some_and(|first| first.cell == engine.cell),
         };
         same && self.starts_by(request).is_some_and(|by| self.now < by)
     }
@@ -29,7 +29,7 @@
         let class = &self.settings.classes[request.class];
         let keyed = matches!(class.effect, Effect::Keyed(_));
         let earlier = request.may_have_run().filter(|_| keyed)?;
-        Some(earlier.sent_at + (class.window - WINDOW_MARGIN))
+        Some(earlier.sent_at + (class.dedup_window - WINDOW_MARGIN))
     }
 
     pub(crate) fn attempts_allow(&self, request: &Request) -> bool {
@@ -37,7 +37,8 @@
         let copies = usize::from(self.settings.second_copies);
         let rationed = self.settings.attempt_budget.is_some_and(|budget| {
             let made = self.extra.count(self.now, budget.window) + 1.0;
-            made > budget.free + budget.per_request * self.taken.count(self.now, budget.window)
+            made > budget.free_attempts
+                + budget.extra_per_request * self.taken.count(self.now, budget.window)
         });
         made < request.attempts_allowed && out <= copies && (made == 0 || !rationed)
     }
--- a/src/parts.rs
+++ b/src/shard_usage.rs
@@ -2,55 +2,55 @@
 //!
 //! `src/sharding.rs` fills and reads them; `leases/` adds up what the shards tell.
 
-use crate::interface::{EngineId, GroupId, Micros};
+use crate::interface::{EngineId, Micros, TableGroupId};
 
 /// What is out on an engine.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Out {
+pub struct EngineUsage {
     pub threads: f64,
     pub memory_mb: f64,
     /// Table groups that loads hold there; one that two loads hold stands twice.
-    pub groups: Vec<GroupId>,
+    pub table_groups: Vec<TableGroupId>,
 }
 
 /// What is out of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ClassOut {
+pub struct ClassUsage {
     pub threads: f64,
     pub memory_mb: f64,
 }
 
 /// Threads that may still be sent; without a bound unless one is told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room(pub f64);
+pub struct ThreadQuota(pub f64);
 
-impl Default for Room {
-    fn default() -> Room {
-        Room(f64::INFINITY)
+impl Default for ThreadQuota {
+    fn default() -> ThreadQuota {
+        ThreadQuota(f64::INFINITY)
     }
 }
 
 /// What the siblings hold on an engine, and what this part may add.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EngineShare {
+pub struct SiblingEngineUsage {
     pub engine: EngineId,
     /// What is out there of the siblings, and what they may be sending at this moment.
-    pub out: Out,
+    pub usage: EngineUsage,
     /// Work that they sent there within the cold window, in core seconds.
-    pub cold_work: f64,
-    pub room: Room,
+    pub cold_work_core_s: f64,
+    pub quota: ThreadQuota,
 }
 
 /// What a part is told of its siblings.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Siblings {
-    pub engines: Vec<EngineShare>,
+pub struct SiblingUsage {
+    pub engines: Vec<SiblingEngineUsage>,
     /// By class, what is out of the siblings on all engines.
-    pub classes: Vec<ClassOut>,
+    pub classes: Vec<ClassUsage>,
     /// By class and tenant, how many requests wait at them.
-    pub waiting: Vec<Vec<usize>>,
+    pub waiting_requests: Vec<Vec<usize>>,
     /// Threads that this part may send to all engines together.
-    pub room: Room,
+    pub quota: ThreadQuota,
     /// The credit of classes, and of tenants by class, over all parts.
     pub class_credit: Vec<f64>,
     pub tenant_credit: Vec<Vec<f64>>,
@@ -58,14 +58,14 @@
 
 /// What a part tells of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Published {
-    pub engines: Vec<(EngineId, Out)>,
-    pub classes: Vec<ClassOut>,
-    pub waiting: Vec<Vec<usize>>,
+pub struct ShardUsage {
+    pub engines: Vec<(EngineId, EngineUsage)>,
+    pub classes: Vec<ClassUsage>,
+    pub waiting_requests: Vec<Vec<usize>>,
     /// By engine, the work sent since the last time, in core seconds.
-    pub sent: Vec<(EngineId, f64)>,
+    pub work_sent_core_s: Vec<(EngineId, f64)>,
     /// By when all that is out has ended, one way or the other.
-    pub until: Micros,
+    pub all_ended_by: Micros,
     /// By how much the credits have changed since the part heard of its siblings.
     pub class_credit: Vec<f64>,
     pub tenant_credit: Vec<Vec<f64>>,
@@ -73,23 +73,23 @@
 
 /// What a part would like to send.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wish {
+pub struct Demand {
     /// Threads of all that waits.
     pub threads: f64,
     /// Threads of the heaviest class: less room than that would be of no use to it.
-    pub heaviest: f64,
-    pub engines: Vec<EngineWish>,
+    pub heaviest_class_threads: f64,
+    pub engines: Vec<EngineDemand>,
 }
 
 /// An engine to which a part might send.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct EngineWish {
+pub struct EngineDemand {
     pub engine: EngineId,
     /// Threads that one gateway may have out there.
-    pub limit: f64,
-    pub cold: bool,
+    pub max_threads: f64,
+    pub is_cold: bool,
     /// Threads of what was out of this part and has ended, of which the part itself is told only now.
-    pub ended: f64,
+    pub ended_threads: f64,
 }
 
 /// What the gateway keeps of its siblings.
@@ -97,8 +97,8 @@
 pub(crate) struct Elsewhere {
     /// It has siblings: an engine of which they have told nothing yet has no room.
     pub parted: bool,
-    pub classes: Vec<ClassOut>,
-    pub room: Room,
+    pub classes: Vec<ClassUsage>,
+    pub room: ThreadQuota,
     /// The credits as last heard: what is published is how they have changed since.
     pub class_credit: Vec<f64>,
     pub tenant_credit: Vec<Vec<f64>>,
--- a/src/sharding.rs
+++ b/src/sharding.rs
@@ -1,14 +1,16 @@
 //! One gateway as several shards: each decides for its own requests, and all together keep to the limits of one.
 //!
-//! A shard is told what its siblings hold before it decides ([`Gateway::hear`]) and tells what it holds
+//! A shard is told what its siblings hold before it decides ([`Gateway::update_siblings`]) and tells what it holds
 //! itself afterwards ([`Gateway::publish`]). In between it sends no more than the room that it was given,
 //! so what two shards decide at the same moment can't add up to more than one gateway would send. Nothing
 //! is decided here: a gateway that has heard nothing of siblings acts as one whole.
 
 use crate::interface::{EngineId, Event, Micros};
-use crate::parts::{ClassOut, Elsewhere, EngineWish, Out, Published, Siblings, Wish};
 use crate::policy::Gateway;
-use crate::scale::OWN_EXCESS;
+use crate::shard_usage::{
+    ClassUsage, Demand, Elsewhere, EngineDemand, EngineUsage, ShardUsage, SiblingUsage,
+};
+use crate::sizing::OWN_EXCESS;
 use crate::state::{EngineView, Queues, Request};
 use std::collections::BTreeMap;
 
@@ -31,7 +33,7 @@
 
 impl Gateway {
     /// What this part would like to send, once it is told of these events.
-    pub fn wish(&self, now: Micros, events: &[Event]) -> Wish {
+    pub fn demand(&self, now: Micros, events: &[Event]) -> Demand {
         let mut arriving = 0.0;
         let mut ended: BTreeMap<EngineId, f64> = BTreeMap::new();
         for event in events {
@@ -52,17 +54,17 @@
         let listed = self.engines.values().filter(|engine| engine.listed());
         let engines = listed.map(|engine| {
             let ended = ended.get(&engine.entry.id).copied().unwrap_or(0.0);
-            EngineWish {
+            EngineDemand {
                 engine: engine.entry.id,
-                limit: self.most_threads(engine),
-                cold: self.is_cold(engine, now),
+                max_threads: self.most_threads(engine),
+                is_cold: self.is_cold(engine, now),
                 // No more than what it has out: of what it had called off it knows already.
-                ended: ended.min(engine.threads_out),
+                ended_threads: ended.min(engine.threads_out),
             }
         });
-        Wish {
+        Demand {
             threads: arriving + queued.map(|request| request.threads).sum::<f64>(),
-            heaviest: heaviest.fold(1.0, f64::max),
+            heaviest_class_threads: heaviest.fold(1.0, f64::max),
             engines: engines.collect(),
         }
     }
@@ -78,12 +80,12 @@
         if unheard {
             0.0
         } else {
-            engine.elsewhere.room.0
+            engine.elsewhere.quota.0
         }
     }
 
     /// Hears what its siblings hold, and what room it has until it publishes.
-    pub fn hear(&mut self, siblings: Siblings) {
+    pub fn update_siblings(&mut self, siblings: SiblingUsage) {
         self.surveyed.outdated |= !self.elsewhere.parted;
         for share in siblings.engines {
             if let Some(engine) = self.engines.get_mut(&share.engine) {
@@ -91,7 +93,7 @@
                 engine.told_of = true;
             }
         }
-        self.queues.elsewhere = siblings.waiting;
+        self.queues.elsewhere = siblings.waiting_requests;
         overwrite(&mut self.class_credit.credit, &siblings.class_credit);
         let tenants = self.tenant_credit.iter_mut();
         for (credit, told) in tenants.zip(&siblings.tenant_credit) {
@@ -100,7 +102,7 @@
         self.elsewhere = Elsewhere {
             parted: true,
             classes: siblings.classes,
-            room: siblings.room,
+            room: siblings.quota,
             class_credit: self.class_credit.credit.clone(),
             tenant_credit: self
                 .tenant_credit
@@ -111,8 +113,8 @@
     }
 
     /// Tells what it holds now.
-    pub fn publish(&mut self) -> Published {
-        let mut classes = vec![ClassOut::default(); self.settings.classes.len()];
+    pub fn publish(&mut self) -> ShardUsage {
+        let mut classes = vec![ClassUsage::default(); self.settings.classes.len()];
         let mut until = Micros(0);
         let out = |request: &&Request| request.attempts_out() > 0;
         for request in self.requests.values().filter(out) {
@@ -120,12 +122,12 @@
             classes[request.class].memory_mb += request.memory_held;
             until = until.max(request.deadline);
         }
-        let mut published = Published {
+        let mut published = ShardUsage {
             classes,
-            waiting: self.queues.own(),
-            until: until + self.settings.answer_slack,
+            waiting_requests: self.queues.own(),
+            all_ended_by: until + self.settings.answer_slack,
             class_credit: changes(&self.elsewhere.class_credit, &self.class_credit.credit),
-            ..Published::default()
+            ..ShardUsage::default()
         };
         for (place, credit) in self.tenant_credit.iter().enumerate() {
             let before = self.elsewhere.tenant_credit.get(place);
@@ -137,12 +139,12 @@
         for (id, engine) in &mut self.engines {
             let work = std::mem::take(&mut engine.unpublished);
             if work > 0.0 {
-                published.sent.push((*id, work));
+                published.work_sent_core_s.push((*id, work));
             }
-            let out = Out {
+            let out = EngineUsage {
                 threads: engine.threads_out,
                 memory_mb: engine.memory_out,
-                groups: engine.held.clone(),
+                table_groups: engine.held.clone(),
             };
             published.engines.push((*id, out));
         }
--- a/src/scale.rs
+++ b/src/sizing.rs
@@ -37,13 +37,16 @@
 
     /// Requests a second that come to each gateway, as far as tenants' shares tell; zero where they do not.
     fn usual_rate(&self) -> f64 {
-        let rates = self.tenants.iter().map(|tenant| tenant.per_second.max(0.0));
+        let rates = self
+            .tenants
+            .iter()
+            .map(|tenant| tenant.requests_per_second.max(0.0));
         rates.sum::<f64>() / self.all_gateways()
     }
 
     /// How much of the fleet a gateway may have out. Engines with a line for memory bound themselves what they run.
     pub(crate) fn multiple(&self) -> Multiple {
-        let bounds = if self.memory_line {
+        let bounds = if self.queues_for_memory {
             (OWN_EXCESS, MOST_PARTS)
         } else {
             (LEAST_PART, OWN_EXCESS)
@@ -54,7 +57,7 @@
     /// The most of that, for a gateway whose part is so many threads: what engines bear of all together, and what its own
     /// traffic scatters by chance, which is more the fewer of the heaviest queries a part holds.
     pub(crate) fn most_parts(&self, part: f64) -> f64 {
-        if self.memory_line {
+        if self.queues_for_memory {
             return MOST_PARTS;
         }
         let heaviest = self.heaviest();
@@ -80,8 +83,8 @@
         Warming {
             start: self.start_capacity,
             warm_after: self.warm_after.0,
-            multiple: self.fall_multiple,
-            window: self.overload_for.0,
+            multiple: self.overload_multiple,
+            window: self.overload_window.0,
             gateways: self.all_gateways(),
         }
     }
--- a/src/warming.rs
+++ b/src/slow_start.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Micros;
 use crate::policy::Gateway;
-use crate::state::{Attempt, EngineView, Request, mix};
+use crate::state::{Attempt, EngineView, Request, splitmix64};
 use sedgebeam_fleet::cold;
 
 /// Share of the gateway's part of a cold engine's budget that is used: estimates scatter.
@@ -53,7 +53,7 @@
     /// earlier life of this gateway, of which nothing is known, is a window away.
     pub(crate) fn cold_allows(&self, request: &Request, engine: &EngineView) -> bool {
         let (settings, now) = (&self.settings, self.now);
-        let window = settings.overload_for;
+        let window = settings.overload_window;
         if !self.is_cold(engine, now) {
             return true;
         }
@@ -62,7 +62,7 @@
             return settled && engine.rights.open(request.class, now.0);
         }
         let able = engine.cores * settings.start_capacity * window.0 as f64 / 1e6;
-        let part = settings.fall_multiple * able * COLD_MARGIN / settings.all_gateways();
+        let part = settings.overload_multiple * able * COLD_MARGIN / settings.all_gateways();
         let sent = engine.work_sent(now, window);
         settled && sent + self.weight(request.class) <= part
     }
@@ -97,8 +97,13 @@
             };
             let granted = warming.granted(age, engine.cores);
             let salt = engine.entry.id.0;
-            let phase =
-                |class: usize| cold::phase(me, warming.gateways, mix(salt ^ mix(class as u64)));
+            let phase = |class: usize| {
+                cold::phase(
+                    me,
+                    warming.gateways,
+                    splitmix64(salt ^ splitmix64(class as u64)),
+                )
+            };
             engine
                 .rights
                 .grow(now.0, granted, &warming, &classes, phase);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What a gateway remembers of requests and engines: plain records, no decisions.
 
 use crate::interface::*;
-use crate::parts::EngineShare;
+use crate::shard_usage::SiblingEngineUsage;
 use sedgebeam_fleet::Health;
 use sedgebeam_fleet::circle::Crowd;
 use sedgebeam_fleet::cold::Rights;
@@ -122,9 +122,9 @@
     pub told: Option<(f64, Micros)>,
     pub asked_at: Micros,
     /// Table groups that loads of this gateway hold there.
-    pub held: Vec<GroupId>,
+    pub held: Vec<TableGroupId>,
     /// Table groups that loads of other gateways hold there, as far as is known, and until when.
-    pub held_by_others: Vec<(GroupId, Micros)>,
+    pub held_by_others: Vec<(TableGroupId, Micros)>,
     pub heard_at: Micros,
     pub health: Health,
     /// How slow its answers were lately.
@@ -137,7 +137,7 @@
     pub unpublished: f64,
     /// Whether siblings have told of it, and what they hold here.
     pub told_of: bool,
-    pub elsewhere: EngineShare,
+    pub elsewhere: SiblingEngineUsage,
 }
 
 impl EngineView {
@@ -154,23 +154,23 @@
 
     /// Threads out of this part and of its siblings.
     pub fn all_threads(&self) -> f64 {
-        self.threads_out + self.elsewhere.out.threads
+        self.threads_out + self.elsewhere.usage.threads
     }
 
     /// Memory out of this part and of its siblings.
     pub fn all_memory(&self) -> f64 {
-        self.memory_out + self.elsewhere.out.memory_mb
+        self.memory_out + self.elsewhere.usage.memory_mb
     }
 
     /// A load of this part or of a sibling holds the group here.
-    pub fn holds_now(&self, group: GroupId) -> bool {
-        self.held.contains(&group) || self.elsewhere.out.groups.contains(&group)
+    pub fn holds_now(&self, group: TableGroupId) -> bool {
+        self.held.contains(&group) || self.elsewhere.usage.table_groups.contains(&group)
     }
 
     /// Work sent here within a window that ends now, by all parts.
     pub fn work_sent(&self, now: Micros, window: Micros) -> f64 {
         let recent = self.sends.iter().filter(|(at, _)| *at + window > now);
-        recent.map(|(_, work)| work).sum::<f64>() + self.elsewhere.cold_work
+        recent.map(|(_, work)| work).sum::<f64>() + self.elsewhere.cold_work_core_s
     }
 
     /// Takes a new entry of the list; what was held against an earlier process does not count.
@@ -187,15 +187,15 @@
     /// An attempt goes out; a load holds its table group.
     pub fn begins(&mut self, request: &Request, load: bool) {
         self.threads_out += request.threads;
-        self.elsewhere.room.0 -= request.threads;
+        self.elsewhere.quota.0 -= request.threads;
         self.memory_out += request.memory_held;
         self.attempts_out += 1;
         if load {
-            self.held.push(request.query.group);
+            self.held.push(request.query.table_group);
         }
     }
 
-    pub fn holds(&mut self, group: GroupId, now: Micros, until: Micros) {
+    pub fn holds(&mut self, group: TableGroupId, now: Micros, until: Micros) {
         self.held_by_others
             .retain(|(held, until)| *held != group && *until > now);
         self.held_by_others.push((group, until));
@@ -212,7 +212,7 @@
         self.threads_out -= request.threads;
         self.memory_out -= request.memory_held;
         self.attempts_out -= 1;
-        let group = request.query.group;
+        let group = request.query.table_group;
         let place = self.held.iter().position(|held| *held == group);
         if let Some(place) = place.filter(|_| load) {
             self.held.swap_remove(place);
@@ -362,7 +362,7 @@
 }
 
 /// A fixed mixer (splitmix64): what is ordered or drawn by it is so at every gateway alike.
-pub fn mix(value: u64) -> u64 {
+pub fn splitmix64(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/remembered.rs
+++ b/src/state_sizes.rs
@@ -5,32 +5,32 @@
 
 /// Entries of all that grows with what happens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Remembered {
+pub struct StateSizes {
     pub engines: usize,
     /// Requests that have no end yet, or an attempt out.
     pub requests: usize,
     /// Of them, those in a queue.
-    pub waiting: usize,
+    pub queued_requests: usize,
     /// Keys whose requests keep their order.
     pub keys: usize,
     /// Sends, groups and rights kept with engines, and times within the budget's window.
-    pub recent: usize,
+    pub recent_entries: usize,
 }
 
 impl Gateway {
-    pub fn remembered(&self) -> Remembered {
+    pub fn state_sizes(&self) -> StateSizes {
         let lines = self.queues.lines.iter().flatten();
         let engines = self.engines.values();
         let kept = engines.map(|engine| {
             let groups = engine.held.len() + engine.held_by_others.len();
-            groups + engine.sends.len() + engine.elsewhere.out.groups.len()
+            groups + engine.sends.len() + engine.elsewhere.usage.table_groups.len()
         });
-        Remembered {
+        StateSizes {
             engines: self.engines.len(),
             requests: self.requests.len(),
-            waiting: lines.map(VecDeque::len).sum(),
+            queued_requests: lines.map(VecDeque::len).sum(),
             keys: self.keys.len(),
-            recent: kept.sum::<usize>() + self.taken.len() + self.extra.len(),
+            recent_entries: kept.sum::<usize>() + self.taken.len() + self.extra.len(),
         }
     }
 }
--- a/src/circle.rs
+++ b/src/subset.rs
@@ -1,8 +1,8 @@
 //! The few engines that one of many gateways sends to, and what it holds for crowded.
 
-use crate::interface::{Ended, EngineId};
+use crate::interface::{AttemptEnded, EngineId};
 use crate::policy::{CROWDED, Gateway};
-use crate::state::{EngineView, Request, mix, prefer};
+use crate::state::{EngineView, Request, prefer, splitmix64};
 use sedgebeam_fleet::circle;
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
     pub fn add(&mut self, id: EngineId) {
         let place = self
             .0
-            .binary_search_by_key(&mix(id.0), |known| mix(known.0));
+            .binary_search_by_key(&splitmix64(id.0), |known| splitmix64(known.0));
         if let Err(place) = place {
             self.0.insert(place, id);
         }
@@ -28,7 +28,7 @@
 impl Gateway {
     /// How many times as long as alone an answer took; without its work told, by its estimate. What an engine
     /// that has started lately can't do yet is no crowd.
-    pub(crate) fn stretch(&self, request: &Request, end: &Ended) -> f64 {
+    pub(crate) fn stretch(&self, request: &Request, end: &AttemptEnded) -> f64 {
         let told = end.work.map(|work| work.0 as f64 / request.threads);
         let usual = self.usual[request.class].ratio;
         let guess = usual.map(|usual| request.estimate().unwrap_or(1e6) * usual.exp());
@@ -38,7 +38,7 @@
         let able = self.able_of(end.engine);
         // An answer is heard up to a tick late.
         let tick = self.settings.tick.0 as f64;
-        end.took.0 as f64 * able / (alone + tick).max(1.0)
+        end.elapsed.0 as f64 * able / (alone + tick).max(1.0)
     }
 
     /// Share of its capacity that an engine has by now: less than all of it where it has started lately.
@@ -50,8 +50,8 @@
 
     /// This gateway's number among all of them.
     pub(crate) fn number(&self) -> u32 {
-        let drawn = mix(self.seed) as u32 % self.settings.gateways.max(1);
-        self.settings.me.unwrap_or(drawn)
+        let drawn = splitmix64(self.seed) as u32 % self.settings.gateways.max(1);
+        self.settings.gateway_index.unwrap_or(drawn)
     }
 
     /// The ring without the engines that are cold, or not listed any more.
--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -15,18 +15,18 @@
 fn many_requests_and_ten_thousand_engines_leave_nothing_behind() {
     let settings = Settings {
         gateways: 30,
-        me: Some(3),
-        key_rest: ms(50),
+        gateway_index: Some(3),
+        key_quiet_period: ms(50),
         attempt_budget: Some(AttemptBudget {
             window: ms(200),
-            free: 10.0,
-            per_request: 0.2,
+            free_attempts: 10.0,
+            extra_per_request: 0.2,
         }),
         ..settings()
     };
     let mut bench = Bench::new(settings);
     let waves = ENGINES / LISTED;
-    let (mut most, mut attempts) = (Remembered::default(), Attempts::new());
+    let (mut most, mut attempts) = (StateSizes::default(), Attempts::new());
     for wave in 0..waves {
         let started_at = bench.now;
         let listed = (0..LISTED).map(|place| Engine {
@@ -49,29 +49,29 @@
             let class = [LIGHT, LIGHT, LIGHT, HEAVY, LOAD][(id % 5) as usize];
             let query = Query {
                 key: (class == LOAD).then_some(Key(id)),
-                group: GroupId(id % 5000),
+                table_group: TableGroupId(id % 5000),
                 ..query(id, class)
             };
             let done = bench.all(vec![Event::Request(query)]);
             end(&mut bench, done, &mut attempts);
         }
-        let kept = bench.gateway.remembered();
+        let kept = bench.gateway.state_sizes();
         most.engines = most.engines.max(kept.engines);
         most.requests = most.requests.max(kept.requests);
         most.keys = most.keys.max(kept.keys);
-        most.recent = most.recent.max(kept.recent);
+        most.recent_entries = most.recent_entries.max(kept.recent_entries);
     }
     assert!(most.engines <= 2 * LISTED as usize, "{most:?}");
     assert!(
-        most.requests < 200 && most.keys < 200 && most.recent < 2000,
+        most.requests < 200 && most.keys < 200 && most.recent_entries < 2000,
         "{most:?}"
     );
     // All that waited has had its time.
     bench.now = bench.now + ms(60_000);
     let done = bench.all(vec![Event::Timer(TimerId(0))]);
     end(&mut bench, done, &mut attempts);
-    let left = bench.gateway.remembered();
-    assert_eq!((left.requests, left.waiting), (0, 0), "{left:?}");
+    let left = bench.gateway.state_sizes();
+    assert_eq!((left.requests, left.queued_requests), (0, 0), "{left:?}");
     assert!(left.engines <= LISTED as usize, "{left:?}");
 }
 
@@ -97,7 +97,7 @@
             return;
         };
         let mut more = Vec::new();
-        let how = match mix(id ^ u64::from(attempt) << 40) % 20 {
+        let how = match splitmix64(id ^ u64::from(attempt) << 40) % 20 {
             0 => Outcome::Error,
             1 => Outcome::TimedOut,
             2 => Outcome::Reset,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,7 +17,7 @@
         threads,
         on_time: ms(on_time),
         give_up: ms(give_up),
-        window: ms(5000),
+        dedup_window: ms(5000),
         ..Class::default()
     }
 }
@@ -49,9 +49,9 @@
         drain_grace: ms(1000),
         start_capacity: 0.33,
         warm_after: ms(15000),
-        fall_multiple: 2.0,
-        overload_for: ms(2000),
-        note_every: ms(1000),
+        overload_multiple: 2.0,
+        overload_window: ms(2000),
+        note_interval: ms(1000),
         answer_slack: ms(20),
         tick: ms(5),
         ..Settings::default()
@@ -88,7 +88,7 @@
         let keeps = |action: &Action| {
             !matches!(
                 action,
-                Action::Timer { .. } | Action::Terms { .. } | Action::Log(_)
+                Action::Timer { .. } | Action::AttemptResources { .. } | Action::Log(_)
             )
         };
         self.all(vec![event]).into_iter().filter(keeps).collect()
@@ -129,15 +129,15 @@
 }
 
 pub fn ended(id: u64, attempt: u32, engine: u64, outcome: Outcome, finished: bool) -> Event {
-    Event::Ended(Ended {
+    Event::Ended(AttemptEnded {
         request: RequestId(id),
         attempt: AttemptNo(attempt),
         engine: EngineId(engine),
         outcome,
-        took: ms(50),
-        finished,
+        elapsed: ms(50),
+        request_finished: finished,
         work: None,
-        load: None,
+        load_report: None,
     })
 }
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -5,18 +5,18 @@
 use common::*;
 use sedgebeam_core::*;
 
-fn held(engine: u64, threads: f64, work: f64) -> Held {
-    Held {
-        engines: vec![EngineHeld {
+fn held(engine: u64, threads: f64, work: f64) -> HandoverState {
+    HandoverState {
+        engines: vec![EngineHandover {
             engine: EngineId(engine),
-            out: Out {
+            usage: EngineUsage {
                 threads,
-                ..Out::default()
+                ..EngineUsage::default()
             },
-            sent: vec![(ms(100_000), work)],
-            ..EngineHeld::default()
+            recent_sends: vec![(ms(100_000), work)],
+            ..EngineHandover::default()
         }],
-        ..Held::default()
+        ..HandoverState::default()
     }
 }
 
@@ -24,9 +24,13 @@
 fn what_another_process_has_out_on_an_engine_counts_as_own() {
     // A budget of 32 threads, as nothing is pressed; the other has all of it.
     let mut bench = Bench::with_engines(settings(), 1);
-    bench.gateway.beside(bench.now, &held(1, 32.0, 0.0), true);
+    bench
+        .gateway
+        .set_peer_process_usage(bench.now, &held(1, 32.0, 0.0), true);
     assert_eq!(sent_to(&bench.request(1, HEAVY)), None);
-    bench.gateway.beside(bench.now, &Held::default(), true);
+    bench
+        .gateway
+        .set_peer_process_usage(bench.now, &HandoverState::default(), true);
     assert_eq!(sent_to(&bench.wait(10)), Some(1), "the other has gone");
 }
 
@@ -40,7 +44,7 @@
 
 #[test]
 fn cold_engines_get_nothing_while_another_process_sends_to_them_nor_a_window_later() {
-    let window = settings().overload_for;
+    let window = settings().overload_window;
     let mut bench = Bench::new(settings());
     bench.now = bench.now + window;
     let started = cold(bench.now);
@@ -48,11 +52,15 @@
     let mut last = bench.now;
     for _ in 0..30 {
         last = bench.now;
-        bench.gateway.beside(bench.now, &Held::default(), false);
+        bench
+            .gateway
+            .set_peer_process_usage(bench.now, &HandoverState::default(), false);
         assert_eq!(bench.request(bench.now.0, LIGHT), vec![]);
         bench.wait(100);
     }
-    bench.gateway.beside(bench.now, &Held::default(), true);
+    bench
+        .gateway
+        .set_peer_process_usage(bench.now, &HandoverState::default(), true);
     let mut id = 1;
     while sent_to(&bench.request(id, LIGHT)).is_none() {
         id += 1;
@@ -67,11 +75,15 @@
     let mut bench = Bench::new(settings());
     let started = cold(bench.now);
     bench.list(vec![started]);
-    bench.now = bench.now + settings().overload_for;
+    bench.now = bench.now + settings().overload_window;
     let all = held(1, 0.0, 1e6);
-    bench.gateway.beside(ms(100_001), &all, true);
+    bench
+        .gateway
+        .set_peer_process_usage(ms(100_001), &all, true);
     assert_eq!(sent_to(&bench.request(1, LIGHT)), None);
-    bench.gateway.beside(ms(200_000), &all, true);
+    bench
+        .gateway
+        .set_peer_process_usage(ms(200_000), &all, true);
     assert_eq!(sent_to(&bench.request(2, LIGHT)), Some(1), "it is long ago");
 }
 
@@ -87,21 +99,29 @@
             old.ends(old.now.0, 0, to, Outcome::ConnectFailed);
         }
         old.now = old.now + ms(1);
-        if old.gateway.avoided().iter().any(|(id, _)| id.0 == to) {
+        if old
+            .gateway
+            .ejected_engines()
+            .iter()
+            .any(|(id, _)| id.0 == to)
+        {
             break;
         }
     }
-    let learned = old.gateway.held_over();
+    let learned = old.gateway.handover_state();
     let mut new = Bench::with_engines(settings(), 2);
     new.now = old.now;
-    new.gateway.take_over(&learned);
-    let avoided = new.gateway.avoided();
+    new.gateway.restore(&learned);
+    let avoided = new.gateway.ejected_engines();
     assert_eq!(avoided.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [to]);
     for id in 10..14 {
         assert_ne!(sent_to(&new.request(id, LIGHT)), Some(to));
     }
-    let (was, is) = (learned.classes[LIGHT].taken, new.gateway.held_over());
-    assert_eq!(is.classes[LIGHT].taken, was + 4.0);
+    let (was, is) = (
+        learned.classes[LIGHT].accepted_requests,
+        new.gateway.handover_state(),
+    );
+    assert_eq!(is.classes[LIGHT].accepted_requests, was + 4.0);
 }
 
 #[test]
@@ -110,10 +130,10 @@
     bench.request(1, LIGHT);
     bench.request(2, LOAD);
     let full = held(1, 32.0, 0.0);
-    bench.gateway.beside(bench.now, &full, true);
+    bench.gateway.set_peer_process_usage(bench.now, &full, true);
     bench.request(3, HEAVY);
-    let done = bench.on(Event::LastCall);
+    let done = bench.on(Event::Shutdown);
     // What may have run must not be said to be harmless.
     assert!(refused(&done, 1) && failed(&done, 2) && refused(&done, 3));
-    assert_eq!(bench.on(Event::LastCall), vec![]);
+    assert_eq!(bench.on(Event::Shutdown), vec![]);
 }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -10,7 +10,7 @@
     let mut seen = Vec::new();
     for id in from..from + count {
         let query = Query {
-            group: GroupId(id),
+            table_group: TableGroupId(id),
             ..query(id, LIGHT)
         };
         let to = sent_to(&bench.on(Event::Request(query))).expect("an engine is ready");
@@ -86,8 +86,8 @@
         let Event::Ended(end) = ended(id, 0, to, Outcome::Ok, true) else {
             unreachable!()
         };
-        bench.on(Event::Ended(Ended {
-            took: ms(1000),
+        bench.on(Event::Ended(AttemptEnded {
+            elapsed: ms(1000),
             ..end
         }));
     }
@@ -122,20 +122,20 @@
 #[test]
 fn asks_for_the_list_where_it_must_and_again_after_a_failure() {
     let mut bench = Bench::new(Settings {
-        list_mode: ListMode::Asked,
+        list_mode: ListMode::OnRequest,
         ..settings()
     });
     assert_eq!(
         bench
             .all(vec![])
             .iter()
-            .filter(|a| **a == Action::Follow)
+            .filter(|a| **a == Action::SubscribeToEngineList)
             .count(),
         1
     );
     bench.on(Event::ListFailed);
     assert_eq!(bench.wait(1900), vec![]);
-    assert_eq!(bench.wait(200), vec![Action::Follow]);
+    assert_eq!(bench.wait(200), vec![Action::SubscribeToEngineList]);
 }
 
 #[test]
--- a/tests/jams.rs
+++ b/tests/jams.rs
@@ -13,7 +13,7 @@
     Settings {
         gateways: 64,
         may_probe: true,
-        reports: Reports::InProbes,
+        load_reports: LoadReportMode::InProbes,
         classes: settings.classes.into_iter().map(waits).collect(),
         ..settings
     }
@@ -48,9 +48,9 @@
     assert!(again.is_some_and(|to| to != jammed), "{again:?}");
     bench.ends(1, 1, again.unwrap_or_default(), Outcome::Ok);
     // It answers when asked, and has nothing to do by what it tells.
-    let idle = Load {
-        busy: Some(0.05),
-        ..Load::default()
+    let idle = LoadReport {
+        busy_cores_share: Some(0.05),
+        ..LoadReport::default()
     };
     bench.on(Event::Probed(EngineId(jammed), Outcome::Ok, Some(idle)));
     for id in 10..60 {
@@ -94,7 +94,7 @@
 fn the_dearer_a_probe_the_fewer_are_asked() {
     let probes = |price: f64| {
         let settings = Settings {
-            probe_price: price,
+            probe_cost: price,
             ..crowd()
         };
         let mut bench = experienced(settings);
@@ -135,7 +135,10 @@
             unreachable!()
         };
         let took = Micros(500);
-        bench.on(Event::Ended(Ended { took, ..end }));
+        bench.on(Event::Ended(AttemptEnded {
+            elapsed: took,
+            ..end
+        }));
     }
     assert!(sent_to(&bench.request(100, LIGHT)).is_some());
     let done: Done = (0..4).flat_map(|_| bench.wait(10)).collect();
@@ -167,7 +170,11 @@
         vec![called_off],
         "it goes elsewhere"
     );
-    assert_eq!(bench.gateway.avoided(), vec![], "no engine is set aside");
+    assert_eq!(
+        bench.gateway.ejected_engines(),
+        vec![],
+        "no engine is set aside"
+    );
 }
 
 /// An answer from before the attempt tells nothing of how the engine is now.
@@ -177,7 +184,7 @@
     bench.request(1, LIGHT);
     bench.now = bench.now + ms(700);
     bench.on(hardly_moves(1));
-    assert_eq!(bench.gateway.avoided().len(), 1);
+    assert_eq!(bench.gateway.ejected_engines().len(), 1);
 }
 
 /// Without this an engine that had just started was set aside for being as slow as one that has just started.
@@ -201,7 +208,7 @@
         bench.now = bench.now + ms(300);
         let note = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.6));
         bench.on(note);
-        !bench.gateway.avoided().is_empty()
+        !bench.gateway.ejected_engines().is_empty()
     };
     assert!(stuck_at(None), "it would have been answered six times over");
     assert!(!stuck_at(Some(0)), "it does a third of what it will");
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -18,9 +18,9 @@
 }
 
 fn press(bench: &mut Bench) {
-    let load = Load {
-        waiting: Some(2.0),
-        ..Load::default()
+    let load = LoadReport {
+        queries_waiting_for_memory: Some(2.0),
+        ..LoadReport::default()
     };
     bench.on(Event::Probed(EngineId(1), Outcome::Ok, Some(load)));
 }
@@ -95,12 +95,12 @@
     let actions = bench.all(vec![Event::Request(query(1, LIGHT))]);
     assert_eq!(sends(&actions), vec![(1, 1)]);
     assert!(
-        matches!(actions[0], Action::Terms { priority: 3, .. }),
+        matches!(actions[0], Action::AttemptResources { priority: 3, .. }),
         "most worth for its thread time"
     );
     let actions = bench.all(vec![Event::Request(query(2, HEAVY))]);
     assert!(
-        matches!(actions[0], Action::Terms { priority: 1, .. }),
+        matches!(actions[0], Action::AttemptResources { priority: 1, .. }),
         "least worth for its thread time at the usual priority"
     );
 }
@@ -156,7 +156,10 @@
         let Event::Ended(end) = ended(id, 0, 1, Outcome::Ok, true) else {
             unreachable!()
         };
-        Event::Ended(Ended { took, ..end })
+        Event::Ended(AttemptEnded {
+            elapsed: took,
+            ..end
+        })
     };
     // Both usual times are learned: 50 ms, and a second on two threads.
     bench.on(Event::Request(waiting(1, 0)));
@@ -306,7 +309,7 @@
             let mut bench = Bench::new(settings());
             bench.list(engines.iter().copied().map(engine).collect());
             let query = Query {
-                group: GroupId(group),
+                table_group: TableGroupId(group),
                 ..query(1, LIGHT)
             };
             sent_to(&bench.on(Event::Request(query))).expect("an engine is ready")
--- a/tests/priorities.rs
+++ b/tests/priorities.rs
@@ -8,14 +8,14 @@
 fn settings_with_reports(takes_priorities: bool) -> Settings {
     Settings {
         gateways: 64,
-        reports: Reports::InAnswers,
+        load_reports: LoadReportMode::InAnswers,
         takes_priorities,
         ..settings()
     }
 }
 
 /// A gateway that has been told so much load by all of its engines.
-fn bench_told(settings: Settings, load: Load) -> Bench {
+fn bench_told(settings: Settings, load: LoadReport) -> Bench {
     let mut bench = Bench::with_engines(settings, 8);
     for id in 1000..1016 {
         if let Some(engine) = sent_to(&bench.request(id, LIGHT)) {
@@ -28,17 +28,17 @@
     bench
 }
 
-fn is_sent(settings: Settings, load: Load, class: usize) -> bool {
+fn is_sent(settings: Settings, load: LoadReport, class: usize) -> bool {
     let mut bench = bench_told(settings, load);
     sent_to(&bench.request(1, class)).is_some()
 }
 
 /// Every core has work: what goes ahead of it is still served at once.
-const BUSY: Load = Load {
-    busy: Some(1.0),
-    active: None,
-    waiting: None,
-    granted: None,
+const BUSY: LoadReport = LoadReport {
+    busy_cores_share: Some(1.0),
+    active_queries: None,
+    queries_waiting_for_memory: None,
+    granted_memory_share: None,
 };
 
 /// Without this the light class was hardly served while heavy queries kept all engines busy.
@@ -56,8 +56,8 @@
 /// Many more queries than cores are no room for anybody.
 #[test]
 fn a_light_class_waits_where_far_more_runs_than_the_engine_bears() {
-    let crowded = Load {
-        active: Some(64.0),
+    let crowded = LoadReport {
+        active_queries: Some(64.0),
         ..BUSY
     };
     assert!(!is_sent(settings_with_reports(true), crowded, LIGHT));
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -16,7 +16,7 @@
 fn sends_in_all(before: Settings, after: Settings, class: usize) -> usize {
     let mut bench = Bench::with_engines(before, 4);
     let mut to = sent_to(&bench.request(1, class));
-    bench.gateway.retune(after);
+    bench.gateway.reconfigure(after);
     let mut count = 0;
     while let Some(engine) = to {
         count += 1;
@@ -52,7 +52,7 @@
     after.classes.push(once);
     assert_eq!(sends_in_all(settings(), after.clone(), LIGHT), 5);
     let mut bench = Bench::with_engines(settings(), 4);
-    bench.gateway.retune(after);
+    bench.gateway.reconfigure(after);
     let to = sent_to(&bench.request(2, 3)).expect("the new class is served");
     assert!(failed(&bench.ends(2, 0, to, Outcome::Error), 2));
 }
@@ -68,9 +68,9 @@
     after.tenants = vec![Tenant {
         name: "firm".to_string(),
         share: 1.0,
-        per_second: 0.0,
+        requests_per_second: 0.0,
     }];
-    bench.gateway.retune(after);
+    bench.gateway.reconfigure(after);
     let mut newcomer = query(4, 3);
     newcomer.tenant = Some(TenantId(0));
     bench.on(Event::Request(newcomer));
@@ -91,7 +91,7 @@
 fn a_load_that_is_retired_lets_its_group_go() {
     let mut bench = Bench::with_engines(settings(), 1);
     let load = Query {
-        group: GroupId(7),
+        table_group: TableGroupId(7),
         ..query(1, LOAD)
     };
     assert_eq!(sent_to(&bench.on(Event::Request(load))), Some(1));
@@ -101,9 +101,9 @@
         holds_group: true,
         ..class(15.0, 2.0, 3000, 25000)
     });
-    bench.gateway.retune(after);
+    bench.gateway.reconfigure(after);
     let next = Query {
-        group: GroupId(7),
+        table_group: TableGroupId(7),
         ..query(2, 3)
     };
     assert_eq!(sent_to(&bench.on(Event::Request(next))), None, "it is held");
@@ -117,11 +117,11 @@
 fn fewer_gateways_told_of_give_nobody_rights_for_the_time_before() {
     let of = |gateways, me| Settings {
         gateways,
-        me: Some(me),
-        fall_multiple: 4.0,
+        gateway_index: Some(me),
+        overload_multiple: 4.0,
         classes: vec![class(1.0, 1.0, 300, 1500)],
         tenants: vec![Tenant {
-            per_second: 1000.0,
+            requests_per_second: 1000.0,
             ..Tenant::default()
         }],
         ..settings()
@@ -140,7 +140,7 @@
             bench.now = bench.now + ms(100);
             bench.on(Event::Timer(TimerId(0)));
         }
-        bench.gateway.retune(of(100, *me));
+        bench.gateway.reconfigure(of(100, *me));
         bench.now = bench.now + ms(10);
         bench.on(Event::Timer(TimerId(0)));
         sent_to(&bench.request(1, LIGHT)).is_some()
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -50,7 +50,7 @@
 
 #[test]
 fn once_after_each_outcome() {
-    let proves = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot];
+    let proves = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
     for outcome in proves {
         let mut bench = Bench::with_engines(settings(), 2);
         let to = sent_to(&bench.request(1, LOAD)).expect("an engine is ready");
@@ -81,7 +81,7 @@
 }
 
 /// Two zones of two cells each; engines 1 and 2 share zone and cell, 3 only the zone, 4 nothing.
-fn grouped(group: Group) -> (Bench, u64) {
+fn grouped(group: DedupScope) -> (Bench, u64) {
     let mut settings = settings();
     settings.classes[LOAD].effect = Effect::Keyed(group);
     let mut bench = Bench::new(settings);
@@ -105,8 +105,8 @@
 #[test]
 fn keyed_repeats_stay_within_their_group() {
     for (group, allowed) in [
-        (Group::Cell, [[1, 2, 2], [4, 5, 5]]),
-        (Group::Zone, [[1, 2, 3], [4, 5, 5]]),
+        (DedupScope::Cell, [[1, 2, 2], [4, 5, 5]]),
+        (DedupScope::Zone, [[1, 2, 3], [4, 5, 5]]),
     ] {
         let (mut bench, first) = grouped(group);
         let done = bench.ends(1, 0, first, Outcome::Error);
@@ -117,13 +117,13 @@
             .expect("a known engine");
         assert!(own.contains(&again), "{group:?}: {first} then {again}");
     }
-    let (mut bench, first) = grouped(Group::All);
+    let (mut bench, first) = grouped(DedupScope::All);
     assert!(sent_to(&bench.ends(1, 0, first, Outcome::Error)).is_some());
 }
 
 #[test]
 fn keyed_repeats_stay_within_their_window() {
-    for (group, refusal) in [(Group::All, true), (Group::Cell, false)] {
+    for (group, refusal) in [(DedupScope::All, true), (DedupScope::Cell, false)] {
         let (mut bench, first) = grouped(group);
         bench.now = bench.now + ms(5000);
         let done = bench.ends(1, 0, first, Outcome::Error);
@@ -147,14 +147,14 @@
         })
     };
     let mut settings = settings();
-    settings.classes[LOAD].effect = Effect::Keyed(Group::All);
+    settings.classes[LOAD].effect = Effect::Keyed(DedupScope::All);
     for (window, repeated) in [
         (ms(5000), true),
         (ms(400), true),
         (ms(50), false),
         (ms(0), false),
     ] {
-        settings.classes[LOAD].window = window;
+        settings.classes[LOAD].dedup_window = window;
         let mut bench = Bench::with_engines(settings.clone(), 3);
         let first = bench.request(1, LOAD);
         assert_eq!(
@@ -274,7 +274,7 @@
     assert_eq!(bench.on(keyed(3)), vec![]);
     let other = Event::Request(Query {
         key: Some(Key(8)),
-        group: GroupId(9),
+        table_group: TableGroupId(9),
         ..query(4, LOAD)
     });
     assert_eq!(
@@ -293,7 +293,7 @@
 fn a_key_rests_after_an_attempt_that_may_still_run() {
     let mut bench = Bench::with_engines(
         Settings {
-            key_rest: ms(500),
+            key_quiet_period: ms(500),
             ..settings()
         },
         3,
@@ -343,8 +343,8 @@
 fn further_attempts_stay_within_the_budget() {
     let budget = AttemptBudget {
         window: ms(10_000),
-        free: 1.0,
-        per_request: 0.5,
+        free_attempts: 1.0,
+        extra_per_request: 0.5,
     };
     let mut bench = Bench::with_engines(
         Settings {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -54,7 +54,7 @@
 fn a_heavy_query_goes_by_what_the_asked_engines_say() {
     let asked = Settings {
         may_probe: true,
-        reports: Reports::InProbes,
+        load_reports: LoadReportMode::InProbes,
         ..crowd()
     };
     let mut bench = Bench::with_engines(asked, 8);
@@ -65,9 +65,9 @@
     };
     let probed: Vec<EngineId> = done.iter().filter_map(probed).collect();
     assert!(sends(&done).is_empty() && probed.len() == 3, "{done:?}");
-    let report = |busy| Load {
-        busy: Some(busy),
-        ..Load::default()
+    let report = |busy| LoadReport {
+        busy_cores_share: Some(busy),
+        ..LoadReport::default()
     };
     let mut sent = Vec::new();
     for (engine, busy) in probed.iter().zip([1.0, 0.1, 1.0]) {
@@ -84,15 +84,15 @@
             bench.on(Event::ClientLeft(RequestId(id)));
             continue;
         };
-        bench.on(Event::Ended(Ended {
+        bench.on(Event::Ended(AttemptEnded {
             request: RequestId(id),
             attempt: AttemptNo(0),
             engine: sent,
             outcome: Outcome::Ok,
-            took: ms(took),
-            finished: true,
+            elapsed: ms(took),
+            request_finished: true,
             work: Some(ms(50)),
-            load: None,
+            load_report: None,
         }));
     }
 }
@@ -147,7 +147,7 @@
 fn a_part_does_not_fall_under_two_where_engines_keep_a_line_for_memory() {
     let least = |memory_line| {
         let settings = Settings {
-            memory_line,
+            queues_for_memory: memory_line,
             ..crowd()
         };
         let mut bench = Bench::with_engines(settings, 8);
@@ -165,7 +165,7 @@
 fn memory_out(settings: &Settings) -> f64 {
     let sent = |me: u32| {
         let settings = Settings {
-            me: Some(me),
+            gateway_index: Some(me),
             ..settings.clone()
         };
         let mut bench = Bench {
--- a/tests/storm.rs
+++ b/tests/storm.rs
@@ -82,7 +82,7 @@
                     let class = &self.settings.classes[taken.query.class.0];
                     let ran = |a: &Try| a.outcome.is_none_or(Outcome::may_have_run);
                     let harmless = match class.effect {
-                        Effect::Repeatable | Effect::Keyed(Group::All) => true,
+                        Effect::Repeatable | Effect::Keyed(DedupScope::All) => true,
                         _ => !taken.tries.iter().any(ran),
                     };
                     assert!(harmless, "rule 2: a refusal that may do harm");
@@ -149,13 +149,16 @@
                 Effect::Repeatable => {}
                 Effect::Once => panic!("rule 2: sent again"),
                 Effect::Keyed(group) => {
-                    assert!(now < earlier.sent_at + class.window, "rule 2: window");
+                    assert!(now < earlier.sent_at + class.dedup_window, "rule 2: window");
                     let by = starts_by.expect("rule 2: a bound for its beginning");
-                    assert!(now < by && by < earlier.sent_at + class.window, "rule 2");
+                    assert!(
+                        now < by && by < earlier.sent_at + class.dedup_window,
+                        "rule 2"
+                    );
                     match group {
-                        Group::All => {}
-                        Group::Zone => assert_eq!(engine.zone, earlier.engine.zone, "rule 2"),
-                        Group::Cell => assert_eq!(engine.cell, earlier.engine.cell, "rule 2"),
+                        DedupScope::All => {}
+                        DedupScope::Zone => assert_eq!(engine.zone, earlier.engine.zone, "rule 2"),
+                        DedupScope::Cell => assert_eq!(engine.cell, earlier.engine.cell, "rule 2"),
                     }
                 }
             }
@@ -167,7 +170,7 @@
             }
             if let Some((owner, at)) = self.unsure.get(&key.0) {
                 assert!(
-                    *owner == id || now >= *at + settings.key_rest,
+                    *owner == id || now >= *at + settings.key_quiet_period,
                     "rule 5: the key rests"
                 );
             }
@@ -190,17 +193,17 @@
             let within = |times: &[Micros]| {
                 times.iter().filter(|at| **at + budget.window > now).count() as f64
             };
-            let most = budget.free + budget.per_request * within(&self.taken);
+            let most = budget.free_attempts + budget.extra_per_request * within(&self.taken);
             assert!(within(&self.extra) <= most, "rule 7");
         }
         if engine.started_at > Micros(0) && now < engine.started_at + settings.warm_after {
             let sends = self.cold.entry(to).or_default();
             sends.push((now, taken.query.work.0 as f64 / 1e6));
-            let window = settings.overload_for;
+            let window = settings.overload_window;
             let recent = sends.iter().filter(|(at, _)| *at + window > now);
             let work: f64 = recent.map(|(_, work)| work).sum();
             let able = 8.0 * settings.start_capacity * window.0 as f64 / 1e6;
-            let most = settings.fall_multiple * able / f64::from(settings.gateways);
+            let most = settings.overload_multiple * able / f64::from(settings.gateways);
             assert!(work <= most, "rule 4: {work} of {most}");
         }
         self.sends += 1;
@@ -229,17 +232,17 @@
         if let (Some(key), true) = (taken.query.key, unsure) {
             self.unsure.insert(key.0, (id, self.now));
         }
-        Event::Ended(Ended {
+        Event::Ended(AttemptEnded {
             request: RequestId(id),
             attempt: AttemptNo(number as u32),
             engine,
             outcome,
-            took,
-            finished,
+            elapsed: took,
+            request_finished: finished,
             work: None,
-            load: Some(Load {
-                waiting: Some((id % 3) as f64),
-                ..Load::default()
+            load_report: Some(LoadReport {
+                queries_waiting_for_memory: Some((id % 3) as f64),
+                ..LoadReport::default()
             }),
         })
     }
@@ -250,10 +253,10 @@
     settings.gateways = 2;
     settings.attempt_budget = Some(AttemptBudget {
         window: ms(3000),
-        free: 5.0,
-        per_request: 0.3,
+        free_attempts: 5.0,
+        extra_per_request: 0.3,
     });
-    settings.key_rest = ms(300);
+    settings.key_quiet_period = ms(300);
     settings.tenants = vec![
         Tenant {
             share: 0.7,
@@ -266,9 +269,9 @@
         memory_mb: 8192.0,
     });
     settings.classes[HEAVY].only_kinds = Some(vec![KindId(0)]);
-    for group in [Group::All, Group::Zone, Group::Cell] {
+    for group in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         let effect = Effect::Keyed(group);
-        let only_zones = (group == Group::Zone).then(|| vec![ZoneId(0), ZoneId(1)]);
+        let only_zones = (group == DedupScope::Zone).then(|| vec![ZoneId(0), ZoneId(1)]);
         settings.classes.push(Class {
             effect,
             only_zones,
@@ -327,7 +330,7 @@
                 remaining,
                 work: ms(100),
                 memory_mb: 500.0,
-                group: GroupId(chance.below(10)),
+                table_group: TableGroupId(chance.below(10)),
                 ..Query::new(RequestId(next), ClassId(class), remaining)
             };
             if let Some(key) = key {
@@ -358,7 +361,7 @@
                 _ if world.now >= attempt.times_out => Outcome::TimedOut,
                 0..=20 => Outcome::Ok,
                 21..=22 => Outcome::Error,
-                23 => Outcome::Full,
+                23 => Outcome::Rejected,
                 24..=25 => Outcome::ConnectFailed,
                 26 => Outcome::Reset,
                 27 => Outcome::Cancelled,
--- a/virtual/src/actions.rs
+++ b/virtual/src/actions.rs
@@ -31,7 +31,7 @@
 impl Simulation {
     pub(crate) fn perform(&mut self, gateway: usize, action: Action) {
         match action {
-            Action::Terms {
+            Action::AttemptResources {
                 request, priority, ..
             } => self.set_priority(request, usize::from(priority)),
             Action::Send {
@@ -50,7 +50,7 @@
             Action::Fail { request } => self.reject(gateway, request, Rejection::Failed),
             Action::Timer { at, .. } => self.gateways[gateway].set_timer(at),
             Action::Probe { engine } => self.probe(gateway, engine),
-            Action::Follow | Action::Log(_) => {}
+            Action::SubscribeToEngineList | Action::Log(_) => {}
         }
     }
 
--- a/virtual/src/clients.rs
+++ b/virtual/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::simulation::{START, STEP, Simulation};
 use rand::Rng;
 use rand_distr::{Distribution, LogNormal, Poisson};
-use sedgebeam_core::{ClassId, Event, GroupId, Micros, Query, RequestId, TenantId};
+use sedgebeam_core::{ClassId, Event, Micros, Query, RequestId, TableGroupId, TenantId};
 
 /// How far work scatters about its mean, and its estimate about it, as log ratios.
 const WORK_SIGMA: f64 = 0.5;
@@ -94,7 +94,7 @@
             arrived_at: self.now,
             work,
             memory_mb,
-            group: query.group,
+            group: query.table_group,
             priority: DEFAULT_PRIORITY,
             in_flight: None,
             attempts: 0,
@@ -115,12 +115,12 @@
         let settings = &self.deployment.settings;
         let tenants = settings.tenants.len();
         let tenant = (tenants > 0).then(|| TenantId(self.rng.random_range(0..tenants)));
-        let group = GroupId(self.rng.random_range(0..TABLE_GROUPS));
+        let group = TableGroupId(self.rng.random_range(0..TABLE_GROUPS));
         Query {
             tenant,
             work: Micros((estimate * 1e6) as u64),
             memory_mb,
-            group,
+            table_group: group,
             ..Query::new(id, ClassId(class), settings.classes[class].give_up)
         }
     }
--- a/virtual/src/deployment.rs
+++ b/virtual/src/deployment.rs
@@ -1,7 +1,9 @@
 //! Deployments: how many gateways and engines, what is asked of them, and by which settings.
 
 use crate::engine_model::{CORES, MEMORY_MB};
-use sedgebeam_core::{Class, Effect, Group, Kind, Micros, Reports, Settings, Tenant, ZoneId};
+use sedgebeam_core::{
+    Class, DedupScope, Effect, Kind, LoadReportMode, Micros, Settings, Tenant, ZoneId,
+};
 
 /// What the queries of a class are like.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +39,7 @@
         threads,
         on_time: ms(on_time),
         give_up: ms(give_up),
-        window: ms(5000),
+        dedup_window: ms(5000),
         ..Class::default()
     }
 }
@@ -62,7 +64,7 @@
         let tenant = |name: &str, share: f64| Tenant {
             name: name.to_string(),
             share,
-            per_second: 0.0,
+            requests_per_second: 0.0,
         };
         let settings = Settings {
             gateways,
@@ -79,9 +81,9 @@
             drain_grace: ms(500),
             start_capacity: 0.3,
             warm_after: ms(14_000),
-            fall_multiple: 4.0,
-            overload_for: ms(1000),
-            note_every: ms(1000),
+            overload_multiple: 4.0,
+            overload_window: ms(1000),
+            note_interval: ms(1000),
             answer_slack: ms(500),
             tick: ms(5),
             ..Settings::default()
@@ -112,7 +114,7 @@
     fn update_allowances(&mut self) {
         let rate: f64 = self.rates().sum();
         for tenant in &mut self.settings.tenants {
-            tenant.per_second = rate * tenant.share;
+            tenant.requests_per_second = rate * tenant.share;
         }
     }
 
@@ -136,22 +138,22 @@
         deployment.zones = 1;
         deployment.settings.tenants.clear();
         deployment.settings.takes_priorities = false;
-        deployment.settings.note_every = Micros(0);
+        deployment.settings.note_interval = Micros(0);
         deployment
     }
 
     /// Load reports, by probes that are free or in answers.
-    pub fn with_load_reports(gateways: u32, engines: u64, reports: Reports) -> Deployment {
+    pub fn with_load_reports(gateways: u32, engines: u64, reports: LoadReportMode) -> Deployment {
         let mut deployment = Deployment::standard(gateways, engines);
-        deployment.settings.reports = reports;
-        deployment.settings.may_probe = reports == Reports::InProbes;
+        deployment.settings.load_reports = reports;
+        deployment.settings.may_probe = reports == LoadReportMode::InProbes;
         deployment
     }
 
     /// Heavy queries whose repeats their zone drops.
     pub fn with_deduplication(gateways: u32, engines: u64) -> Deployment {
         let mut deployment = Deployment::standard(gateways, engines);
-        deployment.settings.classes[1].effect = Effect::Keyed(Group::Zone);
+        deployment.settings.classes[1].effect = Effect::Keyed(DedupScope::Zone);
         deployment
     }
 
@@ -179,7 +181,7 @@
     /// The settings of one gateway.
     pub fn settings_of(&self, number: u32) -> Settings {
         Settings {
-            me: Some(number),
+            gateway_index: Some(number),
             zone: Some(self.zone(u64::from(number))),
             ..self.settings.clone()
         }
--- a/virtual/src/engine_model.rs
+++ b/virtual/src/engine_model.rs
@@ -7,7 +7,9 @@
 
 use arrivals::RecentArrivals;
 use rand::Rng;
-use sedgebeam_core::{EngineId, GroupId, Load, Micros, Note, RequestId, Settings, ZoneId};
+use sedgebeam_core::{
+    EngineId, LoadReport, Micros, Note, RequestId, Settings, TableGroupId, ZoneId,
+};
 use std::collections::BTreeMap;
 
 /// Cores and memory of every engine.
@@ -46,7 +48,7 @@
     /// Tells attempts of one request apart.
     pub attempt: u32,
     pub class: usize,
-    pub group: GroupId,
+    pub group: TableGroupId,
     pub threads: f64,
     pub memory_mb: f64,
     pub priority: usize,
@@ -139,13 +141,13 @@
 
     /// What arrived within the window over what a cold engine bears; zero for a warm one.
     pub fn overload(&mut self, now: Micros, settings: &Settings, mean_work: f64) -> f64 {
-        let window = settings.overload_for;
+        let window = settings.overload_window;
         self.recent_arrivals.expire(now, window);
         if !self.is_cold(now, settings) {
             return 0.0;
         }
         let capacity = CORES * self.warm_share(now, settings);
-        let allowed_work = capacity * settings.fall_multiple * window.0 as f64 / 1e6;
+        let allowed_work = capacity * settings.overload_multiple * window.0 as f64 / 1e6;
         let allowed = allowed_work / mean_work.max(1e-9);
         let arrived = self.recent_arrivals.work() / mean_work.max(1e-9);
         arrived / (allowed + TOLERATED_ROOTS * allowed.sqrt() + TOLERATED_QUERIES)
@@ -205,7 +207,7 @@
     }
 
     /// Table groups that are locked by loads.
-    fn locked_groups(&self, settings: &Settings) -> Vec<GroupId> {
+    fn locked_groups(&self, settings: &Settings) -> Vec<TableGroupId> {
         let holds = |query: &&RunningQuery| settings.classes[query.class].holds_group;
         let holders = self.running.values().filter(holds);
         holders.map(|query| query.group).collect()
@@ -242,7 +244,7 @@
             } else if query.is_done() {
                 Some(QueryReport::Done)
             } else {
-                let note = query.note(now, settings.note_every, blocked);
+                let note = query.note(now, settings.note_interval, blocked);
                 note.map(QueryReport::Note)
             };
             reports.extend(report.map(|report| (*id, report)));
@@ -251,13 +253,13 @@
     }
 
     /// What it tells of its load. One that pages looks idle: its cores wait.
-    pub fn load(&self) -> Load {
+    pub fn load(&self) -> LoadReport {
         let paging = 1.0 + self.memory_shortage() * PAGING_COST;
-        Load {
-            active: Some(self.running.len() as f64),
-            waiting: Some(0.0),
-            busy: Some((self.threads() / CORES).min(1.0) / paging),
-            granted: Some((self.memory_mb() / MEMORY_MB).min(1.0)),
+        LoadReport {
+            active_queries: Some(self.running.len() as f64),
+            queries_waiting_for_memory: Some(0.0),
+            busy_cores_share: Some((self.threads() / CORES).min(1.0) / paging),
+            granted_memory_share: Some((self.memory_mb() / MEMORY_MB).min(1.0)),
         }
     }
 }
--- a/virtual/src/engine_model/tests.rs
+++ b/virtual/src/engine_model/tests.rs
@@ -23,7 +23,7 @@
         gateway: 0,
         attempt: 0,
         class: 1,
-        group: GroupId(0),
+        group: TableGroupId(0),
         threads: 4.0,
         memory_mb,
         priority,
@@ -43,7 +43,7 @@
         } else {
             query(1e6, memory_mb, 1)
         };
-        let group = GroupId(id);
+        let group = TableGroupId(id);
         let query = RunningQuery { group, ..query };
         engine.start(ms(0), RequestId(id), query, true);
     }
--- a/virtual/src/engines.rs
+++ b/virtual/src/engines.rs
@@ -5,7 +5,8 @@
 use crate::rules::Rule;
 use crate::simulation::{START, STEP, Simulation};
 use sedgebeam_core::{
-    AttemptNo, Ended, EngineId, Event, Load, Micros, Outcome, Reports, RequestId, ZoneId, mix,
+    AttemptEnded, AttemptNo, EngineId, Event, LoadReport, LoadReportMode, Micros, Outcome,
+    RequestId, ZoneId, splitmix64,
 };
 
 /// The overload of a cold engine is the fault of those who knew of its start if they sent more than this share.
@@ -37,7 +38,7 @@
         self.engines_started += 1;
         let number = self.engines_started;
         // An id tells nothing of zone or age.
-        let id = EngineId(mix(number));
+        let id = EngineId(splitmix64(number));
         let engine = EngineModel::new(id, self.deployment.zone(number), started_at);
         self.engines.insert(id, engine);
         id
@@ -145,16 +146,16 @@
         let served = outcome == Outcome::Ok;
         let (gateway, work) = (request.gateway, Micros((request.work * 1e6) as u64));
         let load = self.remove_query(ended.engine, id);
-        let reports_load = self.deployment.settings.reports == Reports::InAnswers;
-        let event = Event::Ended(Ended {
+        let reports_load = self.deployment.settings.load_reports == LoadReportMode::InAnswers;
+        let event = Event::Ended(AttemptEnded {
             request: id,
             attempt: AttemptNo(attempt),
             engine: ended.engine,
             outcome,
-            took: self.now - ended.sent_at,
-            finished: served,
+            elapsed: self.now - ended.sent_at,
+            request_finished: served,
             work: served.then_some(work),
-            load: load.filter(|_| served && reports_load),
+            load_report: load.filter(|_| served && reports_load),
         });
         self.gateways[gateway].inbox.push(event);
         if served {
@@ -163,7 +164,7 @@
     }
 
     /// Drops a query from its engine and returns the engine's load after it.
-    fn remove_query(&mut self, engine: EngineId, id: RequestId) -> Option<Load> {
+    fn remove_query(&mut self, engine: EngineId, id: RequestId) -> Option<LoadReport> {
         let engine = self.engines.get_mut(&engine)?;
         engine.running.remove(&id);
         Some(engine.load())
--- a/virtual/src/gateway_logic.rs
+++ b/virtual/src/gateway_logic.rs
@@ -17,6 +17,6 @@
     }
 
     fn retune(&mut self, settings: Settings) {
-        Gateway::retune(self, settings);
+        Gateway::reconfigure(self, settings);
     }
 }
--- a/virtual/src/requests.rs
+++ b/virtual/src/requests.rs
@@ -1,6 +1,6 @@
 //! Requests that have no final answer yet.
 
-use sedgebeam_core::{EngineId, GroupId, Micros};
+use sedgebeam_core::{EngineId, Micros, TableGroupId};
 
 /// The attempt of a request that is under way.
 pub(crate) struct AttemptInFlight {
@@ -19,7 +19,7 @@
     /// Core seconds that it really takes.
     pub work: f64,
     pub memory_mb: f64,
-    pub group: GroupId,
+    pub group: TableGroupId,
     pub priority: usize,
     pub in_flight: Option<AttemptInFlight>,
     /// Attempts made so far.
--- a/virtual/tests/days.rs
+++ b/virtual/tests/days.rs
@@ -1,7 +1,7 @@
 //! Simulations of whole fleets: each scenario at several sizes and deployments, checked against all rules, and a faulty
 //! gateway for each rule.
 
-use sedgebeam_core::{Gateway, Micros, Reports, Settings};
+use sedgebeam_core::{Gateway, LoadReportMode, Micros, Settings};
 use sedgebeam_virtual::*;
 
 fn ms(millis: u64) -> Micros {
@@ -135,8 +135,8 @@
     let deployments: [Deployment; 5] = [
         Deployment::single_class(60, 20),
         Deployment::minimal(60, 20),
-        Deployment::with_load_reports(60, 20, Reports::InProbes),
-        Deployment::with_load_reports(60, 20, Reports::InAnswers),
+        Deployment::with_load_reports(60, 20, LoadReportMode::InProbes),
+        Deployment::with_load_reports(60, 20, LoadReportMode::InAnswers),
         Deployment::with_deduplication(60, 20),
     ];
     for (at, deployment) in deployments.into_iter().enumerate() {
