--- a/broker/src/parts.rs
+++ b/broker/src/parts.rs
@@ -1,6 +1,6 @@
 //! A broker as one shard of several: what it shares with its siblings.
 
-use sedgebeam_core::{EngineId, Micros, Published, RequestId, Settings, Wish};
+use sedgebeam_core::{Demand, EngineId, Micros, RequestId, Settings, ShardUsage};
 use sedgebeam_leases::{CommitResult, Lease, LeaseId, LeaseTable, LeaseTerms, ShardId};
 use sedgebeam_port::Desk;
 use std::collections::{BTreeSet, HashMap};
@@ -40,13 +40,13 @@
 }
 
 fn terms(shards: usize, open: usize, settings: &Settings) -> LeaseTerms {
-    LeaseTerms {
-        shard_count: shards,
-        lease_duration: LEASE,
-        redistribution_interval: settings.tick,
-        cold_window: settings.overload_for,
-        max_credit: sedgebeam_core::CREDIT_CAP,
-        max_open_requests: open,
+LeaseTerms {
+shard_count: shards,
+lease_duration: LEASE,
+redistribution_interval: settings.tick,
+cold_window: settings.overload_window,
+max_credit: sedgebeam_core::MAX_CREDIT,
+max_open_requests: open,
     }
 }
 
@@ -109,23 +109,23 @@
     }
 
     /// What other processes of this dispatcher hold.
-    pub fn beside(&self, now: Micros, told: Published) {
-        lock(&self.shared.ledger).set_peer_process_usage(now, told);
+ pub fn beside(&self, now: Micros, told: ShardUsage) {
+lock(&self.shared.ledger).set_peer_process_usage(now, told);
     }
 
-    pub fn borrow(&self, now: Micros, wish: &Wish, open: usize) -> Lease {
-        lock(&self.shared.ledger).acquire(self.shard, now, wish, open)
+ pub fn borrow(&self, now: Micros, wish: &Demand, open: usize) -> Lease {
+lock(&self.shared.ledger).acquire(self.shard, now, wish, open)
     }
 
     /// Whether what was decided may be carried out.
-    pub fn settle(&self, ticket: LeaseId, now: Micros, told: Published) -> bool {
-        let settled = lock(&self.shared.ledger).commit(self.shard, ticket, now, told);
-        let CommitResult {
-            is_valid,
-            shards_to_wake,
-        } = settled;
-        self.shared.wake(&shards_to_wake);
-        is_valid
+ pub fn settle(&self, ticket: LeaseId, now: Micros, told: ShardUsage) -> bool {
+let settled = lock(&self.shared.ledger).commit(self.shard, ticket, now, told);
+let CommitResult {
+is_valid,
+shards_to_wake,
+} = settled;
+self.shared.wake(&shards_to_wake);
+is_valid
     }
 
     /// Becomes ready when another shard has let go what this one may be waiting for.
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -14,9 +14,9 @@
 use codec::{About, Command, Reply, Word};
 use connection::{Came, Connection, Link, Number};
 use outgoing::Named;
-use sedgebeam_core::{AttemptNo, Load, Micros, RequestId};
+use sedgebeam_core::{AttemptNo, LoadReport, Micros, RequestId};
 use sedgebeam_fleet::reconnect::{
-    Backoff, BackoffConfig, ConnectionEnd, Permit, TrackedConnection,
+Backoff, BackoffConfig, ConnectionEnd, Permit, TrackedConnection,
 };
 use sedgebeam_port::clock::{duration, span};
 use sedgebeam_port::{Attempt, End, Page, Probe, Report, Reports, Resting, ToEngine};
@@ -66,7 +66,7 @@
 struct Partial {
     pages: Vec<Option<Bytes>>,
     work: Option<f64>,
-    load: Option<Load>,
+    load: Option<LoadReport>,
     /// When the last page came.
     came: Instant,
 }
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -28,7 +28,8 @@
 use engine_leases::{EngineLeases, LeaseRequest};
 use quota::SharedQuota;
 use sedgebeam_core::{
-    ClassOut, EngineId, EngineShare, Micros, Out, Published, Room, Siblings, Wish,
+    ClassUsage, Demand, EngineId, EngineUsage, Micros, ShardUsage, SiblingEngineUsage,
+    SiblingUsage, ThreadQuota,
 };
 use std::collections::BTreeMap;
 
@@ -59,8 +60,8 @@
 /// What a shard has borrowed.
 #[derive(Debug)]
 pub struct Lease {
-    pub id: LeaseId,
-    pub siblings: Siblings,
+pub id: LeaseId,
+pub siblings: SiblingUsage,
     /// Requests that the shard may have open until it borrows again.
     pub max_open_requests: usize,
 }
@@ -88,7 +89,7 @@
 struct Shard {
     lent: Option<Lent>,
     wants: f64,
-    classes: Vec<ClassOut>,
+    classes: Vec<ClassUsage>,
     waiting: Vec<Vec<usize>>,
     /// By when all that it has out has ended.
     until: Micros,
@@ -138,8 +139,8 @@
 
     /// Hears what other processes of this dispatcher hold, all of them added up. It counts for every shard, until something
     /// else is told or all that is out there must have ended.
-    pub fn set_peer_process_usage(&mut self, now: Micros, told: Published) {
-        self.publish(self.terms.shard_count, now, told);
+ pub fn set_peer_process_usage(&mut self, now: Micros, told: ShardUsage) {
+self.publish(self.terms.shard_count, now, told);
     }
 
     /// How many leases were void before they were settled.
@@ -148,8 +149,8 @@
     }
 
     /// Lends room for one decision. `open` tells how many requests the shard has open.
-    pub fn acquire(&mut self, shard: ShardId, now: Micros, wish: &Wish, open: usize) -> Lease {
-        self.expire_leases(now);
+ pub fn acquire(&mut self, shard: ShardId, now: Micros, wish: &Demand, open: usize) -> Lease {
+self.expire_leases(now);
         self.take_back(shard);
         self.tickets += 1;
         let ticket = LeaseId(self.tickets);
@@ -163,38 +164,38 @@
         } else {
             0.0
         };
-        let most = wants.max(wish.heaviest);
-        let claim = LeaseRequest {
+ let most = wants.max(wish.heaviest_class_threads);
+let claim = LeaseRequest {
             now,
             redistribution_interval: self.terms.redistribution_interval,
             part,
             most,
-            heaviest: wish.heaviest,
+            heaviest: wish.heaviest_class_threads,
         };
         let engines = wish.engines.iter().map(|wished| {
             let book = self.engines.entry(wished.engine).or_default();
             let room = book.lend(own, wished, &claim);
-            EngineShare {
+            SiblingEngineUsage {
                 engine: wished.engine,
-                out: book.elsewhere(own),
-                cold_work: book.work_of_others(own, now, self.terms.cold_window),
-                room: Room(room),
+                usage: book.elsewhere(own),
+                cold_work_core_s: book.work_of_others(own, now, self.terms.cold_window),
+                quota: ThreadQuota(room),
             }
         });
-        let engines: Vec<EngineShare> = engines.collect();
+        let engines: Vec<SiblingEngineUsage> = engines.collect();
         let (classes, waiting) = (self.classes(shard), self.waiting(shard));
         self.shards[own].lent = Some(Lent {
             ticket,
             at: now,
             threads: most,
         });
-        Lease {
-            id: ticket,
-            siblings: Siblings {
+ Lease {
+id: ticket,
+siblings: SiblingUsage {
                 engines,
                 classes,
-                waiting,
-                room: Room(most),
+                waiting_requests: waiting,
+                quota: ThreadQuota(most),
                 class_credit: self.class_credit.clone(),
                 tenant_credit: self.tenant_credit.clone(),
             },
@@ -209,9 +210,9 @@
         shard: ShardId,
         ticket: LeaseId,
         now: Micros,
-        told: Published,
-    ) -> CommitResult {
-        self.expire_leases(now);
+ told: ShardUsage,
+) -> CommitResult {
+self.expire_leases(now);
         let own = shard.0;
         let lent = self.shards[own].lent;
         if lent.is_none_or(|lent| lent.ticket != ticket) {
@@ -292,7 +293,7 @@
         self.shards[shard.0] = Shard::default();
     }
 
-    fn publish(&mut self, own: usize, now: Micros, mut told: Published) {
+    fn publish(&mut self, own: usize, now: Micros, mut told: ShardUsage) {
         told.engines.sort_by_key(|(id, _)| *id);
         let threads: f64 = told.engines.iter().map(|(_, out)| out.threads).sum();
         let window = self.terms.cold_window;
@@ -303,20 +304,20 @@
                 .is_ok();
             if !known {
                 // An engine that the shard no longer knows has nothing of it out.
-                book.publish(own, Out::default());
+                book.publish(own, EngineUsage::default());
             }
             known || !book.is_empty(now, window)
         });
         for (id, out) in told.engines {
             self.engines.entry(id).or_default().publish(own, out);
         }
-        for (id, work) in told.sent {
+        for (id, work) in told.work_sent_core_s {
             let book = self.engines.entry(id).or_default();
             book.sent(own, now, window, work);
         }
         let shard = &mut self.shards[own];
-        (shard.classes, shard.waiting) = (told.classes, told.waiting);
-        shard.until = told.until;
+        (shard.classes, shard.waiting) = (told.classes, told.waiting_requests);
+        shard.until = told.all_ended_by;
         // What it could not send it still waits for.
         let sent = (threads - shard.threads).max(0.0);
         shard.wants = if shard.waits() {
@@ -335,10 +336,10 @@
     }
 
     /// By class, what the others have out, and might be sending.
-    fn classes(&self, shard: ShardId) -> Vec<ClassOut> {
-        let mut sum: Vec<ClassOut> = Vec::new();
+    fn classes(&self, shard: ShardId) -> Vec<ClassUsage> {
+        let mut sum: Vec<ClassUsage> = Vec::new();
         for other in self.others(shard) {
-            sum.resize(sum.len().max(other.classes.len()), ClassOut::default());
+            sum.resize(sum.len().max(other.classes.len()), ClassUsage::default());
             for (sum, out) in sum.iter_mut().zip(&other.classes) {
                 sum.threads += out.threads;
                 sum.memory_mb += out.memory_mb;
