--- a/arrow/src/lib.rs
+++ b/arrow/src/lib.rs
@@ -9,22 +9,22 @@
 use tonic::Status;
 
 /// Columns of every result.
-pub const COLUMNS: usize = 3;
+pub const COLUMN_COUNT: usize = 3;
 
 /// The schema of every result: text columns.
 pub fn schema() -> SchemaRef {
     let column = |number: usize| Field::new(format!("column{number}"), DataType::Utf8, true);
-    let columns: Vec<Field> = (1..=COLUMNS).map(column).collect();
+    let columns: Vec<Field> = (1..=COLUMN_COUNT).map(column).collect();
     Arc::new(Schema::new(columns))
 }
 
 /// A page as a record batch.
-pub fn batch(page: &Page) -> Result<RecordBatch, Status> {
+pub fn page_to_batch(page: &Page) -> Result<RecordBatch, Status> {
     let text = std::str::from_utf8(&page.rows)
         .map_err(|_| Status::data_loss("a page that is not UTF-8"))?;
-    let mut columns: [Vec<Option<&str>>; COLUMNS] = Default::default();
+    let mut columns: [Vec<Option<&str>>; COLUMN_COUNT] = Default::default();
     for line in text.split_terminator('\n') {
-        let mut cells = line.splitn(COLUMNS, '\t');
+        let mut cells = line.splitn(COLUMN_COUNT, '\t');
         columns
             .iter_mut()
             .for_each(|column| column.push(cells.next()));
@@ -35,14 +35,14 @@
 }
 
 /// The rows of a record batch as the text of a page.
-pub fn rows(batch: &RecordBatch) -> Result<Bytes, Status> {
+pub fn batch_to_rows(batch: &RecordBatch) -> Result<Bytes, Status> {
     let text = |index: usize| {
         let column = batch.columns().get(index);
         let column = column.and_then(|column| column.as_string_opt::<i32>());
         column.ok_or_else(|| Status::data_loss("a result that is not of three text columns"))
     };
     // One column more would be dropped without a word.
-    if batch.num_columns() != COLUMNS {
+    if batch.num_columns() != COLUMN_COUNT {
         return Err(Status::data_loss("a result that is not of three columns"));
     }
     let columns = [text(0)?, text(1)?, text(2)?];
@@ -54,7 +54,11 @@
                 return Err(Status::data_loss("a cell that holds a tab or a line feed"));
             }
             rows.put_slice(cell.as_bytes());
-            rows.put_u8(if place + 1 < COLUMNS { b'\t' } else { b'\n' });
+            rows.put_u8(if place + 1 < COLUMN_COUNT {
+                b'\t'
+            } else {
+                b'\n'
+            });
         }
     }
     Ok(rows.freeze())
--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -3,7 +3,8 @@
 use super::Broker;
 use sedgebeam_core::{Outcome, Tenant};
 use sedgebeam_port::{
-    Answer, Answers, Asked, Counters, Denied, EngineRow, Health, Listing, Target, TenantRow, Told,
+    AdminError, AdminRequest, AdminResponse, Answer, AnswerCounts, Counters, EngineRow, Health,
+    Listing, Target, TenantRow,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,12 +12,12 @@
 /// What is counted by class and tenant, and attempts by outcome.
 #[derive(Debug, Default)]
 pub struct Tally {
-    classes: BTreeMap<Arc<str>, Answers>,
-    tenants: BTreeMap<String, Answers>,
+    classes: BTreeMap<Arc<str>, AnswerCounts>,
+    tenants: BTreeMap<String, AnswerCounts>,
     attempts: BTreeMap<&'static str, u64>,
 }
 
-fn count(answers: &mut Answers, answer: &Answer) {
+fn count(answers: &mut AnswerCounts, answer: &Answer) {
     match answer {
         Answer::Rows(_) => answers.served += 1,
         Answer::Refused { .. } => answers.refused += 1,
@@ -26,14 +27,14 @@
 
 impl Tally {
     pub fn taken(&mut self, class: &Arc<str>, tenant: Option<&str>) {
-        self.count(class, tenant, |answers| answers.taken += 1);
+        self.count(class, tenant, |answers| answers.accepted += 1);
     }
 
     pub fn answered(&mut self, class: &Arc<str>, tenant: Option<&str>, answer: &Answer) {
         self.count(class, tenant, |answers| count(answers, answer));
     }
 
-    fn count(&mut self, class: &Arc<str>, tenant: Option<&str>, count: impl Fn(&mut Answers)) {
+    fn count(&mut self, class: &Arc<str>, tenant: Option<&str>, count: impl Fn(&mut AnswerCounts)) {
         count(self.classes.entry(class.clone()).or_default());
         let Some(tenant) = tenant else { return };
         match self.tenants.get_mut(tenant) {
@@ -60,9 +61,9 @@
 /// Names with what was counted under them; what is not counted yet is nothing.
 fn named<N: AsRef<str>>(
     names: impl Iterator<Item = String>,
-    counted: &BTreeMap<N, Answers>,
-) -> BTreeMap<String, Answers> {
-    let fresh = names.map(|name| (name, Answers::default()));
+    counted: &BTreeMap<N, AnswerCounts>,
+) -> BTreeMap<String, AnswerCounts> {
+    let fresh = names.map(|name| (name, AnswerCounts::default()));
     let counted = counted.iter();
     fresh
         .chain(counted.map(|(name, answers)| (name.as_ref().to_string(), answers.clone())))
@@ -70,9 +71,9 @@
 }
 
 impl Broker {
-    pub(super) fn administer(&mut self, asked: Asked) -> Result<Told, Denied> {
+    pub(super) fn administer(&mut self, asked: AdminRequest) -> Result<AdminResponse, AdminError> {
         match asked {
-            Asked::Health => {
+            AdminRequest::Health => {
                 let engines = self.engines.values().filter(|known| known.ready).count();
                 let ready = engines > 0;
                 let open = self
@@ -80,23 +81,23 @@
                     .values()
                     .filter(|open| open.reply.is_some())
                     .count();
-                return Ok(Told::Health(Health {
+                return Ok(AdminResponse::Health(Health {
                     ready,
                     engines,
-                    open,
+                    open_requests: open,
                 }));
             }
-            Asked::Counters => return Ok(self.counted()),
-            Asked::Engines => return Ok(self.engine_rows()),
+            AdminRequest::Counters => return Ok(self.counted()),
+            AdminRequest::Engines => return Ok(self.engine_rows()),
             // The desk has told of new shares as of all new settings.
-            Asked::Tenants | Asked::SetTenant(..) => return Ok(self.tenant_rows()),
-            Asked::SetEngine(target) => self.list(Listing::Changes, vec![target]),
-            Asked::RemoveEngine(uid) => {
+            AdminRequest::Tenants | AdminRequest::SetTenant(..) => return Ok(self.tenant_rows()),
+            AdminRequest::SetEngine(target) => self.list(Listing::Changes, vec![target]),
+            AdminRequest::RemoveEngine(uid) => {
                 let mut target = self.target(&uid)?;
                 target.state = "removed".to_string();
                 self.list(Listing::Changes, vec![target]);
             }
-            Asked::Drain(uid, drained) => {
+            AdminRequest::Drain(uid, drained) => {
                 let target = self.target(&uid)?;
                 if drained {
                     self.drained.insert(uid);
@@ -109,18 +110,18 @@
         Ok(self.engine_rows())
     }
 
-    fn target(&self, uid: &str) -> Result<Target, Denied> {
+    fn target(&self, uid: &str) -> Result<Target, AdminError> {
         let known = self.engines.values().find(|known| known.target.uid == uid);
-        let known = known.ok_or_else(|| Denied::Unknown(format!("no engine {uid:?}")))?;
+        let known = known.ok_or_else(|| AdminError::NotFound(format!("no engine {uid:?}")))?;
         Ok(known.target.clone())
     }
 
-    fn counted(&self) -> Told {
+    fn counted(&self) -> AdminResponse {
         let attempts = self.counters.attempts.iter();
         let (classes, tenants) = (&self.settings.classes, &self.settings.tenants);
         let classes = classes.iter().map(|class| class.name.clone());
         let tenants = tenants.iter().map(|tenant| tenant.name.clone());
-        Told::Counters(Counters {
+        AdminResponse::Counters(Counters {
             classes: named(classes, &self.counters.classes),
             tenants: named(tenants, &self.counters.tenants),
             attempts: attempts
@@ -129,28 +130,28 @@
         })
     }
 
-    fn engine_rows(&self) -> Told {
+    fn engine_rows(&self) -> AdminResponse {
         let row = |(id, known): (&sedgebeam_core::EngineId, &super::Known)| EngineRow {
             uid: known.target.uid.clone(),
             endpoint: known.target.endpoint.clone(),
             state: known.target.state.clone(),
             drained: self.drained.contains(&known.target.uid),
-            out: self
+            attempts_in_flight: self
                 .open
                 .values()
                 .flat_map(super::Open::all_out)
                 .filter(|(_, out)| out.engine == *id)
                 .count(),
         };
-        Told::Engines(self.engines.iter().map(row).collect())
+        AdminResponse::Engines(self.engines.iter().map(row).collect())
     }
 
-    fn tenant_rows(&self) -> Told {
+    fn tenant_rows(&self) -> AdminResponse {
         let row = |tenant: &Tenant| TenantRow {
             name: tenant.name.clone(),
-            portion: tenant.share,
-            allowance_per_s: tenant.per_second,
+            share: tenant.share,
+            requests_per_s: tenant.per_second,
         };
-        Told::Tenants(self.settings.tenants.iter().map(row).collect())
+        AdminResponse::Tenants(self.settings.tenants.iter().map(row).collect())
     }
 }
--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -3,12 +3,14 @@
 //! A list may hold thousands of engines of which one dispatcher uses a few at a time: an engine's actor is started for the first
 //! attempt or probe, and ends once it has nothing out and no connection left.
 
-use super::{Broker, EngineBox, post};
+use super::{Broker, EngineSender, post};
 use sedgebeam_core::{
     AttemptNo, CellId, Engine, EngineId, EngineState, Event, Key, ListKind, Load, Micros, Outcome,
     RequestId,
 };
-use sedgebeam_port::{Engines, Listing, Probe, Reports, Resting, Target, ToEngine};
+use sedgebeam_port::{
+    EngineCommand, EngineReporter, EngineTransport, IdleEngine, Listing, ProbeResult, Target,
+};
 use sedgebeam_settings::micros;
 use std::collections::HashSet;
 use tokio::time::Instant;
@@ -31,7 +33,7 @@
 
 /// The actor of an engine, from here.
 pub(super) struct Actor {
-    pub mailbox: EngineBox,
+    pub mailbox: EngineSender,
     /// Attempts and probes that it has been told of.
     pub told: u64,
 }
@@ -40,10 +42,10 @@
     /// Tells the engine's actor of an attempt or a probe, and starts it where none runs; `None` where it takes no more.
     pub fn post(
         &mut self,
-        message: ToEngine,
-        world: &dyn Engines,
-        reports: impl FnOnce() -> Reports,
-    ) -> Option<EngineBox> {
+        message: EngineCommand,
+        world: &dyn EngineTransport,
+        reports: impl FnOnce() -> EngineReporter,
+    ) -> Option<EngineSender> {
         let target = &self.target;
         let actor = self.actor.get_or_insert_with(|| Actor {
             mailbox: world.start(target, reports()),
@@ -77,17 +79,17 @@
     /// Has what is not written yet come back.
     fn nothing_new(&self) {
         if let Some(actor) = &self.actor {
-            post(&actor.mailbox, ToEngine::NothingNew);
+            post(&actor.mailbox, EngineCommand::ReturnUnsent);
         }
     }
 
     /// Lets the actor end that reports so, if it has taken all that it was told of. One that was told of more meanwhile
     /// reports again.
-    fn let_go(&mut self, resting: &Resting) {
+    fn let_go(&mut self, resting: &IdleEngine) {
         let done = |actor: &Actor| {
             let mailbox = resting.mailbox.upgrade();
             let same = mailbox.is_some_and(|mailbox| mailbox.same_channel(&actor.mailbox));
-            same && actor.told == resting.taken
+            same && actor.told == resting.received_count
         };
         if self.actor.as_ref().is_some_and(done) {
             self.actor = None;
@@ -97,9 +99,9 @@
 
 impl Broker {
     pub(super) fn probe(&mut self, engine: EngineId) {
-        let reports = || Reports::new(engine, self.own.clone());
+        let reports = || EngineReporter::new(engine, self.own.clone());
         let known = self.engines.get_mut(&engine);
-        let asked = known.and_then(|known| known.post(ToEngine::Probe, &*self.world, reports));
+        let asked = known.and_then(|known| known.post(EngineCommand::Probe, &*self.world, reports));
         if asked.is_none() {
             self.events
                 .push(Event::Probed(engine, Outcome::ConnectFailed, None));
@@ -115,7 +117,7 @@
                 EngineState::Gone => {
                     self.forget(id);
                     if let Some(part) = &self.part {
-                        part.forget(&target.uid);
+                        part.forget_engine(&target.uid);
                     }
                 }
                 state => self.know(id, target, state == EngineState::Ready, listing),
@@ -168,7 +170,7 @@
             return *id;
         }
         if let Some(part) = &self.part {
-            return part.identify(uid, || number_in(uid));
+            return part.engine_id(uid, || number_in(uid));
         }
         let mut number = number_in(uid);
         while self.engines.contains_key(&EngineId(number)) {
@@ -195,7 +197,7 @@
             self.forget(id);
         }
         if self.numbers.insert(target.uid.clone(), id).is_none() {
-            self.world.listed(target);
+            self.world.engine_listed(target);
         }
         let now = self.clock.micros(Instant::now());
         let known = self.engines.entry(id).or_default();
@@ -212,7 +214,7 @@
         if let Some(known) = self.engines.remove(&id) {
             log::info!("engine {}: no longer listed", known.target.uid);
             if let Some(part) = &self.part {
-                part.forget(&known.target.uid);
+                part.forget_engine(&known.target.uid);
             }
             self.numbers.remove(&known.target.uid);
             known.nothing_new();
@@ -220,7 +222,7 @@
     }
 
     /// An engine's actor has nothing to do; it ends, unless it has been told something meanwhile.
-    pub(super) fn rests(&mut self, engine: EngineId, resting: &Resting) {
+    pub(super) fn rests(&mut self, engine: EngineId, resting: &IdleEngine) {
         if let Some(known) = self.engines.get_mut(&engine) {
             known.let_go(resting);
         }
@@ -255,11 +257,11 @@
     told.unwrap_or_else(|| Key::of(uid).0)
 }
 
-pub(super) fn probed(probe: Probe) -> (Outcome, Option<Load>) {
+pub(super) fn probed(probe: ProbeResult) -> (Outcome, Option<Load>) {
     match probe {
-        Probe::Up(load) => (Outcome::Ok, load),
-        Probe::Down => (Outcome::Error, None),
-        Probe::Silent => (Outcome::TimedOut, None),
-        Probe::ConnectFailed => (Outcome::ConnectFailed, None),
+        ProbeResult::Up(load) => (Outcome::Ok, load),
+        ProbeResult::Down => (Outcome::Error, None),
+        ProbeResult::TimedOut => (Outcome::TimedOut, None),
+        ProbeResult::ConnectFailed => (Outcome::ConnectFailed, None),
     }
 }
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -5,27 +5,28 @@
 
 mod admin;
 mod engines;
-pub mod parts;
 mod requests;
+pub mod shards;
 #[cfg(test)]
 mod tests;
 
 use admin::Tally;
 use engines::{Known, probed};
-use parts::Part;
 use requests::{GivenUp, Open, Out};
 use sedgebeam_core::{
     Action, AttemptNo, Effect, Ended, EngineId, Event, Gateway, Held, Key, Micros, Outcome,
     Published, Query, RequestId, Settings, TimerId,
 };
 use sedgebeam_operation::{Figures, figures};
-use sedgebeam_port::clock::{Clock, duration, span};
+use sedgebeam_port::clock::{Clock, to_duration, to_micros};
 use sedgebeam_port::{
-    Answer, Attempt, BEAT, BrokerBox, Delivery, End, EngineBox, Engines, Failure, Listing,
-    NewRequest, Page, Report, Reports, ToBroker, ToEngine, memory_grant,
+    Answer, Attempt, AttemptResult, BrokerMessage, BrokerSender, EngineCommand, EngineReport,
+    EngineReporter, EngineSender, EngineTransport, Failure, HEARTBEAT_INTERVAL, Listing,
+    NewRequest, Page, ResultPages, memory_grant,
 };
 use sedgebeam_retune::Tuning;
 use sedgebeam_settings::Names;
+use shards::Shard;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -59,12 +60,12 @@
     class_names: Vec<Arc<str>>,
     /// The requests that may be open at once.
     most_open: usize,
-    world: Arc<dyn Engines>,
-    part: Option<Part>,
+    world: Arc<dyn EngineTransport>,
+    part: Option<Shard>,
     /// Another shard has let go what this one may be waiting for.
     woken: bool,
     clock: Clock,
-    own: BrokerBox,
+    own: BrokerSender,
     open: HashMap<RequestId, Open>,
     engines: BTreeMap<EngineId, Known>,
     /// The numbers of the engines that are known, by their names.
@@ -86,33 +87,33 @@
 
 /// What a broker needs to know at its start.
 #[derive(Clone)]
-pub struct Setup {
-    pub tuning: Arc<Tuning>,
+pub struct BrokerConfig {
+    pub runtime_settings: Arc<Tuning>,
     pub seed: u64,
     pub clock: Clock,
-    pub figures: Figures,
+    pub metrics: Figures,
     /// Starts the actors of engines.
-    pub world: Arc<dyn Engines>,
+    pub engine_transport: Arc<dyn EngineTransport>,
     /// Where this is one shard of several.
-    pub part: Option<Part>,
+    pub shard: Option<Shard>,
 }
 
 /// The broker and its mailbox.
-pub fn new(setup: Setup) -> (Broker, BrokerBox, mpsc::Receiver<ToBroker>) {
+pub fn new(setup: BrokerConfig) -> (Broker, BrokerSender, mpsc::Receiver<BrokerMessage>) {
     let (own, incoming) = mpsc::channel(MAILBOX);
     let Tuning {
         settings,
         names,
         most_open,
-    } = (*setup.tuning).clone();
+    } = (*setup.runtime_settings).clone();
     let broker = Broker {
         gateway: Gateway::new(settings.clone(), setup.seed),
         class_names: class_names(&settings),
         settings,
         names,
         most_open,
-        world: setup.world,
-        part: setup.part,
+        world: setup.engine_transport,
+        part: setup.shard,
         woken: false,
         clock: setup.clock,
         own: own.clone(),
@@ -121,7 +122,7 @@
         numbers: HashMap::new(),
         drained: BTreeSet::new(),
         counters: Tally::default(),
-        figures: setup.figures,
+        figures: setup.metrics,
         told: figures::Engines::default(),
         events: Vec::new(),
         over: Vec::new(),
@@ -156,7 +157,7 @@
 
 impl Broker {
     /// Runs until every sender of its mailbox but its own is gone, which is never.
-    pub async fn run(mut self, mut incoming: mpsc::Receiver<ToBroker>) {
+    pub async fn run(mut self, mut incoming: mpsc::Receiver<BrokerMessage>) {
         loop {
             let wake = self.wakes_at();
             tokio::select! {
@@ -176,7 +177,7 @@
             }
             let now = Instant::now();
             if let Some(part) = &self.part {
-                part.beat();
+                part.heartbeat();
             }
             self.fall_due(now);
             if self.has_news() && now >= self.next_batch(now) {
@@ -186,14 +187,17 @@
     }
 
     fn next_batch(&self, now: Instant) -> Instant {
-        let tick = duration(self.settings.tick);
+        let tick = to_duration(self.settings.tick);
         self.last_batch.map_or(now, |last| last + tick)
     }
 
     fn wakes_at(&self) -> Option<Instant> {
         let batch = self.has_news().then(|| self.next_batch(Instant::now()));
         let due = self.due.first_key_value().map(|((at, _), _)| *at);
-        let beat = self.part.as_ref().map(|_| Instant::now() + BEAT);
+        let beat = self
+            .part
+            .as_ref()
+            .map(|_| Instant::now() + HEARTBEAT_INTERVAL);
         batch.into_iter().chain(due).chain(beat).min()
     }
 
@@ -239,7 +243,7 @@
             if let Event::Request(query) = event {
                 let open = self.open.get(&query.id);
                 let left = open.map_or(Micros(0), |open| {
-                    span(open.deadline.saturating_duration_since(now))
+                    to_micros(open.deadline.saturating_duration_since(now))
                 });
                 query.remaining = left;
             }
@@ -259,7 +263,7 @@
         for id in told {
             self.open.remove(&id);
             if let Some(part) = &self.part {
-                part.release(id);
+                part.release_request(id);
             }
         }
         self.tell_engines();
@@ -273,7 +277,7 @@
             avoided: avoided.map(|(id, until)| (id.0, until.0)).collect(),
         };
         if engines != self.told {
-            let shard = self.part.as_ref().map_or(0, Part::shard);
+            let shard = self.part.as_ref().map_or(0, Shard::index);
             self.figures.engines(shard, engines.clone());
             self.told = engines;
         }
@@ -287,7 +291,7 @@
             return (self.gateway.handle(at, events), true);
         };
         let wish = self.gateway.wish(at, &events);
-        let loan = part.borrow(at, &wish, self.open.len());
+        let loan = part.acquire(at, &wish, self.open.len());
         self.most_open = loan.open;
         self.gateway.hear(loan.siblings);
         let actions = self.gateway.handle(at, events);
@@ -326,11 +330,11 @@
                 request,
                 retry_after,
             } => {
-                let retry_after = duration(retry_after);
+                let retry_after = to_duration(retry_after);
                 self.conclude(request, Answer::Refused { retry_after });
             }
             Action::Fail { request } => {
-                self.conclude(request, Answer::Failed(Failure::Unanswered));
+                self.conclude(request, Answer::Failed(Failure::OutcomeUnknown));
             }
             Action::Timer { timer, at } => {
                 let at = self.clock.instant(at);
@@ -343,44 +347,46 @@
         }
     }
 
-    fn take(&mut self, message: ToBroker) {
+    fn take(&mut self, message: BrokerMessage) {
         match message {
-            ToBroker::Submit(request, reply) => self.submit(request, reply),
-            ToBroker::ClientLeft(id) => self.client_left(id, Failure::Cancelled),
-            ToBroker::Engine(engine, Report::Ended(id, number, end)) => {
+            BrokerMessage::Submit(request, reply) => self.submit(request, reply),
+            BrokerMessage::ClientLeft(id) => self.client_left(id, Failure::Cancelled),
+            BrokerMessage::EngineReport(engine, EngineReport::AttemptEnded(id, number, end)) => {
                 self.ended(engine, id, number, end);
             }
-            ToBroker::Engine(engine, Report::GivenUp(id, number)) => {
+            BrokerMessage::EngineReport(engine, EngineReport::AbortConfirmed(id, number)) => {
                 if self.is_out(engine, id, number) {
                     self.confirmed(id, number);
                 }
             }
-            ToBroker::Engine(engine, Report::Note(id, number, note)) => {
+            BrokerMessage::EngineReport(engine, EngineReport::Note(id, number, note)) => {
                 if self.is_out(engine, id, number) && !self.is_given_up(id, number) {
                     self.events.push(Event::Note(id, number, note));
                 }
             }
-            ToBroker::Engine(engine, Report::Probed(probe)) => {
+            BrokerMessage::EngineReport(engine, EngineReport::Probed(probe)) => {
                 let (outcome, load) = probed(probe);
                 self.events.push(Event::Probed(engine, outcome, load));
             }
-            ToBroker::Engine(engine, Report::Resting(resting)) => self.rests(engine, &resting),
-            ToBroker::EngineDied(engine) => self.engine_died(engine),
-            ToBroker::List(listing, targets) => self.list(listing, targets),
-            ToBroker::HeldOver(reply) => {
+            BrokerMessage::EngineReport(engine, EngineReport::Idle(resting)) => {
+                self.rests(engine, &resting)
+            }
+            BrokerMessage::EngineActorDied(engine) => self.engine_died(engine),
+            BrokerMessage::EngineList(listing, targets) => self.list(listing, targets),
+            BrokerMessage::GetHandoverState(reply) => {
                 // Whoever asked may have gone.
                 let _ = reply.send(self.gateway.held_over());
             }
-            ToBroker::TakeOver(held) => {
+            BrokerMessage::RestoreHandoverState(held) => {
                 // The gateway must know of the engines first.
                 self.batch(Instant::now());
                 self.gateway.take_over(&held);
             }
-            ToBroker::Beside(held, may_warm) => self.beside(&held, may_warm),
-            ToBroker::LastCall => self.events.push(Event::LastCall),
+            BrokerMessage::SetPeerProcessUsage(held, may_warm) => self.beside(&held, may_warm),
+            BrokerMessage::Shutdown => self.events.push(Event::LastCall),
             // Whoever told of them waits for the sender to be dropped.
-            ToBroker::Retune(tuning, _held) => self.retune(&tuning),
-            ToBroker::Admin(asked, reply) => {
+            BrokerMessage::Reconfigure(tuning, _held) => self.retune(&tuning),
+            BrokerMessage::Admin(asked, reply) => {
                 // A client that has gone needs no answer.
                 let _ = reply.send(self.administer(asked));
             }
@@ -397,7 +403,7 @@
         self.most_open = tuning.most_open;
         self.class_names = class_names(&self.settings);
         if let Some(part) = &self.part {
-            part.retune(&self.settings, self.most_open);
+            part.reconfigure(&self.settings, self.most_open);
         }
         self.gateway.retune(tuning.settings.clone());
         // Kinds and zones may stand at other places now.
@@ -410,7 +416,7 @@
     fn beside(&mut self, held: &Held, may_warm: bool) {
         let (now, nothing) = (self.clock.micros(Instant::now()), Held::default());
         if let Some(part) = &self.part {
-            part.beside(now, abroad(held, &self.class_names, now + BESIDE_LASTS));
+            part.set_peer_process_usage(now, abroad(held, &self.class_names, now + BESIDE_LASTS));
             self.gateway.beside(now, &nothing, may_warm);
         } else {
             self.gateway.beside(now, held, may_warm);
@@ -421,15 +427,15 @@
 
     fn submit(&mut self, request: NewRequest, reply: oneshot::Sender<Answer>) {
         let refused = Answer::Refused {
-            retry_after: duration(self.settings.max_retry_after),
+            retry_after: to_duration(self.settings.max_retry_after),
         };
         // An answer that nobody waits for any more is no loss.
-        if request.cancelled.is_cancelled() {
+        if request.cancel_token.is_cancelled() {
             let _ = reply.send(Answer::Failed(Failure::Cancelled));
             return;
         }
         if self.open.contains_key(&request.id) {
-            let _ = reply.send(Answer::Failed(Failure::Duplicate));
+            let _ = reply.send(Answer::Failed(Failure::DuplicateId));
             return;
         }
         // A class that is not known would never have an answer.
@@ -443,11 +449,15 @@
         let tenant = named.and_then(|name| self.names.tenant(name));
         // One that names a tenant that there is not must not be served as if it named none.
         if named.is_some() && tenant.is_none() {
-            let _ = reply.send(Answer::Failed(Failure::Tenant));
+            let _ = reply.send(Answer::Failed(Failure::UnknownTenant));
             return;
         }
-        if self.part.as_ref().is_some_and(|part| !part.claim(id)) {
-            let _ = reply.send(Answer::Failed(Failure::Duplicate));
+        if self
+            .part
+            .as_ref()
+            .is_some_and(|part| !part.claim_request(id))
+        {
+            let _ = reply.send(Answer::Failed(Failure::DuplicateId));
             return;
         }
         let class = &self.class_names[request.class.0];
@@ -464,7 +474,7 @@
             group: request.group,
             is_retry: request.is_retry,
         }));
-        let slack = duration(self.settings.answer_slack);
+        let slack = to_duration(self.settings.answer_slack);
         self.at(request.deadline + slack, Due::Answer(id, request.deadline));
         self.open.insert(id, Open::new(request, tenant, reply));
     }
@@ -510,7 +520,7 @@
     fn overdue(&mut self, id: RequestId) {
         if self.open.get(&id).is_some_and(|open| open.reply.is_some()) {
             log::error!("request {:016x} is overdue", id.0);
-            self.client_left(id, Failure::Unanswered);
+            self.client_left(id, Failure::OutcomeUnknown);
         }
     }
 
@@ -530,7 +540,10 @@
         open.memory_grant_mb = memory_grant(memory_mb);
         let changed = std::mem::replace(&mut open.rank, priority) != priority;
         for (number, out) in open.all_out().filter(|_| changed) {
-            post(&out.mailbox, ToEngine::Renice(id, number, priority));
+            post(
+                &out.mailbox,
+                EngineCommand::Reprioritize(id, number, priority),
+            );
         }
     }
 
@@ -571,27 +584,27 @@
         let left = open.deadline - now;
         let timeout = match timeout {
             Micros(0) => left,
-            timeout => duration(timeout).min(left),
+            timeout => to_duration(timeout).min(left),
         };
         let attempt = Attempt {
             request: id,
             number,
             class: self.class_names[open.class.0].clone(),
-            until: now + timeout,
-            rank: open.rank,
+            deadline: now + timeout,
+            priority: open.rank,
             // Settings that came since the terms may heed none.
             memory_grant_mb: open.memory_grant_mb.filter(|_| self.settings.takes_grants),
             statement: open.statement.clone(),
-            token: open.token.clone(),
+            idempotency_token: open.token.clone(),
             order_key: open.order_key.clone(),
-            cancelled: open.cancelled.child_token(),
+            cancel_token: open.cancelled.child_token(),
             starts_by: starts_by.map_or(now + timeout, |by| {
                 self.clock.instant(by).min(now + timeout)
             }),
         };
-        let cancelled = attempt.cancelled.clone();
-        let reports = || Reports::new(to, self.own.clone());
-        let Some(mailbox) = known.post(ToEngine::Send(attempt), &*self.world, reports) else {
+        let cancelled = attempt.cancel_token.clone();
+        let reports = || EngineReporter::new(to, self.own.clone());
+        let Some(mailbox) = known.post(EngineCommand::Send(attempt), &*self.world, reports) else {
             return self.not_sent(id, to, Outcome::ConnectFailed, now);
         };
         open.attempts.push(Some(Out {
@@ -622,7 +635,7 @@
             attempt: number,
             engine,
             outcome,
-            took: span(now - sent),
+            took: to_micros(now - sent),
             finished: open.is_none_or(|open| open.reply.is_none()),
             work: None,
             load: None,
@@ -664,7 +677,7 @@
         }
         out.cancelled.cancel();
         out.given_up = Some(GivenUp { outcome, at: now });
-        post(&out.mailbox, ToEngine::Abort(id, number));
+        post(&out.mailbox, EngineCommand::Abort(id, number));
         if final_attempt {
             self.confirmed(id, number);
         } else {
@@ -703,7 +716,7 @@
         self.confirmed(id, number);
     }
 
-    fn ended(&mut self, engine: EngineId, id: RequestId, number: AttemptNo, end: End) {
+    fn ended(&mut self, engine: EngineId, id: RequestId, number: AttemptNo, end: AttemptResult) {
         let now = Instant::now();
         // What was called off or timed out has its outcome, whatever crosses that.
         if !self.is_out(engine, id, number) {
@@ -716,12 +729,14 @@
             return;
         };
         let outcome = match end {
-            End::Ok { page, work, load } => return self.served(id, number, out, page, work, load),
-            End::Busy => Outcome::Full,
-            End::Error => Outcome::Error,
-            End::Void => Outcome::Moot,
-            End::ConnectFailed => Outcome::ConnectFailed,
-            End::Reset => Outcome::Reset,
+            AttemptResult::Ok { page, work, load } => {
+                return self.served(id, number, out, page, work, load);
+            }
+            AttemptResult::Busy => Outcome::Full,
+            AttemptResult::Error => Outcome::Error,
+            AttemptResult::NotRun => Outcome::Moot,
+            AttemptResult::ConnectFailed => Outcome::ConnectFailed,
+            AttemptResult::Reset => Outcome::Reset,
         };
         self.report(id, number, engine, outcome, out.sent, now);
     }
@@ -739,7 +754,7 @@
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        let delivery = Delivery::new(page, open.deadline, out.mailbox, id, number);
+        let delivery = ResultPages::new(page, open.deadline, out.mailbox, id, number);
         self.conclude(id, Answer::Rows(delivery));
         self.counters.ended(Outcome::Ok);
         self.events.push(Event::Ended(Ended {
@@ -747,7 +762,7 @@
             attempt: number,
             engine: out.engine,
             outcome: Outcome::Ok,
-            took: span(out.sent.elapsed()),
+            took: to_micros(out.sent.elapsed()),
             finished: true,
             work: work.filter(|_| self.names.tells_cost),
             load,
@@ -756,15 +771,15 @@
 }
 
 /// Waits until another shard has let something go; for ever, where there is none.
-async fn woken(part: Option<&Part>) {
+async fn woken(part: Option<&Shard>) {
     match part {
-        Some(part) => part.woken().await,
+        Some(part) => part.capacity_released().await,
         None => std::future::pending().await,
     }
 }
 
 /// Tells an engine's actor what needs no answer.
-fn post(mailbox: &EngineBox, message: ToEngine) {
+fn post(mailbox: &EngineSender, message: EngineCommand) {
     if let Err(error) = mailbox.try_send(message) {
         log::warn!("an engine's mailbox: {error}");
     }
--- a/broker/src/requests.rs
+++ b/broker/src/requests.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use sedgebeam_core::{AttemptNo, ClassId, EngineId, Outcome, TenantId};
-use sedgebeam_port::{Answer, EngineBox, NewRequest};
+use sedgebeam_port::{Answer, EngineSender, NewRequest};
 use std::num::NonZeroU32;
 use std::sync::Arc;
 use tokio::sync::oneshot;
@@ -12,7 +12,7 @@
 /// An attempt that is out.
 pub struct Out {
     pub engine: EngineId,
-    pub mailbox: EngineBox,
+    pub mailbox: EngineSender,
     pub sent: Instant,
     /// Cancelled once it is over: what of it is unwritten must stay so.
     pub cancelled: CancellationToken,
@@ -60,9 +60,9 @@
             tenant,
             deadline: request.deadline,
             statement: request.statement,
-            token: request.token,
+            token: request.idempotency_token,
             order_key: request.order_key,
-            cancelled: request.cancelled,
+            cancelled: request.cancel_token,
             // The priority of what has none set.
             rank: 1,
             memory_grant_mb: None,
--- a/broker/src/parts.rs
+++ b/broker/src/shards.rs
@@ -2,7 +2,7 @@
 
 use sedgebeam_core::{EngineId, Micros, Published, RequestId, Settings, Wish};
 use sedgebeam_leases::{Ledger, Loan, Settled, ShardId, Terms, Ticket};
-use sedgebeam_port::Desk;
+use sedgebeam_port::RequestRouter;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
@@ -23,7 +23,7 @@
 type Stripe = Mutex<HashMap<RequestId, ShardId>>;
 
 /// What the shards of one dispatcher share.
-pub struct Shared {
+pub struct ShardLeases {
     ledger: Mutex<Ledger>,
     /// Wakes a shard that waits for what another has let go.
     wakes: Vec<Notify>,
@@ -31,7 +31,7 @@
     open: Vec<Stripe>,
     /// The numbers of engines, the same at all shards.
     engines: Mutex<HashMap<String, Numbered>>,
-    pub desk: Desk,
+    pub router: RequestRouter,
 }
 
 /// Nothing panics while these are held; what they hold would be whole all the same.
@@ -50,15 +50,20 @@
     }
 }
 
-impl Shared {
-    pub fn new(shards: usize, open: usize, settings: &Settings, desk: Desk) -> Arc<Shared> {
+impl ShardLeases {
+    pub fn new(
+        shards: usize,
+        open: usize,
+        settings: &Settings,
+        desk: RequestRouter,
+    ) -> Arc<ShardLeases> {
         let terms = terms(shards, open, settings);
-        Arc::new(Shared {
+        Arc::new(ShardLeases {
             ledger: Mutex::new(Ledger::new(terms)),
             wakes: (0..shards).map(|_| Notify::new()).collect(),
             open: (0..STRIPES).map(|_| Mutex::default()).collect(),
             engines: Mutex::default(),
-            desk,
+            router: desk,
         })
     }
 
@@ -68,7 +73,7 @@
     }
 
     /// A shard's broker has died, and with it the actors of its engines and their connections.
-    pub fn crash(&self, shard: usize) {
+    pub fn shard_crashed(&self, shard: usize) {
         let waiters = lock(&self.ledger).crash(ShardId(shard));
         for stripe in &self.open {
             lock(stripe).retain(|_, at| *at != ShardId(shard));
@@ -85,35 +90,35 @@
 
 /// One shard's hold on what is shared.
 #[derive(Clone)]
-pub struct Part {
-    shared: Arc<Shared>,
+pub struct Shard {
+    shared: Arc<ShardLeases>,
     shard: ShardId,
 }
 
-impl Part {
-    pub fn new(shared: Arc<Shared>, shard: usize) -> Part {
-        Part {
+impl Shard {
+    pub fn new(shared: Arc<ShardLeases>, shard: usize) -> Shard {
+        Shard {
             shared,
             shard: ShardId(shard),
         }
     }
 
-    pub fn shard(&self) -> usize {
+    pub fn index(&self) -> usize {
         self.shard.0
     }
 
     /// New settings; each shard tells of them.
-    pub fn retune(&self, settings: &Settings, open: usize) {
+    pub fn reconfigure(&self, settings: &Settings, open: usize) {
         let terms = terms(self.shared.wakes.len(), open, settings);
         lock(&self.shared.ledger).retune(terms);
     }
 
     /// What other processes of this dispatcher hold.
-    pub fn beside(&self, now: Micros, told: Published) {
+    pub fn set_peer_process_usage(&self, now: Micros, told: Published) {
         lock(&self.shared.ledger).beside(now, told);
     }
 
-    pub fn borrow(&self, now: Micros, wish: &Wish, open: usize) -> Loan {
+    pub fn acquire(&self, now: Micros, wish: &Wish, open: usize) -> Loan {
         lock(&self.shared.ledger).borrow(self.shard, now, wish, open)
     }
 
@@ -126,12 +131,12 @@
     }
 
     /// Becomes ready when another shard has let go what this one may be waiting for.
-    pub async fn woken(&self) {
+    pub async fn capacity_released(&self) {
         self.shared.wakes[self.shard.0].notified().await;
     }
 
-    pub fn beat(&self) {
-        self.shared.desk.beat(self.shard.0);
+    pub fn heartbeat(&self) {
+        self.shared.router.heartbeat(self.shard.0);
     }
 
     fn stripe(&self, id: RequestId) -> &Stripe {
@@ -139,7 +144,7 @@
     }
 
     /// Takes the name of a request; false where it is open, here or elsewhere.
-    pub fn claim(&self, id: RequestId) -> bool {
+    pub fn claim_request(&self, id: RequestId) -> bool {
         let mut open = lock(self.stripe(id));
         if open.contains_key(&id) {
             return false;
@@ -148,12 +153,12 @@
         true
     }
 
-    pub fn release(&self, id: RequestId) {
+    pub fn release_request(&self, id: RequestId) {
         lock(self.stripe(id)).remove(&id);
     }
 
     /// The number of an engine: that which the first shard gave it that heard of it.
-    pub fn identify(&self, uid: &str, first: impl FnOnce() -> u64) -> EngineId {
+    pub fn engine_id(&self, uid: &str, first: impl FnOnce() -> u64) -> EngineId {
         let mut engines = lock(&self.shared.engines);
         if let Some(engine) = engines.get_mut(uid) {
             engine.known_at.insert(self.shard);
@@ -169,7 +174,7 @@
     }
 
     /// This shard knows the engine no longer.
-    pub fn forget(&self, uid: &str) {
+    pub fn forget_engine(&self, uid: &str) {
         let mut engines = lock(&self.shared.engines);
         if let Some(engine) = engines.get_mut(uid) {
             engine.known_at.remove(&self.shard);
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use bytes::Bytes;
 use sedgebeam_core::{ClassId, GroupId};
-use sedgebeam_port::{Resting, Target};
+use sedgebeam_port::{IdleEngine, Target};
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
@@ -13,25 +13,25 @@
 
 struct Bench {
     broker: Broker,
-    sent: mpsc::Receiver<ToEngine>,
+    sent: mpsc::Receiver<EngineCommand>,
     answer: oneshot::Receiver<Answer>,
 }
 
 /// No engine is started in these tests: the bench holds the mailbox of its only one.
 struct NoWorld;
 
-impl Engines for NoWorld {
-    fn start(&self, _: &Target, _: Reports) -> EngineBox {
+impl EngineTransport for NoWorld {
+    fn start(&self, _: &Target, _: EngineReporter) -> EngineSender {
         mpsc::channel(1).0
     }
 }
 
-fn setup() -> Setup {
+fn setup() -> BrokerConfig {
     setup_with(r#"{"tells_cost": true}"#)
 }
 
 /// The settings of these tests, with this for the particulars of the engines.
-fn setup_with(domain: &str) -> Setup {
+fn setup_with(domain: &str) -> BrokerConfig {
     let facts = r#"{"balancers": 1, "tick": 5, "domain": DOMAIN, "kinds": ["std"], "tenants": [{"name": "acme"}],
         "limits": {"cancel": true, "max_attempts": 3}, "services": [{"name": "load", "on_time": 9000, "give_up": 9000}]}"#;
     let facts = &facts.replace("DOMAIN", domain);
@@ -41,13 +41,13 @@
         names: facts.names(),
         most_open: 100,
     };
-    Setup {
-        tuning: Arc::new(tuning),
+    BrokerConfig {
+        runtime_settings: Arc::new(tuning),
         seed: 1,
         clock: Clock::start(),
-        figures: Figures::default(),
-        world: Arc::new(NoWorld),
-        part: None,
+        metrics: Figures::default(),
+        engine_transport: Arc::new(NoWorld),
+        shard: None,
     }
 }
 
@@ -83,19 +83,19 @@
         group: GroupId(0),
         statement: Bytes::from_static(b"INSERT"),
         is_retry: false,
-        token: None,
+        idempotency_token: None,
         order_key: None,
         session: None,
-        cancelled: CancellationToken::new(),
+        cancel_token: CancellationToken::new(),
     }
 }
 
-fn ok() -> End {
+fn ok() -> AttemptResult {
     let page = Page {
         rows: Bytes::new(),
-        last: true,
+        is_last: true,
     };
-    End::Ok {
+    AttemptResult::Ok {
         page,
         work: Some(Micros(5)),
         load: None,
@@ -108,7 +108,7 @@
             .send(ID, ENGINE, Micros(0), None, Instant::now());
     }
 
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: AttemptResult) {
         self.broker.ended(ENGINE, ID, FIRST, end);
     }
 
@@ -124,7 +124,7 @@
 
     fn asked(&mut self) -> Vec<String> {
         let asked = std::iter::from_fn(|| self.sent.try_recv().ok());
-        let name = |asked: ToEngine| {
+        let name = |asked: EngineCommand| {
             format!("{asked:?}")
                 .split(['(', ' '])
                 .next()
@@ -147,11 +147,11 @@
 fn each_end_of_an_attempt_is_one_outcome() {
     let cases = [
         (ok(), Outcome::Ok, true),
-        (End::Busy, Outcome::Full, false),
-        (End::Error, Outcome::Error, false),
-        (End::Void, Outcome::Moot, false),
-        (End::ConnectFailed, Outcome::ConnectFailed, false),
-        (End::Reset, Outcome::Reset, false),
+        (AttemptResult::Busy, Outcome::Full, false),
+        (AttemptResult::Error, Outcome::Error, false),
+        (AttemptResult::NotRun, Outcome::Moot, false),
+        (AttemptResult::ConnectFailed, Outcome::ConnectFailed, false),
+        (AttemptResult::Reset, Outcome::Reset, false),
     ];
     inside(|| {
         for (end, outcome, finished) in cases {
@@ -210,7 +210,7 @@
                 ENGINE,
                 ID,
                 AttemptNo(spent.broker.open[&ID].attempts.len() as u32 - 1),
-                End::Busy,
+                AttemptResult::Busy,
             );
         }
         let full = |number| (number, Outcome::Full, false);
@@ -263,8 +263,8 @@
     inside(|| {
         let mut bench = bench();
         bench.send();
-        bench.broker.take(ToBroker::ClientLeft(ID));
-        bench.broker.take(ToBroker::ClientLeft(ID));
+        bench.broker.take(BrokerMessage::ClientLeft(ID));
+        bench.broker.take(BrokerMessage::ClientLeft(ID));
         let left = bench
             .broker
             .events
@@ -290,7 +290,7 @@
             },
         );
         let answer = bench.answer.try_recv().expect("an answer");
-        assert!(matches!(answer, Answer::Failed(Failure::Unanswered)));
+        assert!(matches!(answer, Answer::Failed(Failure::OutcomeUnknown)));
         bench.broker.batch(Instant::now());
         assert!(
             bench.broker.open.is_empty(),
@@ -306,7 +306,7 @@
         let (reply, mut second) = oneshot::channel();
         bench.broker.submit(request(), reply);
         let answer = second.try_recv().expect("an answer");
-        assert!(matches!(answer, Answer::Failed(Failure::Duplicate)));
+        assert!(matches!(answer, Answer::Failed(Failure::DuplicateId)));
         assert!(bench.broker.events.is_empty());
         assert!(
             bench.answer.try_recv().is_err(),
@@ -327,11 +327,11 @@
         bench
             .broker
             .send(ID, ENGINE, Micros::from_millis(60_000), None, now);
-        let Ok(ToEngine::Send(attempt)) = bench.sent.try_recv() else {
+        let Ok(EngineCommand::Send(attempt)) = bench.sent.try_recv() else {
             panic!("no send")
         };
-        assert!(attempt.until - Instant::now() <= Duration::from_secs(9));
-        assert_eq!(attempt.rank, 1);
+        assert!(attempt.deadline - Instant::now() <= Duration::from_secs(9));
+        assert_eq!(attempt.priority, 1);
     });
 }
 
@@ -342,7 +342,7 @@
         bench.send();
         bench.broker.terms(ID, 0.0, 1);
         bench.broker.terms(ID, 0.0, 3);
-        assert_eq!(bench.asked(), ["Send", "Renice"]);
+        assert_eq!(bench.asked(), ["Send", "Reprioritize"]);
     });
 }
 
@@ -351,7 +351,7 @@
     inside(|| {
         let mut bench = bench();
         bench.send();
-        bench.broker.take(ToBroker::EngineDied(ENGINE));
+        bench.broker.take(BrokerMessage::EngineActorDied(ENGINE));
         assert_eq!(bench.outcomes(), [(0, Outcome::Reset, false)]);
     });
 }
@@ -378,7 +378,7 @@
         assert_eq!(bench.outcomes(), [(0, Outcome::Moot, true)]);
         let answer = bench.answer.try_recv().expect("an answer");
         assert!(matches!(answer, Answer::Failed(Failure::Cancelled)));
-        bench.broker.take(ToBroker::ClientLeft(ID));
+        bench.broker.take(BrokerMessage::ClientLeft(ID));
         assert!(bench.broker.events.is_empty(), "it is told of once");
         // One that has gone before the broker takes it is not opened at all.
         let (reply, _answer) = oneshot::channel();
@@ -386,7 +386,7 @@
             id: RequestId(8),
             ..request()
         };
-        gone.cancelled.cancel();
+        gone.cancel_token.cancel();
         bench.broker.submit(gone, reply);
         assert!(bench.broker.events.is_empty() && !bench.broker.open.contains_key(&RequestId(8)));
     });
@@ -398,19 +398,19 @@
     let ends: [fn(&mut Bench); 4] = [
         |bench| bench.broker.call_off(ID, FIRST, Instant::now()),
         |bench| bench.broker.timed_out(ID, FIRST, Instant::now()),
-        |bench| bench.end(End::Reset),
+        |bench| bench.end(AttemptResult::Reset),
         |bench| bench.broker.open[&ID].cancelled.cancel(),
     ];
     for end in ends {
         inside(|| {
             let mut bench = bench();
             bench.send();
-            let Ok(ToEngine::Send(attempt)) = bench.sent.try_recv() else {
+            let Ok(EngineCommand::Send(attempt)) = bench.sent.try_recv() else {
                 panic!("no attempt")
             };
-            assert!(!attempt.is_void());
+            assert!(!attempt.is_stale());
             end(&mut bench);
-            assert!(attempt.is_void());
+            assert!(attempt.is_stale());
         });
     }
 }
@@ -438,7 +438,9 @@
         bench
             .broker
             .fall_due(Instant::now() + Duration::from_secs(30));
-        bench.broker.ended(EngineId(2), ID, FIRST, End::Void);
+        bench
+            .broker
+            .ended(EngineId(2), ID, FIRST, AttemptResult::NotRun);
         let unanswered = oneshot::error::TryRecvError::Empty;
         assert_eq!(answer.try_recv().err(), Some(unanswered));
         assert!(bench.broker.is_out(ENGINE, ID, FIRST));
@@ -457,7 +459,7 @@
             state: "up".to_string(),
             ..Target::default()
         };
-        broker.take(ToBroker::List(Listing::Complete, vec![up]));
+        broker.take(BrokerMessage::EngineList(Listing::Complete, vec![up]));
         let (reply, _gone) = oneshot::channel();
         broker.submit(request(), reply);
         broker.client_left(ID, Failure::Cancelled);
@@ -473,10 +475,10 @@
 }
 
 /// All engines have one mailbox, which the test holds.
-struct OneMailbox(EngineBox);
+struct OneMailbox(EngineSender);
 
-impl Engines for OneMailbox {
-    fn start(&self, _: &Target, _: Reports) -> EngineBox {
+impl EngineTransport for OneMailbox {
+    fn start(&self, _: &Target, _: EngineReporter) -> EngineSender {
         self.0.clone()
     }
 }
@@ -487,8 +489,8 @@
     let domain = format!(
         r#"{{"takes_grants": {takes_grants}, "priorities": true, "max_grant_share": 0.4, "size_cores": [8], "size_mb": [1001.0]}}"#
     );
-    let setup = Setup {
-        world: Arc::new(OneMailbox(mailbox)),
+    let setup = BrokerConfig {
+        engine_transport: Arc::new(OneMailbox(mailbox)),
         ..setup_with(&domain)
     };
     let (mut broker, _own, _incoming) = new(setup);
@@ -499,7 +501,7 @@
         model: Some("std".to_string()),
         ..Target::default()
     };
-    broker.take(ToBroker::List(Listing::Complete, vec![up]));
+    broker.take(BrokerMessage::EngineList(Listing::Complete, vec![up]));
     let (reply, _answer) = oneshot::channel();
     let asked = NewRequest {
         memory_mb,
@@ -508,7 +510,7 @@
     broker.submit(asked, reply);
     broker.batch(Instant::now());
     match sent.try_recv() {
-        Ok(ToEngine::Send(attempt)) => attempt.memory_grant_mb.map(u32::from),
+        Ok(EngineCommand::Send(attempt)) => attempt.memory_grant_mb.map(u32::from),
         other => panic!("no attempt, but {other:?}"),
     }
 }
@@ -533,7 +535,7 @@
         let mut bench = bench();
         bench.broker.settings.takes_grants = true;
         let grant_of = |bench: &mut Bench| match bench.sent.try_recv() {
-            Ok(ToEngine::Send(attempt)) => attempt.memory_grant_mb.map(u32::from),
+            Ok(EngineCommand::Send(attempt)) => attempt.memory_grant_mb.map(u32::from),
             other => panic!("no attempt, but {other:?}"),
         };
         let act = |bench: &mut Bench, memory_mb| {
@@ -545,10 +547,12 @@
         act(&mut bench, 128.0);
         assert_eq!(grant_of(&mut bench), Some(96));
         assert!(bench.asked().is_empty(), "it is told nothing more");
-        bench.end(End::Busy);
+        bench.end(AttemptResult::Busy);
         bench.send();
         assert_eq!(grant_of(&mut bench), Some(128));
-        bench.broker.ended(ENGINE, ID, AttemptNo(1), End::Busy);
+        bench
+            .broker
+            .ended(ENGINE, ID, AttemptNo(1), AttemptResult::Busy);
         // New settings heed no grants: the gateway may have no terms to tell under them.
         bench.broker.settings.takes_grants = false;
         bench.send();
@@ -587,8 +591,8 @@
     });
 }
 
-fn given_up(number: u32) -> ToBroker {
-    ToBroker::Engine(ENGINE, Report::GivenUp(ID, AttemptNo(number)))
+fn given_up(number: u32) -> BrokerMessage {
+    BrokerMessage::EngineReport(ENGINE, EngineReport::AbortConfirmed(ID, AttemptNo(number)))
 }
 
 /// A broker whose only class may be repeated: another attempt may follow one that is given up.
@@ -618,7 +622,7 @@
             assert!(bench.asked().is_empty());
             bench.broker.take(given_up(0));
             bench.broker.take(given_up(0));
-            bench.end(End::Reset);
+            bench.end(AttemptResult::Reset);
             assert_eq!(bench.outcomes(), [(0, outcome, false)]);
             bench.send();
             assert_eq!(bench.asked(), ["Send"]);
@@ -678,7 +682,7 @@
         let mut died = repeatable();
         died.send();
         died.broker.call_off(ID, FIRST, now);
-        died.broker.take(ToBroker::EngineDied(ENGINE));
+        died.broker.take(BrokerMessage::EngineActorDied(ENGINE));
         assert_eq!(died.outcomes(), [(0, Outcome::Cancelled, false)]);
     });
 }
@@ -690,18 +694,18 @@
         let mut bench = bench();
         let mailbox = bench.broker.engines[&ENGINE].actor.as_ref();
         let mailbox = mailbox.expect("an actor").mailbox.downgrade();
-        let resting = |taken| Resting {
+        let resting = |taken| IdleEngine {
             mailbox: mailbox.clone(),
-            taken,
+            received_count: taken,
         };
         let runs = |bench: &Bench| bench.broker.engines[&ENGINE].actor.is_some();
         bench.broker.probe(ENGINE);
         bench.broker.rests(ENGINE, &resting(0));
         assert!(runs(&bench), "it has not taken the probe yet");
         let (other, _kept) = mpsc::channel(1);
-        let foreign = Resting {
+        let foreign = IdleEngine {
             mailbox: other.downgrade(),
-            taken: 1,
+            received_count: 1,
         };
         bench.broker.rests(ENGINE, &foreign);
         assert!(runs(&bench), "the word of an earlier actor");
--- a/dispatcher/src/admin.rs
+++ b/dispatcher/src/admin.rs
@@ -15,8 +15,8 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use futures::{SinkExt, StreamExt};
 use miniserde::{Deserialize, Serialize, json};
-use sedgebeam_port::{Asked, Denied, Desk, Target, supervise};
-use sedgebeam_sockets::{Stream, without_delay};
+use sedgebeam_port::{AdminError, AdminRequest, RequestRouter, Target, supervise};
+use sedgebeam_sockets::{SocketStream, set_nodelay};
 use std::io;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -162,7 +162,7 @@
 }
 
 /// Serves until the dispatcher ends.
-pub async fn serve(listener: TcpListener, desk: Desk, mut ending: watch::Receiver<bool>) {
+pub async fn serve(listener: TcpListener, desk: RequestRouter, mut ending: watch::Receiver<bool>) {
     let places = std::sync::Arc::new(Semaphore::new(ADMINISTRATORS));
     loop {
         // The semaphore is never closed.
@@ -182,7 +182,7 @@
                     }
                     drop(place);
                 };
-                supervise::watch("an administration client".to_string(), task, || {});
+                supervise::spawn_supervised("an administration client".to_string(), task, || {});
             }
             Err(error) => {
                 log::warn!("accepting administration clients: {error}");
@@ -192,9 +192,9 @@
     }
 }
 
-async fn connection(stream: TcpStream, desk: Desk) -> io::Result<()> {
-    without_delay(&stream);
-    let mut wire = Framed::new(Stream::new(stream), Http);
+async fn connection(stream: TcpStream, desk: RequestRouter) -> io::Result<()> {
+    set_nodelay(&stream);
+    let mut wire = Framed::new(SocketStream::new(stream), Http);
     while let Some(call) = timeout(IDLE, wire.next()).await.map_err(io::Error::other)? {
         let told = match call {
             Ok(call) => {
@@ -209,7 +209,7 @@
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                let (status, body) = problem(&Denied::Invalid(error.to_string()));
+                let (status, body) = problem(&AdminError::Invalid(error.to_string()));
                 Told {
                     status,
                     body,
@@ -227,61 +227,68 @@
     Ok(())
 }
 
-fn problem(denied: &Denied) -> (u16, String) {
+fn problem(denied: &AdminError) -> (u16, String) {
     let (status, error) = match denied {
-        Denied::Invalid(why) => (400, why.as_str()),
-        Denied::Unknown(what) => (404, what.as_str()),
-        Denied::Method => (405, "no such method here"),
-        Denied::Silent => (503, "the dispatcher is ending, or does not answer"),
+        AdminError::Invalid(why) => (400, why.as_str()),
+        AdminError::NotFound(what) => (404, what.as_str()),
+        AdminError::MethodNotAllowed => (405, "no such method here"),
+        AdminError::Unavailable => (503, "the dispatcher is ending, or does not answer"),
     };
     (status, json::to_string(&Problem { error }))
 }
 
-async fn ask(desk: &Desk, asked: Asked) -> (u16, String) {
-    match desk.ask(asked).await {
+async fn ask(desk: &RequestRouter, asked: AdminRequest) -> (u16, String) {
+    match desk.administer(asked).await {
         Ok(told) => (200, told.to_json()),
         Err(denied) => problem(&denied),
     }
 }
 
-fn body<T: Deserialize>(call: &Call) -> Result<T, Denied> {
+fn body<T: Deserialize>(call: &Call) -> Result<T, AdminError> {
     let text = std::str::from_utf8(&call.body).unwrap_or_default();
     json::from_str(text)
-        .map_err(|_| Denied::Invalid("the body is not the JSON expected here".to_string()))
+        .map_err(|_| AdminError::Invalid("the body is not the JSON expected here".to_string()))
 }
 
 /// What a call asks for.
-fn route(call: &Call) -> Result<Asked, Denied> {
+fn route(call: &Call) -> Result<AdminRequest, AdminError> {
     let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
     Ok(match (call.method.as_str(), &path[..]) {
-        ("GET", ["health"]) => Asked::Health,
-        ("GET", ["counters"]) => Asked::Counters,
-        ("GET", ["engines"]) => Asked::Engines,
+        ("GET", ["health"]) => AdminRequest::Health,
+        ("GET", ["counters"]) => AdminRequest::Counters,
+        ("GET", ["engines"]) => AdminRequest::Engines,
         ("POST", ["engines"]) => {
             let target: Target = body(call)?;
             if target.uid.is_empty() || !["up", "draining"].contains(&target.state.as_str()) {
-                return Err(Denied::Invalid(
+                return Err(AdminError::Invalid(
                     "an engine needs uid, endpoint, and state up or draining".to_string(),
                 ));
             }
-            Asked::SetEngine(target)
+            AdminRequest::SetEngine(target)
         }
-        ("DELETE", ["engines", uid]) => Asked::RemoveEngine(uid.to_string()),
-        ("POST", ["engines", uid, "drain"]) => Asked::Drain(uid.to_string(), true),
-        ("DELETE", ["engines", uid, "drain"]) => Asked::Drain(uid.to_string(), false),
-        ("GET", ["tenants"]) => Asked::Tenants,
+        ("DELETE", ["engines", uid]) => AdminRequest::RemoveEngine(uid.to_string()),
+        ("POST", ["engines", uid, "drain"]) => AdminRequest::Drain(uid.to_string(), true),
+        ("DELETE", ["engines", uid, "drain"]) => AdminRequest::Drain(uid.to_string(), false),
+        ("GET", ["tenants"]) => AdminRequest::Tenants,
         ("PUT", ["tenants", name]) => {
             let share: TenantShare = body(call)?;
             let per_second = share.allowance_per_s.unwrap_or_default();
             let usable = |value: f64| value.is_finite() && value >= 0.0;
             if !(usable(share.portion) && share.portion <= 1.0 && usable(per_second)) {
-                return Err(Denied::Invalid(
+                return Err(AdminError::Invalid(
                     "portion is from 0 to 1, allowance_per_s not negative".to_string(),
                 ));
             }
-            Asked::SetTenant(name.to_string(), share.portion, per_second)
+            AdminRequest::SetTenant(name.to_string(), share.portion, per_second)
+        }
+        (_, ["health" | "counters" | "engines" | "tenants", ..]) => {
+            return Err(AdminError::MethodNotAllowed);
+        }
+        _ => {
+            return Err(AdminError::NotFound(format!(
+                "nothing at /{}",
+                path.join("/")
+            )));
         }
-        (_, ["health" | "counters" | "engines" | "tenants", ..]) => return Err(Denied::Method),
-        _ => return Err(Denied::Unknown(format!("nothing at /{}", path.join("/")))),
     })
 }
--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/beside.rs
@@ -12,7 +12,7 @@
 use sedgebeam_handover::{Freshness, Life, Pair, Phase, Share, Stated};
 use sedgebeam_operation::Orders;
 use sedgebeam_port::clock::Clock;
-use sedgebeam_port::{Asked, Desk};
+use sedgebeam_port::{AdminRequest, RequestRouter};
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -108,7 +108,7 @@
 /// What this process tells of itself.
 pub struct Own {
     pub clock: Clock,
-    pub desk: Desk,
+    pub desk: RequestRouter,
     pub places: Places,
     pub orders: watch::Receiver<Orders>,
     /// The change log's number.
@@ -138,8 +138,8 @@
         // The number first: a list that is newer than its number only hears of some change twice.
         let seq = self.reached.borrow().seq;
         let file = self.file.borrow().to_string();
-        let (targets, drained, tenants) = self.desk.standing().await;
-        let held = self.desk.held_over().await;
+        let (targets, drained, tenants) = self.desk.replicated_state().await;
+        let held = self.desk.handover_state().await;
         Share {
             stated: Stated {
                 name: name.to_string(),
@@ -166,7 +166,9 @@
         Member::Waiting(place) => {
             // As beside one that sends to cold engines and has half of all limits.
             left.send_replace(Others::MAYBE);
-            own.desk.beside(Held::default(), false).await;
+            own.desk
+                .set_peer_process_usage(Held::default(), false)
+                .await;
             (place.join_at_last().await, None)
         }
     };
@@ -255,7 +257,10 @@
         let now = self.own.now();
         let told = self.seen.iter().filter_map(|(_, share)| share.as_ref());
         let held = told.fold(Held::default(), |sum, share| sum.and(share.held_at(now)));
-        self.own.desk.beside(held, self.pair.may_warm()).await;
+        self.own
+            .desk
+            .set_peer_process_usage(held, self.pair.may_warm())
+            .await;
     }
 
     async fn tell_others(&self) {
@@ -275,12 +280,14 @@
 }
 
 /// Has brokers begin with what the administration had set before.
-pub async fn set_again(desk: &Desk, drained: Vec<String>, tenants: Vec<Tenant>) {
+pub async fn set_again(desk: &RequestRouter, drained: Vec<String>, tenants: Vec<Tenant>) {
     let tenants = tenants.into_iter();
-    let tenants = tenants.map(|t| Asked::SetTenant(t.name, t.share, t.per_second));
-    let drains = drained.into_iter().map(|uid| Asked::Drain(uid, true));
+    let tenants = tenants.map(|t| AdminRequest::SetTenant(t.name, t.share, t.per_second));
+    let drains = drained
+        .into_iter()
+        .map(|uid| AdminRequest::Drain(uid, true));
     for asked in drains.chain(tenants) {
-        if let Err(denied) = desk.ask(asked).await {
+        if let Err(denied) = desk.administer(asked).await {
             log::info!("what was set before is not set again: {denied:?}");
         }
     }
--- a/dispatcher/src/beside/folder.rs
+++ b/dispatcher/src/beside/folder.rs
@@ -4,7 +4,7 @@
 //! look removes. A file that can't be read or written for a moment says nothing about who lives.
 
 use sedgebeam_handover::{Life, Share};
-use sedgebeam_port::clock::span;
+use sedgebeam_port::clock::to_micros;
 use std::fs::{DirBuilder, File, OpenOptions, TryLockError};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io;
@@ -40,7 +40,7 @@
 
 pub(super) fn unix_now() -> sedgebeam_core::Micros {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    span(now.unwrap_or_default())
+    to_micros(now.unwrap_or_default())
 }
 
 /// The processes that have files there, living or not.
--- a/dispatcher/src/crew.rs
+++ b/dispatcher/src/crew.rs
@@ -7,12 +7,12 @@
 
 use crate::config::Config;
 use core_affinity::CoreId;
-use sedgebeam_broker::parts::{Part, Shared};
-use sedgebeam_broker::{self as broker, Setup};
+use sedgebeam_broker::shards::{Shard, ShardLeases};
+use sedgebeam_broker::{self as broker, BrokerConfig};
 use sedgebeam_leases::placement::{self, Load};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::Clock;
-use sedgebeam_port::{Desk, Engines, supervise};
+use sedgebeam_port::{EngineTransport, RequestRouter, supervise};
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
 
     /// Runs a task there; its panic is logged.
     pub fn watch(&self, name: &'static str, task: impl Future<Output = ()> + Send + 'static) {
-        supervise::watch_on(&self.runtime, name.to_string(), task, || {});
+        supervise::spawn_supervised_on(&self.runtime, name.to_string(), task, || {});
     }
 
     pub fn count(&self) -> Counted {
@@ -62,7 +62,7 @@
 
 /// All workers, and the desk before their brokers.
 pub struct Crew {
-    pub desk: Desk,
+    pub desk: RequestRouter,
     workers: Vec<Worker>,
     /// The first so many of them have a shard.
     shards: usize,
@@ -75,19 +75,19 @@
     /// Starts the brokers, on threads of their own where there are several workers.
     pub async fn start(
         config: &Config,
-        world: Arc<dyn Engines>,
+        world: Arc<dyn EngineTransport>,
         figures: &Figures,
         clock: Clock,
     ) -> io::Result<Crew> {
         let tuning = config.tuning();
-        let desk = Desk::new(config.shards, config.seed, figures.clone(), tuning.clone());
-        let setup = Setup {
-            tuning: Arc::new(tuning),
+        let desk = RequestRouter::new(config.shards, config.seed, figures.clone(), tuning.clone());
+        let setup = BrokerConfig {
+            runtime_settings: Arc::new(tuning),
             seed: config.seed,
             clock,
-            figures: figures.clone(),
-            world,
-            part: None,
+            metrics: figures.clone(),
+            engine_transport: world,
+            shard: None,
         };
         if config.workers > 1 {
             Crew::several(config, desk, setup).await
@@ -96,10 +96,10 @@
         }
     }
 
-    async fn alone(desk: Desk, setup: Setup) -> io::Result<Crew> {
+    async fn alone(desk: RequestRouter, setup: BrokerConfig) -> io::Result<Crew> {
         let (broker, mailbox, incoming) = broker::new(setup);
-        supervise::vital("the broker", broker.run(incoming));
-        let opened = desk.open(0, mailbox).await;
+        supervise::spawn_critical("the broker", broker.run(incoming));
+        let opened = desk.open_shard(0, mailbox).await;
         opened.map_err(|_| io::Error::other("the broker ended at once"))?;
         Ok(Crew {
             desk,
@@ -110,10 +110,14 @@
         })
     }
 
-    async fn several(config: &Config, desk: Desk, setup: Setup) -> io::Result<Crew> {
-        let tuning = &setup.tuning;
+    async fn several(
+        config: &Config,
+        desk: RequestRouter,
+        setup: BrokerConfig,
+    ) -> io::Result<Crew> {
+        let tuning = &setup.runtime_settings;
         let (open, settings) = (tuning.most_open, &tuning.settings);
-        let shared = Shared::new(config.shards, open, settings, desk.clone());
+        let shared = ShardLeases::new(config.shards, open, settings, desk.clone());
         widen_descriptors(config.sockets);
         let cores = if config.pin_workers {
             core_affinity::get_core_ids().unwrap_or_default()
@@ -128,8 +132,8 @@
             if shard >= config.shards {
                 continue;
             }
-            let setup = Setup {
-                part: Some(Part::new(shared.clone(), shard)),
+            let setup = BrokerConfig {
+                shard: Some(Shard::new(shared.clone(), shard)),
                 ..setup.clone()
             };
             let life = live(shard, setup, desk.clone(), shared.clone(), restarts.clone());
@@ -143,7 +147,7 @@
             restarts,
         };
         // Clients are accepted once every shard takes requests.
-        crew.desk.opened().await;
+        crew.desk.wait_until_open().await;
         Ok(crew)
     }
 
@@ -160,7 +164,7 @@
     pub fn place(&self) -> (usize, &Worker) {
         let load = |(shard, worker): (usize, &Worker)| Load {
             connections: worker.connections.load(Ordering::Relaxed),
-            lives: shard >= self.shards || self.desk.lives(shard),
+            lives: shard >= self.shards || self.desk.is_alive(shard),
         };
         let loads: Vec<Load> = self.workers.iter().enumerate().map(load).collect();
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
@@ -215,26 +219,26 @@
 /// The life of a shard: its broker, and another one whenever that has died.
 async fn live(
     shard: usize,
-    setup: Setup,
-    desk: Desk,
-    shared: Arc<Shared>,
+    setup: BrokerConfig,
+    desk: RequestRouter,
+    shared: Arc<ShardLeases>,
     restarts: Arc<AtomicUsize>,
 ) {
     for life in 0.. {
         let (broker, mailbox, incoming) = broker::new(setup.clone());
         let running = tokio::spawn(broker.run(incoming));
         // A broker that is gone already is told of below.
-        let _ = desk.open(shard, mailbox).await;
+        let _ = desk.open_shard(shard, mailbox).await;
         if life > 0 {
             restarts.fetch_add(1, Ordering::Relaxed);
         }
         let ended = running.await;
-        desk.close(shard);
+        desk.close_shard(shard);
         match ended {
             Ok(()) => return,
             Err(error) => log::error!("the broker of worker {shard} died: {error}"),
         }
-        shared.crash(shard);
+        shared.shard_crashed(shard);
         sleep(REBIRTH).await;
     }
 }
--- a/dispatcher/src/door.rs
+++ b/dispatcher/src/door.rs
@@ -9,7 +9,7 @@
 use sedgebeam_operation::call::{Call, MOST_LINE};
 use sedgebeam_operation::{Drain, Figures};
 use sedgebeam_port::clock::Clock;
-use sedgebeam_sockets::{Stream, listen};
+use sedgebeam_sockets::{SocketStream, listen};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, TcpListener as Bound};
@@ -82,7 +82,7 @@
                     }
                     let gives_way = CancellationToken::new();
                     waiting.push_back(gives_way.clone());
-                    callers.push(caller(Stream::new(stream), desk.clone(), gives_way, places.clone()));
+                    callers.push(caller(SocketStream::new(stream), desk.clone(), gives_way, places.clone()));
                 }
                 Err(error) => {
                     log::warn!("the door: {error}");
@@ -94,7 +94,12 @@
 }
 
 /// One caller, until it has its answer, its time is over or it gives way.
-async fn caller(mut stream: Stream, desk: Desk, gives_way: CancellationToken, place: Arc<()>) {
+async fn caller(
+    mut stream: SocketStream,
+    desk: Desk,
+    gives_way: CancellationToken,
+    place: Arc<()>,
+) {
     let asked = tokio::select! {
         biased;
         asked = timeout(CALL_LIMIT, line(&mut stream)) => asked,
@@ -126,7 +131,7 @@
 }
 
 /// The line of a caller; `None` where it ended without a word.
-async fn line(stream: &mut Stream) -> io::Result<Option<Vec<u8>>> {
+async fn line(stream: &mut SocketStream) -> io::Result<Option<Vec<u8>>> {
     let mut line = Vec::new();
     let mut bytes = [0; MOST_LINE];
     loop {
@@ -144,7 +149,7 @@
     }
 }
 
-async fn answer(stream: &mut Stream, desk: &Desk, line: &[u8]) -> io::Result<()> {
+async fn answer(stream: &mut SocketStream, desk: &Desk, line: &[u8]) -> io::Result<()> {
     let told = told(desk, line);
     timeout(CALL_LIMIT, stream.write_all(told.as_bytes())).await??;
     stream.shutdown().await
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -6,7 +6,7 @@
 use crate::config::{self, Config, Environment, Wrong, wrong};
 use miniserde::json::{self, Value};
 use sedgebeam_operation::Figures;
-use sedgebeam_port::Desk;
+use sedgebeam_port::RequestRouter;
 use sedgebeam_retune::{MOST_PLACES, file};
 use sedgebeam_settings::Connections;
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
     pub source: Source,
     /// The platform's file that was last taken.
     pub running: Value,
-    pub desk: Desk,
+    pub desk: RequestRouter,
     pub changelog: watch::Sender<Option<SocketAddr>>,
     pub connections: watch::Sender<Connections>,
     /// The text of the file that is in use.
@@ -105,7 +105,7 @@
                 "it is there in the running configuration, and missing now",
             ));
         }
-        if !self.desk.retune(&config.tuning()).await {
+        if !self.desk.reconfigure(&config.tuning()).await {
             let why = format!("there are more than {MOST_PLACES}, with those that end");
             return Err(wrong("settings.services or settings.tenants", why));
         }
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -2,9 +2,9 @@
 
 use futures::StreamExt;
 use miniserde::{Deserialize, json};
-use sedgebeam_port::{Desk, Listing, Target, apply};
+use sedgebeam_port::{Listing, RequestRouter, Target, apply};
 use sedgebeam_roster::{Follower, Next, Pauses};
-use sedgebeam_sockets::{Stream, without_delay};
+use sedgebeam_sockets::{SocketStream, set_nodelay};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -75,7 +75,7 @@
 pub async fn follow(
     mut address: watch::Receiver<Option<SocketAddr>>,
     reached: watch::Sender<Reached>,
-    desk: Desk,
+    desk: RequestRouter,
     mut pauses: Pauses,
 ) {
     let mut follower = Follower::new(reached.borrow().seq);
@@ -118,14 +118,14 @@
 async fn listen(
     address: SocketAddr,
     reached: &watch::Sender<Reached>,
-    desk: &Desk,
+    desk: &RequestRouter,
     follower: &mut Follower,
 ) -> io::Result<()> {
     let late = |_| io::Error::new(io::ErrorKind::TimedOut, "no word for too long");
     let stream = timeout(CONNECT, TcpStream::connect(address)).await;
     let stream = stream.map_err(late)??;
-    without_delay(&stream);
-    let mut stream = Stream::new(stream);
+    set_nodelay(&stream);
+    let mut stream = SocketStream::new(stream);
     let after = follower.asks_after();
     let request = format!(
         "GET /changes HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {after}\r\n\r\n"
@@ -169,13 +169,13 @@
 async fn tell(
     next: Next,
     reached: &watch::Sender<Reached>,
-    desk: &Desk,
+    desk: &RequestRouter,
     follower: &mut Follower,
 ) -> bool {
     let Next::Tell(seq, listing, targets) = next else {
         return true;
     };
-    if desk.list(listing, targets).await.is_err() {
+    if desk.update_engine_list(listing, targets).await.is_err() {
         return false;
     }
     // Only now: what is dropped while it waits for the broker has not been told.
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -82,7 +82,7 @@
         whole: whole_told,
         divided,
     };
-    supervise::vital("limits", limits.divide(others));
+    supervise::spawn_critical("limits", limits.divide(others));
     if let Some(member) = member {
         let own = Own {
             clock: program.clock,
@@ -92,7 +92,7 @@
             reached: reached.clone(),
             file: file_in_use,
         };
-        supervise::vital("other processes", beside::keep(member, own, others_told));
+        supervise::spawn_critical("other processes", beside::keep(member, own, others_told));
     }
     let shutdown = program.take_clients(places, reached, all_ended).await?;
     tokio::select! {
--- a/dispatcher/src/serve/flight.rs
+++ b/dispatcher/src/serve/flight.rs
@@ -29,7 +29,7 @@
     if !crew.is_several() {
         let placed = incoming::placed(accepted);
         let serving = serve_connections(placed, front.clone(), end.subscribe(), alive.clone());
-        supervise::vital("the Flight SQL front", serving);
+        supervise::spawn_critical("the Flight SQL front", serving);
         return;
     }
     let mut workers = Vec::new();
@@ -41,7 +41,7 @@
         workers.push(hand_over);
     }
     let spreading = spread(accepted, crew.clone(), workers, end.subscribe());
-    supervise::vital("accepting Flight SQL clients", spreading);
+    supervise::spawn_critical("accepting Flight SQL clients", spreading);
 }
 
 /// Hands connections over to the workers until the end.
--- a/dispatcher/src/serve/listeners.rs
+++ b/dispatcher/src/serve/listeners.rs
@@ -40,7 +40,7 @@
                 opening.await?;
                 continue;
             }
-            supervise::vital("a listener", async move {
+            supervise::spawn_critical("a listener", async move {
                 if let Err(error) = opening.await {
                     log::error!("a listener: {error}");
                 }
@@ -81,7 +81,7 @@
         Box::pin(async move {
             let listener = bind(address, wait_for_other).await?;
             log::info!("{name} is administered on {}", listener.local_addr()?);
-            supervise::vital("the administration", admin::serve(listener, desk, end));
+            supervise::spawn_critical("the administration", admin::serve(listener, desk, end));
             Ok(())
         })
     }
@@ -116,6 +116,6 @@
         };
         let newcomers_are_ours = config.passed.is_none();
         let accepting = sessions.accept(listener, self.duty.subscribe(), newcomers_are_ours);
-        Ok((supervise::vital("accepting", accepting), address))
+        Ok((supervise::spawn_critical("accepting", accepting), address))
     }
 }
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -7,7 +7,7 @@
 use sedgebeam_fronts::places::Places;
 use sedgebeam_operation::{Newcomers, Orders};
 use sedgebeam_port::{SessionKey, supervise};
-use sedgebeam_sockets::without_delay;
+use sedgebeam_sockets::set_nodelay;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -98,7 +98,7 @@
     fn turn_away(&self, stream: TcpStream, why: pg::Away) {
         let serving = self.serving.clone();
         let refusal = async move { pg::turn_away(stream, &serving, why).await };
-        supervise::watch("a refusal".to_string(), refusal, || {});
+        supervise::spawn_supervised("a refusal".to_string(), refusal, || {});
     }
 
     fn next_key(&mut self) -> SessionKey {
@@ -119,7 +119,7 @@
             // Whoever gave way lets its descriptor go before the next one is accepted.
             yield_now().await;
         }
-        without_delay(&stream);
+        set_nodelay(&stream);
         let (serving, key) = (self.serving.clone(), self.next_key());
         let leave = self
             .staying
--- a/dispatcher/src/serve/shutdown.rs
+++ b/dispatcher/src/serve/shutdown.rs
@@ -2,7 +2,7 @@
 
 use crate::duty::Duty;
 use sedgebeam_operation::Drain;
-use sedgebeam_port::Desk;
+use sedgebeam_port::RequestRouter;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
@@ -16,7 +16,7 @@
 /// What it takes to end.
 pub(super) struct Shutdown {
     pub duty: Duty,
-    pub desk: Desk,
+    pub desk: RequestRouter,
     /// Tells listeners that the last call is over.
     pub end: watch::Sender<bool>,
     /// The task that accepts clients of the PostgreSQL protocol.
@@ -46,7 +46,7 @@
             // What engines have not answered by then would be killed with the process.
             () = sleep_until(last_answers) => {
                 log::info!("the last moment: all that is open is answered");
-                self.desk.last_call().await;
+                self.desk.shut_down().await;
                 ended.await;
             }
         }
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -11,8 +11,8 @@
 use sedgebeam_engines::{Slots, Wires};
 use sedgebeam_handover::Share;
 use sedgebeam_operation::Figures;
-use sedgebeam_port::clock::{Clock, duration};
-use sedgebeam_port::{Asked, Listing, supervise};
+use sedgebeam_port::clock::{Clock, to_duration};
+use sedgebeam_port::{AdminRequest, Listing, supervise};
 use sedgebeam_roster::Pauses;
 use sedgebeam_settings::Connections;
 use std::io;
@@ -41,7 +41,7 @@
         }
         let farewells = Arc::new(Semaphore::new(config.descriptors.farewells));
         open_door(&config, &duty, &figures, clock, &farewells).await?;
-        supervise::vital("the drain", duty.clone().keep_time());
+        supervise::spawn_critical("the drain", duty.clone().keep_time());
         let wires = Wires {
             connections,
             figures: figures.clone(),
@@ -66,7 +66,9 @@
         let (known, desk) = (&self.config.known, &self.crew.desk);
         let ended = |_| io::Error::other("the broker ended at once");
         let saved = roster::fold(known.changes.clone());
-        desk.list(Listing::Saved, saved).await.map_err(ended)?;
+        desk.update_engine_list(Listing::Saved, saved)
+            .await
+            .map_err(ended)?;
         let Some(share) = handed else {
             return Ok(known.seq);
         };
@@ -74,10 +76,12 @@
         let stated = share.stated;
         let seq = stated.seq.max(known.seq);
         if stated.seq > known.seq {
-            let told = desk.list(Listing::Complete, stated.targets).await;
+            let told = desk
+                .update_engine_list(Listing::Complete, stated.targets)
+                .await;
             told.map_err(ended)?;
         }
-        desk.take_over(held).await;
+        desk.restore(held).await;
         beside::set_again(desk, stated.drained, stated.tenants).await;
         log::info!("begun with what the process before it knew, up to change {seq}");
         Ok(seq)
@@ -96,7 +100,7 @@
         });
         let pauses = Pauses::new(config.settings.gateways, config.seed);
         let following = roster::follow(address, reached, self.crew.desk.clone(), pauses);
-        supervise::vital("the change log", following);
+        supervise::spawn_critical("the change log", following);
         (changelog, heard)
     }
 
@@ -110,9 +114,9 @@
     ) -> watch::Receiver<Arc<str>> {
         let (retired, retired_told) = watch::channel(());
         let names = self.crew.desk.clone();
-        supervise::vital(
+        supervise::spawn_critical(
             "names",
-            async move { names.forget_names(retired_told).await },
+            async move { names.expire_names(retired_told).await },
         );
         let (in_use, in_use_told) = watch::channel(self.config.text.as_str().into());
         let reload = Reload {
@@ -125,7 +129,7 @@
             retired,
             figures: self.figures.clone(),
         };
-        supervise::vital("reloading", reload.at_hangup(hangup));
+        supervise::spawn_critical("reloading", reload.at_hangup(hangup));
         in_use_told
     }
 
@@ -138,7 +142,7 @@
             }
         }
         // Once one has answered, the brokers have the list.
-        let health = self.crew.desk.ask(Asked::Health).await;
+        let health = self.crew.desk.administer(AdminRequest::Health).await;
         health.map_err(|_| io::Error::other("the brokers ended at once"))?;
         self.duty.change(|drain, _| drain.prepared());
         Ok(())
@@ -148,7 +152,7 @@
     pub(super) fn longest_deadline(&self) -> Duration {
         let classes = self.config.settings.classes.iter();
         let longest = classes.map(|class| class.give_up).max();
-        duration(longest.unwrap_or_default())
+        to_duration(longest.unwrap_or_default())
     }
 }
 
--- a/dispatcher/tests/beside.rs
+++ b/dispatcher/tests/beside.rs
@@ -6,7 +6,7 @@
 use sedgebeam_fronts::places::Places;
 use sedgebeam_operation::{Drain, Figures, Orders};
 use sedgebeam_port::clock::Clock;
-use sedgebeam_port::{Desk, ToBroker};
+use sedgebeam_port::{BrokerMessage, RequestRouter};
 use sedgebeam_retune::Tuning;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -51,7 +51,7 @@
 
 /// A process, as the rest of it sees the others.
 struct Process {
-    told: mpsc::Receiver<ToBroker>,
+    told: mpsc::Receiver<BrokerMessage>,
     others: watch::Receiver<Others>,
     // They end with it.
     _orders: watch::Sender<Orders>,
@@ -61,9 +61,9 @@
 
 impl Process {
     async fn start(member: Member) -> Process {
-        let desk = Desk::new(1, 0, Figures::default(), Tuning::default());
+        let desk = RequestRouter::new(1, 0, Figures::default(), Tuning::default());
         let (mailbox, told) = mpsc::channel(16);
-        desk.open(0, mailbox).await.expect("a broker");
+        desk.open_shard(0, mailbox).await.expect("a broker");
         let mut drain = Drain::new(true);
         drain.prepared();
         let (_orders, orders) = watch::channel(drain.orders(Duration::ZERO));
@@ -92,8 +92,8 @@
     async fn may_warm(&mut self) -> bool {
         loop {
             match self.told.recv().await.expect("it goes on") {
-                ToBroker::Beside(_, may_warm) => return may_warm,
-                ToBroker::HeldOver(reply) => drop(reply),
+                BrokerMessage::SetPeerProcessUsage(_, may_warm) => return may_warm,
+                BrokerMessage::GetHandoverState(reply) => drop(reply),
                 _ => {}
             }
         }
--- a/dispatcher/tests/followers.rs
+++ b/dispatcher/tests/followers.rs
@@ -4,7 +4,7 @@
 
 use sedgebeam::roster::{self, Reached};
 use sedgebeam_operation::Figures;
-use sedgebeam_port::{Desk, Listing, Target, ToBroker, apply};
+use sedgebeam_port::{BrokerMessage, Listing, RequestRouter, Target, apply};
 use sedgebeam_retune::Tuning;
 use sedgebeam_roster::Pauses;
 use std::net::SocketAddr;
@@ -144,19 +144,21 @@
 }
 
 async fn follower(number: u32, log: &Log) -> Follower {
-    let desk = Desk::new(1, 0, Figures::default(), Tuning::default());
+    let desk = RequestRouter::new(1, 0, Figures::default(), Tuning::default());
     let (mailbox, mut told) = mpsc::channel(16);
     let (kept, list) = watch::channel(Vec::new());
     tokio::spawn(async move {
         while let Some(message) = told.recv().await {
-            if let ToBroker::List(listing, targets) = message {
+            if let BrokerMessage::EngineList(listing, targets) = message {
                 kept.send_modify(|list| apply(list, listing, &targets));
             }
         }
     });
-    desk.open(0, mailbox).await.expect("a broker");
+    desk.open_shard(0, mailbox).await.expect("a broker");
     let first = roster::fold(vec![read(1)]);
-    desk.list(Listing::Complete, first).await.expect("a broker");
+    desk.update_engine_list(Listing::Complete, first)
+        .await
+        .expect("a broker");
     let (address, changes) = watch::channel(Some(log.address));
     let (reached, heard) = watch::channel(Reached {
         seq: 1,
@@ -280,7 +282,7 @@
         let log = listener(0);
         let address = log.local_addr().expect("an address");
         let _fills_the_queue = TcpStream::connect(address).await.expect("connects");
-        let desk = Desk::new(1, 0, Figures::default(), Tuning::default());
+        let desk = RequestRouter::new(1, 0, Figures::default(), Tuning::default());
         let (_address, changes) = watch::channel(Some(address));
         let (reached, _heard) = watch::channel(Reached::default());
         tokio::spawn(roster::follow(changes, reached, desk, Pauses::new(1, 1)));
--- a/dispatcher/tests/scenarios/actors.rs
+++ b/dispatcher/tests/scenarios/actors.rs
@@ -7,7 +7,8 @@
 use sedgebeam_engines::{Slots, Wires};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::{
-    Attempt, End, EngineBox, Engines, Page, Probe, Report, Reports, Target, ToBroker, ToEngine,
+    Attempt, AttemptResult, BrokerMessage, EngineCommand, EngineReport, EngineReporter,
+    EngineSender, EngineTransport, Page, ProbeResult, Target,
 };
 use sedgebeam_settings::Connections;
 use std::time::Duration;
@@ -22,8 +23,8 @@
 
 struct Bench {
     engine: Peer,
-    actor: EngineBox,
-    reports: mpsc::Receiver<ToBroker>,
+    actor: EngineSender,
+    reports: mpsc::Receiver<BrokerMessage>,
     /// Of the next attempt: whether it is given up, and by when it has to begin.
     cancelled: CancellationToken,
     starts_by: Instant,
@@ -63,7 +64,7 @@
         figures: Figures::default(),
         slots,
     };
-    let actor = wires.start(&target, Reports::new(EngineId(1), broker));
+    let actor = wires.start(&target, EngineReporter::new(EngineId(1), broker));
     Bench {
         engine,
         actor,
@@ -74,17 +75,20 @@
 }
 
 /// The next report, but for those that an actor has nothing to do.
-async fn next_but_rests(reports: &mut mpsc::Receiver<ToBroker>) -> Option<ToBroker> {
+async fn next_but_rests(reports: &mut mpsc::Receiver<BrokerMessage>) -> Option<BrokerMessage> {
     loop {
         let report = reports.recv().await;
-        if !matches!(report, Some(ToBroker::Engine(_, Report::Resting(_)))) {
+        if !matches!(
+            report,
+            Some(BrokerMessage::EngineReport(_, EngineReport::Idle(_)))
+        ) {
             return report;
         }
     }
 }
 
 impl Bench {
-    async fn ask(&self, message: ToEngine) {
+    async fn ask(&self, message: EngineCommand) {
         self.actor.send(message).await.expect("an actor");
     }
 
@@ -97,16 +101,16 @@
             request: RequestId(id),
             number: AttemptNo(number),
             class: "lookup".into(),
-            until: Instant::now() + Duration::from_secs(9),
-            rank: 1,
+            deadline: Instant::now() + Duration::from_secs(9),
+            priority: 1,
             memory_grant_mb: None,
             statement,
-            token: None,
+            idempotency_token: None,
             order_key: None,
-            cancelled: self.cancelled.child_token(),
+            cancel_token: self.cancelled.child_token(),
             starts_by: self.starts_by,
         };
-        self.ask(ToEngine::Send(attempt)).await;
+        self.ask(EngineCommand::Send(attempt)).await;
     }
 
     /// Waits until the actor has heard all that it was asked.
@@ -126,9 +130,11 @@
     }
 
     /// The next report is that the attempt at this request ended so.
-    async fn ends(&mut self, id: u64, end: End) {
+    async fn ends(&mut self, id: u64, end: AttemptResult) {
         match self.report().await {
-            Report::Ended(request, _, ended) => assert_eq!((request.0, ended), (id, end)),
+            EngineReport::AttemptEnded(request, _, ended) => {
+                assert_eq!((request.0, ended), (id, end))
+            }
             other => panic!("no end: {other:?}"),
         }
     }
@@ -136,14 +142,14 @@
     /// The next report is that the first attempt at this request is given up.
     async fn gives_up(&mut self, id: u64) {
         match self.report().await {
-            Report::GivenUp(request, AttemptNo(0)) => assert_eq!(request.0, id),
+            EngineReport::AbortConfirmed(request, AttemptNo(0)) => assert_eq!(request.0, id),
             other => panic!("not given up: {other:?}"),
         }
     }
 
-    async fn report(&mut self) -> Report {
+    async fn report(&mut self) -> EngineReport {
         match next_but_rests(&mut self.reports).await {
-            Some(ToBroker::Engine(EngineId(1), report)) => report,
+            Some(BrokerMessage::EngineReport(EngineId(1), report)) => report,
             other => panic!("no report: {other:?}"),
         }
     }
@@ -163,22 +169,25 @@
 fn a_probe_brings_the_load_report_or_that_the_engine_is_down() {
     inside(|| async {
         let mut bench = bench().await;
-        bench.ask(ToEngine::Probe).await;
+        bench.ask(EngineCommand::Probe).await;
         bench.hears("stats p1").await;
         bench.says("p1 raw *4\\r\\n$2\\r\\np1\\r\\n$2\\r\\nUP\\r\\n$15\\r\\ngauges=util:0.5\\r\\n$0\\r\\n\\r\\n");
-        let Report::Probed(Probe::Up(Some(load))) = bench.report().await else {
+        let EngineReport::Probed(ProbeResult::Up(Some(load))) = bench.report().await else {
             panic!("no load report")
         };
         assert_eq!(load.busy, Some(0.5));
-        bench.ask(ToEngine::Probe).await;
+        bench.ask(EngineCommand::Probe).await;
         bench.hears("stats p2").await;
         bench.says("p2 raw *3\\r\\n$2\\r\\np2\\r\\n$4\\r\\nDOWN\\r\\n$1\\r\\n-\\r\\n");
-        assert!(matches!(bench.report().await, Report::Probed(Probe::Down)));
+        assert!(matches!(
+            bench.report().await,
+            EngineReport::Probed(ProbeResult::Down)
+        ));
         // One that is not answered ends as silent.
-        bench.ask(ToEngine::Probe).await;
+        bench.ask(EngineCommand::Probe).await;
         assert!(matches!(
             bench.report().await,
-            Report::Probed(Probe::Silent)
+            EngineReport::Probed(ProbeResult::TimedOut)
         ));
     });
 }
@@ -189,7 +198,9 @@
         let mut bench = bench().await;
         bench.send(1, 0).await;
         bench.hears("fetch 1").await;
-        bench.ask(ToEngine::Abort(RequestId(1), AttemptNo(0))).await;
+        bench
+            .ask(EngineCommand::Abort(RequestId(1), AttemptNo(0)))
+            .await;
         bench.hears("abort 1").await;
         bench.gives_up(1).await;
         // The answer crosses the abort on the old connection, while the request is out again on a new one.
@@ -201,7 +212,8 @@
         ));
         bench.hears("done 1").await;
         bench.says("1 OK 1 new|new|new");
-        let Report::Ended(RequestId(1), AttemptNo(1), End::Ok { page, .. }) = bench.report().await
+        let EngineReport::AttemptEnded(RequestId(1), AttemptNo(1), AttemptResult::Ok { page, .. }) =
+            bench.report().await
         else {
             panic!("no good end")
         };
@@ -219,11 +231,11 @@
         }
         // Nonsense on the connection of the third ends that one only.
         bench.says("3 raw nonsense\\r\\n");
-        bench.ends(3, End::Reset).await;
+        bench.ends(3, AttemptResult::Reset).await;
         bench.says("1 BUSY");
-        bench.ends(1, End::Busy).await;
+        bench.ends(1, AttemptResult::Busy).await;
         bench.says("2 VOID");
-        bench.ends(2, End::Void).await;
+        bench.ends(2, AttemptResult::NotRun).await;
     });
 }
 
@@ -246,7 +258,7 @@
             bench.send(1, 0).await;
             bench.hears("fetch 1").await;
             bench.says(&format!("1 {spoilt}"));
-            bench.ends(1, End::Reset).await;
+            bench.ends(1, AttemptResult::Reset).await;
         });
     }
 }
@@ -265,16 +277,19 @@
         bench.says("1 OK 2 a|b|c");
         bench.says("1 ROWS 1 d|e|f");
         let rows = Bytes::from_static(b"a\tb\tc\nd\te\tf\n");
-        let page = Page { rows, last: true };
+        let page = Page {
+            rows,
+            is_last: true,
+        };
         let work = Some(Micros::from_millis(80));
         let load = None;
-        bench.ends(1, End::Ok { page, work, load }).await;
+        bench.ends(1, AttemptResult::Ok { page, work, load }).await;
         // A copy of its refusal must not be taken for the answer to the next attempt.
         bench.send(2, 0).await;
         bench.hears("done 1").await;
         bench.hears("fetch 2").await;
         bench.says("2 BUSY");
-        bench.ends(2, End::Busy).await;
+        bench.ends(2, AttemptResult::Busy).await;
         bench.send(2, 1).await;
         bench.hears("fetch 2").await;
         bench.says("old BUSY");
@@ -282,10 +297,10 @@
         bench.says(&format!(
             "old raw *3\\r\\n{id}\\r\\n$4\\r\\nBUSY\\r\\n$1\\r\\n-\\r\\n"
         ));
-        bench.ask(ToEngine::Probe).await;
+        bench.ask(EngineCommand::Probe).await;
         bench.hears("stats p1").await;
         bench.says("2 VOID");
-        bench.ends(2, End::Void).await;
+        bench.ends(2, AttemptResult::NotRun).await;
     });
 }
 
@@ -299,15 +314,15 @@
             for _ in 0..moment % 20 {
                 tokio::task::yield_now().await;
             }
-            bench.ask(ToEngine::NothingNew).await;
-            bench.ask(ToEngine::Probe).await;
+            bench.ask(EngineCommand::ReturnUnsent).await;
+            bench.ask(EngineCommand::Probe).await;
             let heard = bench.engine.heard.recv().await.expect("words");
             if heard.starts_with("stats") {
                 return;
             }
             assert!(heard.starts_with("fetch 1"), "{heard}");
             bench.says("1 VOID");
-            bench.ends(1, End::Void).await;
+            bench.ends(1, AttemptResult::NotRun).await;
         });
     }
 }
@@ -334,7 +349,9 @@
         let mut bench = before(engine, endpoint, 1);
         bench.send(1, 0).await;
         bench.send(2, 0).await;
-        bench.ask(ToEngine::Abort(RequestId(1), AttemptNo(0))).await;
+        bench
+            .ask(EngineCommand::Abort(RequestId(1), AttemptNo(0)))
+            .await;
         // The actor has heard all of it before the table has room.
         bench.has_heard().await;
         drop(first);
@@ -344,7 +361,7 @@
         bench.says("2 OK 1 a|b|c");
         assert!(matches!(
             bench.report().await,
-            Report::Ended(RequestId(2), _, End::Ok { .. })
+            EngineReport::AttemptEnded(RequestId(2), _, AttemptResult::Ok { .. })
         ));
     });
 }
@@ -372,13 +389,15 @@
             bench.has_heard().await;
             let number = AttemptNo(0);
             match how {
-                "abort 2" => bench.ask(ToEngine::Abort(RequestId(2), number)).await,
+                "abort 2" => bench.ask(EngineCommand::Abort(RequestId(2), number)).await,
                 "gone" => bench.cancelled.cancel(),
-                "drains" => bench.ask(ToEngine::NothingNew).await,
+                "drains" => bench.ask(EngineCommand::ReturnUnsent).await,
                 _ => {}
             }
             // Something behind it, to know when it would have come.
-            bench.ask(ToEngine::Renice(RequestId(1), number, 3)).await;
+            bench
+                .ask(EngineCommand::Reprioritize(RequestId(1), number, 3))
+                .await;
             bench.has_heard().await;
             let (mut came, mut part) = (Vec::new(), vec![0; 1 << 20]);
             let told = |came: &[u8], word: &str| {
@@ -395,7 +414,7 @@
                 "{how}: it was written"
             );
             if how != "abort 2" {
-                bench.ends(2, End::Void).await;
+                bench.ends(2, AttemptResult::NotRun).await;
             }
         });
     }
@@ -421,9 +440,9 @@
         first.send(1, 0).await;
         first.hears("fetch 1").await;
         second.send(2, 0).await;
-        second.ends(2, End::Void).await;
+        second.ends(2, AttemptResult::NotRun).await;
         first.says("1 BUSY");
-        first.ends(1, End::Busy).await;
+        first.ends(1, AttemptResult::Busy).await;
         // It is idle now: what was refused its place wants it, and then has it.
         let mut id = 3;
         loop {
@@ -434,8 +453,8 @@
                     return;
                 }
                 report = next_but_rests(&mut second.reports) => {
-                    let void = Report::Ended(RequestId(id), AttemptNo(0), End::Void);
-                    assert_eq!(format!("{report:?}"), format!("{:?}", Some(ToBroker::Engine(EngineId(1), void))));
+                    let void = EngineReport::AttemptEnded(RequestId(id), AttemptNo(0), AttemptResult::NotRun);
+                    assert_eq!(format!("{report:?}"), format!("{:?}", Some(BrokerMessage::EngineReport(EngineId(1), void))));
                 }
             }
             id += 1;
@@ -451,6 +470,6 @@
         let mut bench = before(peer().0, format!("grpc://{address}"), 1);
         bench.starts_by = Instant::now();
         bench.send(1, 0).await;
-        bench.ends(1, End::Void).await;
+        bench.ends(1, AttemptResult::NotRun).await;
     });
 }
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -7,7 +7,7 @@
 use sedgebeam_fronts::places::{Places, Standing};
 use sedgebeam_fronts::{Shared, pg};
 use sedgebeam_operation::{Drain, Figures, Orders};
-use sedgebeam_port::{Answer, Desk, NewRequest, SessionKey, ToBroker};
+use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter, SessionKey};
 use sedgebeam_retune::Tuning;
 use sedgebeam_settings::Facts;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 
 struct Front {
     serving: pg::Serving,
-    broker: mpsc::Receiver<ToBroker>,
+    broker: mpsc::Receiver<BrokerMessage>,
     places: Places,
     orders: watch::Sender<Orders>,
 }
@@ -35,9 +35,9 @@
         names: facts.names(),
         most_open: 100,
     };
-    let desk = Desk::new(1, 1, Figures::default(), tuning);
+    let desk = RequestRouter::new(1, 1, Figures::default(), tuning);
     let (mailbox, broker) = mpsc::channel(64);
-    desk.open(0, mailbox).await.expect("a broker");
+    desk.open_shard(0, mailbox).await.expect("a broker");
     let mut drain = Drain::new(false);
     drain.prepared();
     let mut front = Front {
@@ -68,7 +68,7 @@
         client
     }
 
-    async fn told(&mut self) -> ToBroker {
+    async fn told(&mut self) -> BrokerMessage {
         self.broker.recv().await.expect("the broker is told")
     }
 }
@@ -202,13 +202,13 @@
             group: GroupId(0),
             statement: "SELECT".into(),
             is_retry: false,
-            token: None,
+            idempotency_token: None,
             order_key: None,
             session: Some(SessionKey(7)),
-            cancelled: cancelled.clone(),
+            cancel_token: cancelled.clone(),
         };
         let pending = desk.submit(request).await;
-        let ToBroker::Submit(_, reply) = front.told().await else {
+        let BrokerMessage::Submit(_, reply) = front.told().await else {
             panic!("no request")
         };
         let said = sedgebeam_lab::wire::cancel(&7u64.to_be_bytes());
@@ -220,7 +220,7 @@
         assert!(cancelled.is_cancelled());
         assert!(matches!(
             front.told().await,
-            ToBroker::ClientLeft(RequestId(5))
+            BrokerMessage::ClientLeft(RequestId(5))
         ));
         drop(reply);
         assert!(matches!(pending.await, Answer::Refused { .. }));
--- a/dispatcher/tests/scenarios/flight_engine.rs
+++ b/dispatcher/tests/scenarios/flight_engine.rs
@@ -165,9 +165,9 @@
 fn batch(cells: &str) -> Result<arrow_array::RecordBatch, arrow_flight::error::FlightError> {
     let page = Page {
         rows: rows(cells).into(),
-        last: false,
+        is_last: false,
     };
-    Ok(arrow::batch(&page)?)
+    Ok(arrow::page_to_batch(&page)?)
 }
 
 type Answer<T> = Result<Response<T>, Status>;
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -7,8 +7,9 @@
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{
-    Answer, Asked, Attempt, Denied, End, EngineBox, Engines, Failure, Listing, NewRequest, Page,
-    Pending, Reports, Target, ToEngine, Told,
+    AdminError, AdminRequest, AdminResponse, Answer, Attempt, AttemptResult, EngineCommand,
+    EngineReporter, EngineSender, EngineTransport, Failure, Listing, NewRequest, Page,
+    PendingAnswer, Target,
 };
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -113,7 +114,7 @@
     id: RequestId,
     worker: String,
     number: AttemptNo,
-    reports: Reports,
+    reports: EngineReporter,
 }
 
 /// Engines of which the test hears all that they are sent.
@@ -151,8 +152,8 @@
     }
 }
 
-impl Engines for World {
-    fn listed(&self, target: &Target) {
+impl EngineTransport for World {
+    fn engine_listed(&self, target: &Target) {
         let here = thread() == VICTIM;
         if here && target.uid == "boom-2" && self.boom.swap(false, Ordering::Relaxed) {
             panic!("the broker of {VICTIM} is to die");
@@ -165,12 +166,12 @@
         }
     }
 
-    fn start(&self, _: &Target, reports: Reports) -> EngineBox {
+    fn start(&self, _: &Target, reports: EngineReporter) -> EngineSender {
         let (mailbox, mut incoming) = mpsc::channel(64);
         let (sent, worker) = (self.sent.clone(), thread());
         tokio::spawn(async move {
             while let Some(message) = incoming.recv().await {
-                let ToEngine::Send(Attempt {
+                let EngineCommand::Send(Attempt {
                     request, number, ..
                 }) = message
                 else {
@@ -235,7 +236,7 @@
         let crew = crew.expect("starts");
         let list = vec![target("e-1")];
         crew.desk
-            .list(Listing::Complete, list)
+            .update_engine_list(Listing::Complete, list)
             .await
             .expect("is told");
         Bench {
@@ -247,11 +248,11 @@
         }
     }
 
-    async fn submit(&self, id: u64) -> Pending {
+    async fn submit(&self, id: u64) -> PendingAnswer {
         self.submit_of(id, None).await
     }
 
-    async fn submit_of(&self, id: u64, key: Option<&str>) -> Pending {
+    async fn submit_of(&self, id: u64, key: Option<&str>) -> PendingAnswer {
         let request = NewRequest {
             id: RequestId(id),
             class: ClassId(class(id)),
@@ -263,10 +264,10 @@
             group: GroupId(id),
             statement: "SELECT".into(),
             is_retry: false,
-            token: None,
+            idempotency_token: None,
             order_key: key.map(Into::into),
             session: None,
-            cancelled: CancellationToken::new(),
+            cancel_token: CancellationToken::new(),
         };
         self.crew.desk.submit(request).await
     }
@@ -286,7 +287,10 @@
 
     /// Hears of something new in the list, and of that alone.
     async fn hears_of(&self, uid: &str) {
-        let told = self.crew.desk.list(Listing::Changes, vec![target(uid)]);
+        let told = self
+            .crew
+            .desk
+            .update_engine_list(Listing::Changes, vec![target(uid)]);
         told.await.expect("is told");
     }
 
@@ -303,22 +307,22 @@
 async fn answer(sent: &Sent) {
     let page = Page {
         rows: "a\tb\tc\n".into(),
-        last: true,
+        is_last: true,
     };
-    let ok = End::Ok {
+    let ok = AttemptResult::Ok {
         page,
         work: None,
         load: None,
     };
-    sent.reports.ended(sent.id, sent.number, ok).await;
+    sent.reports.attempt_ended(sent.id, sent.number, ok).await;
 }
 
-async fn answered(pending: Pending) -> Answer {
+async fn answered(pending: PendingAnswer) -> Answer {
     timeout(HANGS, pending).await.expect("an answer")
 }
 
 /// Answers all of these, and sees that their clients are served.
-async fn served(sent: &[Sent], pending: Vec<(u64, Pending)>) {
+async fn served(sent: &[Sent], pending: Vec<(u64, PendingAnswer)>) {
     for sent in sent {
         answer(sent).await;
     }
@@ -338,7 +342,10 @@
 
 /// Asks so many, all of which are out before this ends: fewer than one engine has slots for. Gives what was
 /// asked and what was sent.
-async fn all_out(bench: &mut Bench, ids: std::ops::Range<u64>) -> (Vec<(u64, Pending)>, Vec<Sent>) {
+async fn all_out(
+    bench: &mut Bench,
+    ids: std::ops::Range<u64>,
+) -> (Vec<(u64, PendingAnswer)>, Vec<Sent>) {
     let (mut pending, mut sent) = (Vec::new(), Vec::new());
     for id in ids {
         pending.push((id, bench.submit(id).await));
@@ -373,7 +380,7 @@
                 (false, _) => assert!(matches!(answer, Answer::Rows(_)), "{id}: {answer:?}"),
                 // It may have run: nobody must be told that trying again is harmless.
                 (true, LOAD) => assert!(
-                    matches!(answer, Answer::Failed(Failure::Ending)),
+                    matches!(answer, Answer::Failed(Failure::ShuttingDown)),
                     "{id}: {answer:?}"
                 ),
                 (true, _) => assert!(matches!(answer, Answer::Refused { .. }), "{id}: {answer:?}"),
@@ -400,17 +407,20 @@
         let mut bench = Bench::new().await;
         let (before, sent_before) = all_out(&mut bench, 1..25).await;
         bench.hears_of("stall-2").await;
-        bench.until(|bench| !bench.crew.desk.lives(1)).await;
+        bench.until(|bench| !bench.crew.desk.is_alive(1)).await;
         let (during, sent) = all_out(&mut bench, 101..125).await;
         assert!(sent.iter().all(|sent| sent.worker != VICTIM));
         served(&sent, during).await;
-        assert!(!bench.crew.desk.lives(1), "it stands still all the while");
+        assert!(
+            !bench.crew.desk.is_alive(1),
+            "it stands still all the while"
+        );
         // A name that it has open is open for all.
         let stalled = sent_before.iter().find(|sent| sent.worker == VICTIM);
         let stalled = stalled.expect("some were its own").id;
         let again = answered(bench.submit(stalled.0).await).await;
         assert!(
-            matches!(again, Answer::Failed(Failure::Duplicate)),
+            matches!(again, Answer::Failed(Failure::DuplicateId)),
             "{again:?}"
         );
         bench.world.release();
@@ -423,13 +433,15 @@
 fn a_worker_that_is_started_again_knows_what_the_administration_has_set() {
     block_on(async {
         let mut bench = Bench::new().await;
-        let drain = Asked::Drain("e-1".to_string(), true);
-        bench.crew.desk.ask(drain).await.expect("is done");
+        let drain = AdminRequest::Drain("e-1".to_string(), true);
+        bench.crew.desk.administer(drain).await.expect("is done");
         bench.hears_of("boom-2").await;
         bench.until(|bench| bench.crew.restarts() == 1).await;
         let (_pending, sent) = all_out(&mut bench, 1..25).await;
         assert!(sent.iter().any(|sent| sent.worker == VICTIM));
-        let Ok(Told::Engines(rows)) = bench.crew.desk.ask(Asked::Engines).await else {
+        let Ok(AdminResponse::Engines(rows)) =
+            bench.crew.desk.administer(AdminRequest::Engines).await
+        else {
             panic!("no engines are told");
         };
         let row = |uid: &str| {
@@ -438,14 +450,17 @@
                 .expect("a row")
                 .clone()
         };
-        assert_eq!((row("e-1").drained, row("e-1").out), (true, 0));
-        assert_eq!(row("boom-2").out, 24);
+        assert_eq!(
+            (row("e-1").drained, row("e-1").attempts_in_flight),
+            (true, 0)
+        );
+        assert_eq!(row("boom-2").attempts_in_flight, 24);
         let unknown = bench
             .crew
             .desk
-            .ask(Asked::RemoveEngine("none".to_string()))
+            .administer(AdminRequest::RemoveEngine("none".to_string()))
             .await;
-        assert!(matches!(unknown, Err(Denied::Unknown(_))));
+        assert!(matches!(unknown, Err(AdminError::NotFound(_))));
     });
 }
 
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -16,8 +16,11 @@
 use sedgebeam_arrow as arrow;
 use sedgebeam_core::{AttemptNo, Load, Micros, Note, RequestId};
 use sedgebeam_operation::Figures;
-use sedgebeam_port::clock::duration;
-use sedgebeam_port::{Attempt, End, More, Page, Probe, Report, Reports, ToEngine, supervise};
+use sedgebeam_port::clock::to_duration;
+use sedgebeam_port::{
+    Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, Page, PageRequest,
+    ProbeResult, supervise,
+};
 use sedgebeam_settings::Connections;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -64,7 +67,7 @@
 struct Running {
     number: AttemptNo,
     lane: u64,
-    pages: mpsc::Sender<More>,
+    pages: mpsc::Sender<PageRequest>,
     /// Dropped to give the attempt up.
     kept: oneshot::Sender<()>,
 }
@@ -80,7 +83,7 @@
 struct Actor {
     endpoint: String,
     wires: Wires,
-    reports: Reports,
+    reports: EngineReporter,
     over: mpsc::Sender<Over>,
     lanes: HashMap<u64, Lane>,
     next_lane: u64,
@@ -91,8 +94,8 @@
 pub async fn run(
     endpoint: String,
     wires: Wires,
-    mut mailbox: mpsc::Receiver<ToEngine>,
-    reports: Reports,
+    mut mailbox: mpsc::Receiver<EngineCommand>,
+    reports: EngineReporter,
 ) {
     let (over, mut incoming) = mpsc::channel(EVENTS);
     let mut actor = Actor {
@@ -122,13 +125,15 @@
         *self.wires.connections.borrow()
     }
 
-    async fn take(&mut self, message: ToEngine) {
+    async fn take(&mut self, message: EngineCommand) {
         match message {
-            ToEngine::Send(attempt) => self.send(attempt).await,
-            ToEngine::Abort(id, number) | ToEngine::Done(id, number) => self.give_up(id, number),
-            ToEngine::Renice(id, number, rank) => self.renice(id, number, rank),
-            ToEngine::Probe => self.probe(),
-            ToEngine::More(more) => {
+            EngineCommand::Send(attempt) => self.send(attempt).await,
+            EngineCommand::Abort(id, number) | EngineCommand::ReleaseResult(id, number) => {
+                self.give_up(id, number)
+            }
+            EngineCommand::Reprioritize(id, number, rank) => self.renice(id, number, rank),
+            EngineCommand::Probe => self.probe(),
+            EngineCommand::FetchPage(more) => {
                 let running = self.running.get(&more.request);
                 let running = running.filter(|running| running.number == more.number);
                 // Without one, or with its mailbox full, the reader sees its channel end.
@@ -138,7 +143,7 @@
                     log::debug!("{}: a page was asked for twice", self.endpoint);
                 }
             }
-            ToEngine::NothingNew => self.nothing_new().await,
+            EngineCommand::ReturnUnsent => self.nothing_new().await,
         }
     }
 
@@ -174,12 +179,14 @@
         let waiting = waiting.map(|(id, running)| (id, running.number));
         let waiting: Vec<(RequestId, AttemptNo)> = waiting.collect();
         for (id, number) in waiting {
-            self.reports.ended(id, number, End::ConnectFailed).await;
+            self.reports
+                .attempt_ended(id, number, AttemptResult::ConnectFailed)
+                .await;
         }
     }
 
     fn close_idle(&mut self) {
-        let idle = duration(self.settings().idle);
+        let idle = to_duration(self.settings().idle);
         let now = Instant::now();
         self.lanes
             .retain(|_, lane| lane.out > 0 || now < lane.used + idle);
@@ -201,7 +208,7 @@
             return None;
         };
         self.next_lane += 1;
-        let limit = duration(self.settings().connect_timeout);
+        let limit = to_duration(self.settings().connect_timeout);
         let opening = open(self.endpoint.clone(), limit).boxed().shared();
         let lane = Lane {
             _slot: slot,
@@ -223,7 +230,9 @@
         };
         let Some((lane, opening)) = lane else {
             // No fault of the engine's.
-            self.reports.ended(id, number, End::Void).await;
+            self.reports
+                .attempt_ended(id, number, AttemptResult::NotRun)
+                .await;
             return;
         };
         let (pages, asked) = mpsc::channel(MAILBOX);
@@ -256,15 +265,17 @@
                 broken = task.run(opening, asked) => Some(broken),
             };
             if broken.is_none() {
-                given_up.given_up(id, number).await;
+                given_up.abort_confirmed(id, number).await;
             }
             let broken = broken.unwrap_or(false);
             // An actor that is gone counts no more.
             let _ = over.send(word(broken)).await;
         };
-        supervise::watch(format!("attempt at {}", self.endpoint), run, move || {
+        supervise::spawn_supervised(format!("attempt at {}", self.endpoint), run, move || {
             tokio::spawn(async move {
-                reports.ended(id, number, End::Reset).await;
+                reports
+                    .attempt_ended(id, number, AttemptResult::Reset)
+                    .await;
                 let _ = died.send(word(true)).await;
             });
         });
@@ -302,7 +313,7 @@
         let channel = up.next();
         drop(up);
         let (endpoint, reports) = (self.endpoint.clone(), self.reports.clone());
-        let limit = duration(self.settings().connect_timeout);
+        let limit = to_duration(self.settings().connect_timeout);
         let (slots, in_all) = (self.wires.slots.clone(), self.settings().in_all);
         tokio::spawn(async move {
             // Only a connection of its own takes a slot, for as long as the probe lasts.
@@ -313,10 +324,10 @@
             };
             let probe = match channel {
                 Some(channel) => stats(channel, limit).await,
-                None => Probe::ConnectFailed,
+                None => ProbeResult::ConnectFailed,
             };
             drop(slot);
-            reports.tell(Report::Probed(probe)).await;
+            reports.send(EngineReport::Probed(probe)).await;
         });
     }
 }
@@ -342,17 +353,17 @@
         .ok()
 }
 
-async fn stats(channel: Channel, limit: Duration) -> Probe {
+async fn stats(channel: Channel, limit: Duration) -> ProbeResult {
     let asked = async {
         let mut results = client(channel).do_action(Action::new(STATS, "")).await?;
         results.get_mut().message().await
     };
     match timeout(limit, asked).await {
-        Err(_) => Probe::Silent,
-        Ok(Ok(result)) => Probe::Up(result.and_then(|result| load(&result.body))),
+        Err(_) => ProbeResult::TimedOut,
+        Ok(Ok(result)) => ProbeResult::Up(result.and_then(|result| load(&result.body))),
         // It lives, but has no report to give.
-        Ok(Err(status)) if status.code() == Code::Unimplemented => Probe::Up(None),
-        Ok(Err(_)) => Probe::Down,
+        Ok(Err(status)) if status.code() == Code::Unimplemented => ProbeResult::Up(None),
+        Ok(Err(_)) => ProbeResult::Down,
     }
 }
 
@@ -368,15 +379,15 @@
 }
 
 /// What an error says of an attempt.
-fn end(status: &Status) -> End {
+fn end(status: &Status) -> AttemptResult {
     let not_run = status.metadata().contains_key(NOT_RUN);
     match status.code() {
         // The connection had broken before, and no new one could be made.
-        Code::Unavailable if never_connected(status) => End::ConnectFailed,
-        Code::ResourceExhausted if not_run => End::Busy,
-        _ if not_run => End::Void,
-        Code::Unavailable => End::Reset,
-        _ => End::Error,
+        Code::Unavailable if never_connected(status) => AttemptResult::ConnectFailed,
+        Code::ResourceExhausted if not_run => AttemptResult::Busy,
+        _ if not_run => AttemptResult::NotRun,
+        Code::Unavailable => AttemptResult::Reset,
+        _ => AttemptResult::Error,
     }
 }
 
@@ -390,21 +401,25 @@
 struct Task {
     attempt: Attempt,
     endpoint: String,
-    reports: Reports,
+    reports: EngineReporter,
     figures: Figures,
 }
 
 impl Task {
     /// Runs the attempt; whether its connection turned out to be broken.
-    async fn run(self, opening: Opening, asked: mpsc::Receiver<More>) -> bool {
+    async fn run(self, opening: Opening, asked: mpsc::Receiver<PageRequest>) -> bool {
         let (id, number) = (self.attempt.request, self.attempt.number);
         let Some(channel) = opening.await else {
-            self.reports.ended(id, number, End::ConnectFailed).await;
+            self.reports
+                .attempt_ended(id, number, AttemptResult::ConnectFailed)
+                .await;
             return true;
         };
         // Its connection may have taken long.
-        if self.attempt.is_void() {
-            self.reports.ended(id, number, End::Void).await;
+        if self.attempt.is_stale() {
+            self.reports
+                .attempt_ended(id, number, AttemptResult::NotRun)
+                .await;
             return false;
         }
         match self.result(client(channel)).await {
@@ -416,11 +431,11 @@
             Err(status) => {
                 log::debug!("{}: {status}", self.endpoint);
                 let end = end(&status);
-                let broken = matches!(end, End::Reset | End::ConnectFailed);
-                if end != End::ConnectFailed {
+                let broken = matches!(end, AttemptResult::Reset | AttemptResult::ConnectFailed);
+                if end != AttemptResult::ConnectFailed {
                     self.figures.forwarded(1);
                 }
-                self.reports.ended(id, number, end).await;
+                self.reports.attempt_ended(id, number, end).await;
                 broken
             }
         }
@@ -431,14 +446,14 @@
         let fields = [
             ("txn", format!("{:016x}", self.attempt.request.0)),
             ("kind", self.attempt.class.to_string()),
-            ("rank", self.attempt.rank.to_string()),
-            ("ms", self.attempt.millis_left().to_string()),
+            ("rank", self.attempt.priority.to_string()),
+            ("ms", self.attempt.remaining_ms().to_string()),
         ];
         let grant = self.attempt.memory_grant_mb;
         let grant = grant.map(|memory_mb| ("grant", memory_mb.to_string()));
         let words = self
             .attempt
-            .words()
+            .wire_fields()
             .map(|(name, word)| (name, word.to_string()));
         for (name, value) in fields.into_iter().chain(grant).chain(words) {
             // A class whose name no header can hold goes without it.
@@ -505,7 +520,9 @@
             guard.0 = Some((client.clone(), action));
             let note = Note::Progress(poll.progress.unwrap_or_default().clamp(0.0, 1.0));
             let (id, number) = (self.attempt.request, self.attempt.number);
-            self.reports.tell(Report::Note(id, number, note)).await;
+            self.reports
+                .send(EngineReport::Note(id, number, note))
+                .await;
             sleep(pause).await;
             (next, pause) = (more, (pause * 2).min(LONGEST_POLL));
         }
@@ -516,19 +533,19 @@
         &self,
         mut stream: FlightRecordBatchStream,
         work: Option<Micros>,
-        mut asked: mpsc::Receiver<More>,
+        mut asked: mpsc::Receiver<PageRequest>,
     ) {
         let (id, number) = (self.attempt.request, self.attempt.number);
         let end = match next(&mut stream).await {
-            Ok(page) => End::Ok {
+            Ok(page) => AttemptResult::Ok {
                 page,
                 work,
                 load: None,
             },
             Err(status) => end(&status),
         };
-        let more = matches!(&end, End::Ok { page, .. } if !page.last);
-        self.reports.ended(id, number, end).await;
+        let more = matches!(&end, AttemptResult::Ok { page, .. } if !page.is_last);
+        self.reports.attempt_ended(id, number, end).await;
         while more && let Some(asked) = asked.recv().await {
             let page = match next(&mut stream).await {
                 Ok(page) => page,
@@ -537,7 +554,7 @@
                     return;
                 }
             };
-            let last = page.last;
+            let last = page.is_last;
             // A reader that has left asks no more.
             if asked.reply.send(page).is_err() || last {
                 return;
@@ -560,11 +577,11 @@
     match stream.next().await {
         None => Ok(Page {
             rows: bytes::Bytes::new(),
-            last: true,
+            is_last: true,
         }),
         Some(Ok(batch)) => Ok(Page {
-            rows: arrow::rows(&batch)?,
-            last: false,
+            rows: arrow::batch_to_rows(&batch)?,
+            is_last: false,
         }),
         Some(Err(error)) => Err(error.into()),
     }
--- a/engines/src/flight/tests.rs
+++ b/engines/src/flight/tests.rs
@@ -11,19 +11,19 @@
         request: RequestId(255),
         number: AttemptNo(0),
         class: "report".into(),
-        until: Instant::now() + Duration::from_millis(1500),
-        rank: 2,
+        deadline: Instant::now() + Duration::from_millis(1500),
+        priority: 2,
         memory_grant_mb: sedgebeam_port::memory_grant(memory_mb),
         statement: "SELECT 1".into(),
-        token: Some("5c0f".into()),
+        idempotency_token: Some("5c0f".into()),
         order_key: None,
-        cancelled: CancellationToken::new(),
+        cancel_token: CancellationToken::new(),
         starts_by: Instant::now(),
     };
     let task = Task {
         attempt,
         endpoint: String::new(),
-        reports: Reports::new(EngineId(1), broker),
+        reports: EngineReporter::new(EngineId(1), broker),
         figures: Figures::default(),
     };
     task.request(()).metadata().clone()
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -7,7 +7,7 @@
 pub use slots::Slots;
 
 use sedgebeam_operation::Figures;
-use sedgebeam_port::{EngineBox, Engines, Reports, Target, supervise};
+use sedgebeam_port::{EngineReporter, EngineSender, EngineTransport, Target, supervise};
 use sedgebeam_settings::Connections;
 use tokio::sync::{mpsc, watch};
 
@@ -28,21 +28,21 @@
     pub slots: Slots,
 }
 
-impl Engines for Wires {
-    fn start(&self, target: &Target, reports: Reports) -> EngineBox {
+impl EngineTransport for Wires {
+    fn start(&self, target: &Target, reports: EngineReporter) -> EngineSender {
         let (mailbox, incoming) = mpsc::channel(MAILBOX);
         let (name, endpoint) = (format!("engine {}", target.uid), target.endpoint.clone());
         let last = reports.clone();
         let died = move || {
-            tokio::spawn(async move { last.died().await });
+            tokio::spawn(async move { last.actor_died().await });
         };
         if endpoint.starts_with(FLIGHT_SCHEME) {
             let actor = flight::run(endpoint, self.clone(), incoming, reports);
-            supervise::watch(name, actor, died);
+            supervise::spawn_supervised(name, actor, died);
         } else {
             let own = mailbox.downgrade();
             let actor = resp::run(endpoint, self.clone(), own, incoming, reports);
-            supervise::watch(name, actor, died);
+            supervise::spawn_supervised(name, actor, died);
         }
         mailbox
     }
--- a/engines/src/resp/codec.rs
+++ b/engines/src/resp/codec.rs
@@ -99,12 +99,12 @@
 
 /// Writes the command that begins an attempt, with the time that is left for it now.
 pub fn put_fetch(bytes: &mut BytesMut, attempt: &Attempt) {
-    let wait = attempt.millis_left();
-    let mut fields = format!("kind={},ms={wait},rank={}", attempt.class, attempt.rank);
+    let wait = attempt.remaining_ms();
+    let mut fields = format!("kind={},ms={wait},rank={}", attempt.class, attempt.priority);
     if let Some(memory_mb) = attempt.memory_grant_mb {
         fields.push_str(&format!(",grant={memory_mb}"));
     }
-    for (name, word) in attempt.words() {
+    for (name, word) in attempt.wire_fields() {
         fields.push_str(&format!(",{name}={word}"));
     }
     let id = hex(attempt.request);
--- a/engines/src/resp/codec/tests.rs
+++ b/engines/src/resp/codec/tests.rs
@@ -147,13 +147,13 @@
         request: RequestId(255),
         number: sedgebeam_core::AttemptNo(0),
         class: "report".into(),
-        until: Instant::now() + Duration::from_millis(1500),
-        rank: 2,
+        deadline: Instant::now() + Duration::from_millis(1500),
+        priority: 2,
         memory_grant_mb: sedgebeam_port::memory_grant(memory_mb),
         statement: Bytes::from_static(b"SELECT 1"),
-        token: Some("5c0f".into()),
+        idempotency_token: Some("5c0f".into()),
         order_key: None,
-        cancelled: tokio_util::sync::CancellationToken::new(),
+        cancel_token: tokio_util::sync::CancellationToken::new(),
         starts_by: Instant::now(),
     }
 }
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -7,7 +7,7 @@
 use sedgebeam_core::RequestId;
 use sedgebeam_fleet::reconnect::Connect;
 use sedgebeam_operation::Figures;
-use sedgebeam_sockets::{Reading, is_local, is_to_be_repeated, without_delay};
+use sedgebeam_sockets::{SocketReader, is_local_shortage, set_nodelay, should_retry};
 use std::collections::VecDeque;
 use std::io;
 use std::time::Duration;
@@ -71,7 +71,7 @@
         let (number, dead) = (link.number, link.came.clone());
         let name = format!("connection to {}", link.endpoint);
         let task = link.run(commands, dropped, slot);
-        sedgebeam_port::supervise::watch(name, task, move || {
+        sedgebeam_port::supervise::spawn_supervised(name, task, move || {
             let down = Came::Down {
                 unwritten: Vec::new(),
                 error: None,
@@ -188,7 +188,7 @@
         let late = |_| io::Error::new(io::ErrorKind::TimedOut, "not up in time");
         let stream = timeout(self.limit, self.connect_with_patience()).await;
         let stream = stream.map_err(late)??;
-        without_delay(&stream);
+        set_nodelay(&stream);
         Ok(stream)
     }
 
@@ -196,7 +196,7 @@
     async fn connect_with_patience(&self) -> io::Result<TcpStream> {
         loop {
             match TcpStream::connect(&self.endpoint).await {
-                Err(error) if is_local(&error) => sleep(LACK_PAUSE).await,
+                Err(error) if is_local_shortage(&error) => sleep(LACK_PAUSE).await,
                 connected => return connected,
             }
         }
@@ -231,7 +231,7 @@
             if writable && outgoing.len() > 0 {
                 match half.try_write_vectored(&outgoing.slices()) {
                     Ok(count) => written = outgoing.written(count),
-                    Err(error) if is_to_be_repeated(&error) => {}
+                    Err(error) if should_retry(&error) => {}
                     Err(error) => return Err(error),
                 }
             }
@@ -247,7 +247,7 @@
 
     /// Passes on what comes; what can't be read, or stops in the middle, ends the connection.
     async fn read(&self, half: OwnedReadHalf) -> io::Result<()> {
-        let mut replies = FramedRead::new(Reading(half), Resp);
+        let mut replies = FramedRead::new(SocketReader(half), Resp);
         let mut stopped = false;
         loop {
             match timeout(HALF, replies.next()).await {
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -16,8 +16,11 @@
 use outgoing::Named;
 use sedgebeam_core::{AttemptNo, Load, Micros, RequestId};
 use sedgebeam_fleet::reconnect::{Backoff, Connect, Ended, Pauses, Permit};
-use sedgebeam_port::clock::{duration, span};
-use sedgebeam_port::{Attempt, End, Page, Probe, Report, Reports, Resting, ToEngine};
+use sedgebeam_port::clock::{to_duration, to_micros};
+use sedgebeam_port::{
+    Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, IdleEngine, Page,
+    ProbeResult,
+};
 use sedgebeam_settings::Connections;
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -89,10 +92,10 @@
 }
 
 impl Unconnected {
-    fn end(self) -> End {
+    fn end(self) -> AttemptResult {
         match self {
-            Unconnected::NoRoom => End::Void,
-            Unconnected::TurnedAway => End::ConnectFailed,
+            Unconnected::NoRoom => AttemptResult::NotRun,
+            Unconnected::TurnedAway => AttemptResult::ConnectFailed,
         }
     }
 }
@@ -100,7 +103,7 @@
 struct Actor {
     endpoint: String,
     wires: Wires,
-    reports: Reports,
+    reports: EngineReporter,
     came: mpsc::Sender<(Number, Came)>,
     connections: HashMap<Number, Connection>,
     next_connection: u64,
@@ -119,9 +122,9 @@
 pub async fn run(
     endpoint: String,
     wires: Wires,
-    own: mpsc::WeakSender<ToEngine>,
-    mut mailbox: mpsc::Receiver<ToEngine>,
-    reports: Reports,
+    own: mpsc::WeakSender<EngineCommand>,
+    mut mailbox: mpsc::Receiver<EngineCommand>,
+    reports: EngineReporter,
 ) {
     let (came, mut incoming) = mpsc::channel(MAILBOX);
     let (mut limits, mut wanted) = (wires.connections.clone(), wires.slots.wanted());
@@ -131,8 +134,11 @@
         if actor.rests() && actor.taken != reported {
             reported = actor.taken;
             let (mailbox, taken) = (own.clone(), actor.taken);
-            let resting = Report::Resting(Resting { mailbox, taken });
-            actor.reports.tell(resting).await;
+            let resting = EngineReport::Idle(IdleEngine {
+                mailbox,
+                received_count: taken,
+            });
+            actor.reports.send(resting).await;
         }
         let look = actor.looks_at();
         tokio::select! {
@@ -159,7 +165,7 @@
     fn new(
         endpoint: String,
         wires: Wires,
-        reports: Reports,
+        reports: EngineReporter,
         came: mpsc::Sender<(Number, Came)>,
     ) -> Actor {
         // Drawn anew in each process, so that dispatchers do not call an engine together.
@@ -196,9 +202,9 @@
         let settings = self.settings();
         let pages = self.pages_due().map(|(_, due)| due);
         let aborts = self.aborts_due().map(|(_, due)| due);
-        let limit = duration(settings.connect_timeout);
+        let limit = to_duration(settings.connect_timeout);
         let probes = self.probes.values().map(|asked| *asked + limit);
-        let idle = duration(settings.idle).mul_f64(IDLE_PART);
+        let idle = to_duration(settings.idle).mul_f64(IDLE_PART);
         let kept = self.connections.values().filter(|kept| !kept.busy());
         let goes = kept.map(|kept| {
             if kept.spent {
@@ -234,23 +240,26 @@
         *self.wires.connections.borrow()
     }
 
-    async fn take(&mut self, message: ToEngine) {
-        self.taken += u64::from(matches!(message, ToEngine::Send(_) | ToEngine::Probe));
+    async fn take(&mut self, message: EngineCommand) {
+        self.taken += u64::from(matches!(
+            message,
+            EngineCommand::Send(_) | EngineCommand::Probe
+        ));
         match message {
-            ToEngine::Send(attempt) => self.send(attempt).await,
-            ToEngine::Abort(id, number) => self.abort(id, number).await,
-            ToEngine::Renice(id, number, rank) => {
+            EngineCommand::Send(attempt) => self.send(attempt).await,
+            EngineCommand::Abort(id, number) => self.abort(id, number).await,
+            EngineCommand::Reprioritize(id, number, rank) => {
                 let out = self.out.get_mut(&id).filter(|out| out.number == number);
                 if let Some(attempt) = out.and_then(|out| out.waiting.as_mut()) {
-                    attempt.rank = rank;
+                    attempt.priority = rank;
                 } else if let Some(out) = self.out.get(&id).filter(|out| out.number == number) {
                     self.command(out.connection, Command::Renice(id, rank));
                 }
             }
-            ToEngine::Probe => self.probe().await,
+            EngineCommand::Probe => self.probe().await,
             // Results are passed on whole: there is nothing more to ask for.
-            ToEngine::More(_) | ToEngine::Done(..) => {}
-            ToEngine::NothingNew => self.nothing_new().await,
+            EngineCommand::FetchPage(_) | EngineCommand::ReleaseResult(..) => {}
+            EngineCommand::ReturnUnsent => self.nothing_new().await,
         }
     }
 
@@ -260,7 +269,7 @@
         let (id, number) = (attempt.request, attempt.number);
         let connection = match self.connection_for(Some(id)) {
             Ok(connection) => connection,
-            Err(why) => return self.reports.ended(id, number, why.end()).await,
+            Err(why) => return self.reports.attempt_ended(id, number, why.end()).await,
         };
         let up = match self.connections.get_mut(&connection) {
             Some(connection) => {
@@ -273,7 +282,7 @@
             number,
             connection,
             sent: Instant::now(),
-            cancelled: attempt.cancelled.clone(),
+            cancelled: attempt.cancel_token.clone(),
             waiting: Some(attempt),
             result: None,
         };
@@ -313,7 +322,7 @@
             .on(connection, id)
             .is_some_and(|out| out.number == number)
         {
-            self.end(connection, id, End::Void).await;
+            self.end(connection, id, AttemptResult::NotRun).await;
         } else {
             self.aborted(connection, id).await;
         }
@@ -322,13 +331,15 @@
     /// An attempt that was given up is out no longer.
     async fn aborted(&mut self, connection: Number, id: RequestId) {
         if let Some(aborting) = self.aborting.remove(&(connection, id)) {
-            self.reports.given_up(id, aborting.number).await;
+            self.reports.abort_confirmed(id, aborting.number).await;
         }
     }
 
     /// An attempt was not written to any connection.
     async fn never(&self, id: RequestId, number: AttemptNo) {
-        self.reports.ended(id, number, End::ConnectFailed).await;
+        self.reports
+            .attempt_ended(id, number, AttemptResult::ConnectFailed)
+            .await;
     }
 
     /// The connection that was idle least long, or a new one while there may be more, or the one that carries
@@ -400,7 +411,7 @@
         let link = Link {
             number,
             endpoint: self.endpoint.clone(),
-            limit: duration(settings.connect_timeout),
+            limit: to_duration(settings.connect_timeout),
             came: self.came.clone(),
             figures: self.wires.figures.clone(),
         };
@@ -412,7 +423,7 @@
 
     /// The time for the backoff.
     fn now(&self) -> u64 {
-        span(self.started.elapsed()).0
+        to_micros(self.started.elapsed()).0
     }
 
     fn pauses(&self) -> Pauses {
@@ -429,11 +440,11 @@
         let out = match self.out.entry(id) {
             Entry::Occupied(entry) if entry.get().number == number => entry.remove(),
             // It has ended.
-            _ => return self.reports.given_up(id, number).await,
+            _ => return self.reports.abort_confirmed(id, number).await,
         };
         if out.waiting.is_some() {
             self.ended_on(out.connection);
-            return self.reports.given_up(id, number).await;
+            return self.reports.abort_confirmed(id, number).await;
         }
         out.cancelled.cancel();
         // Of a result that is on its way no more is wanted; all else is called off.
@@ -450,7 +461,7 @@
             connection.spent |= !told;
         }
         if answered {
-            return self.reports.given_up(id, number).await;
+            return self.reports.abort_confirmed(id, number).await;
         }
         let since = Instant::now();
         let aborting = Aborting { number, since };
@@ -465,7 +476,7 @@
     }
 
     /// Ends an attempt that has had its answer on this connection.
-    async fn end(&mut self, connection: Number, id: RequestId, end: End) {
+    async fn end(&mut self, connection: Number, id: RequestId, end: AttemptResult) {
         if self.on(connection, id).is_none() {
             return;
         }
@@ -474,11 +485,11 @@
         };
         if let Some(connection) = self.connections.get_mut(&connection) {
             connection.ended();
-            if !matches!(end, End::Ok { .. }) {
+            if !matches!(end, AttemptResult::Ok { .. }) {
                 connection.remember(id);
             }
         }
-        self.reports.ended(id, out.number, end).await;
+        self.reports.attempt_ended(id, out.number, end).await;
     }
 
     // ---- Results ----
@@ -537,8 +548,12 @@
         if paged {
             self.command(connection, Command::Done(id));
         }
-        let page = Page { rows, last: true };
-        self.end(connection, id, End::Ok { page, work, load }).await;
+        let page = Page {
+            rows,
+            is_last: true,
+        };
+        self.end(connection, id, AttemptResult::Ok { page, work, load })
+            .await;
     }
 
     // ---- Answers ----
@@ -579,7 +594,9 @@
             Word::Note(note) => {
                 let out = self.on(connection, id).map(|out| out.number);
                 if let Some((number, note)) = out.zip(note) {
-                    self.reports.tell(Report::Note(id, number, note)).await;
+                    self.reports
+                        .send(EngineReport::Note(id, number, note))
+                        .await;
                 }
             }
             Word::Rows { page, rows } => self.page(connection, id, page, rows).await,
@@ -600,10 +617,10 @@
                 };
                 self.ok(connection, id, result).await;
             }
-            Word::Busy => self.end(connection, id, End::Busy).await,
-            Word::Void => self.end(connection, id, End::Void).await,
+            Word::Busy => self.end(connection, id, AttemptResult::Busy).await,
+            Word::Void => self.end(connection, id, AttemptResult::NotRun).await,
             // Also for a page that is lost. A probe's word about a request is no answer to it.
-            Word::Err => self.end(connection, id, End::Error).await,
+            Word::Err => self.end(connection, id, AttemptResult::Error).await,
             Word::Spoilt(why) if self.on(connection, id).is_some() => {
                 self.abandon(connection, &why);
             }
@@ -658,18 +675,18 @@
             let answered = out.result.is_some();
             let never = !answered && (out.waiting.is_some() || unwritten.contains(&id));
             let end = if never {
-                End::ConnectFailed
+                AttemptResult::ConnectFailed
             } else {
-                End::Reset
+                AttemptResult::Reset
             };
-            self.reports.ended(id, out.number, end).await;
+            self.reports.attempt_ended(id, out.number, end).await;
         }
         let here = self
             .aborting
             .extract_if(|(connection, _), _| *connection == number);
         let given_up: Vec<((Number, RequestId), Aborting)> = here.collect();
         for ((_, id), aborting) in given_up {
-            self.reports.given_up(id, aborting.number).await;
+            self.reports.abort_confirmed(id, aborting.number).await;
         }
     }
 
@@ -713,7 +730,7 @@
 
     async fn look(&mut self) {
         let now = Instant::now();
-        let idle = duration(self.settings().idle).mul_f64(IDLE_PART);
+        let idle = to_duration(self.settings().idle).mul_f64(IDLE_PART);
         let (mut open, most) = (self.connections.len(), self.settings().most);
         self.close_idle(|connection| {
             // Fewer may be open than were: idle ones go at once.
@@ -730,10 +747,12 @@
         for (number, _) in unwritten {
             self.abandon(number, "it does not take an abort");
         }
-        let limit = duration(self.settings().connect_timeout);
+        let limit = to_duration(self.settings().connect_timeout);
         let late = self.probes.extract_if(|_, asked| now >= *asked + limit);
         for _ in late.collect::<Vec<_>>() {
-            self.reports.tell(Report::Probed(Probe::Silent)).await;
+            self.reports
+                .send(EngineReport::Probed(ProbeResult::TimedOut))
+                .await;
         }
     }
 
@@ -747,7 +766,7 @@
             self.probes.insert(tag, Instant::now());
         } else {
             self.reports
-                .tell(Report::Probed(Probe::ConnectFailed))
+                .send(EngineReport::Probed(ProbeResult::ConnectFailed))
                 .await;
         }
     }
@@ -757,10 +776,10 @@
             return;
         }
         let probe = match word {
-            Word::Up(load) => Probe::Up(load),
-            _ => Probe::Down,
+            Word::Up(load) => ProbeResult::Up(load),
+            _ => ProbeResult::Down,
         };
-        self.reports.tell(Report::Probed(probe)).await;
+        self.reports.send(EngineReport::Probed(probe)).await;
     }
 }
 
--- a/engines/src/resp/outgoing.rs
+++ b/engines/src/resp/outgoing.rs
@@ -75,7 +75,7 @@
     pub fn withdraw(&mut self) -> Vec<Named> {
         let mut withdrawn = Vec::new();
         self.frames.retain(|frame| match &frame.begins {
-            Some(attempt) if attempt.is_void() => {
+            Some(attempt) if attempt.is_stale() => {
                 withdrawn.push((attempt.request, attempt.number));
                 false
             }
--- a/engines/src/resp/outgoing/tests.rs
+++ b/engines/src/resp/outgoing/tests.rs
@@ -10,13 +10,13 @@
         request: RequestId(7),
         number: AttemptNo(0),
         class: "lookup".into(),
-        until: Instant::now() + time,
-        rank: 1,
+        deadline: Instant::now() + time,
+        priority: 1,
         memory_grant_mb: None,
         statement: Bytes::from_static(b"SELECT 1"),
-        token: None,
+        idempotency_token: None,
         order_key: None,
-        cancelled: CancellationToken::new(),
+        cancel_token: CancellationToken::new(),
         starts_by: Instant::now() + time,
     }
 }
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -4,7 +4,7 @@
 use crate::Slots;
 use sedgebeam_core::EngineId;
 use sedgebeam_operation::Figures;
-use sedgebeam_port::{EngineBox, ToBroker};
+use sedgebeam_port::{BrokerMessage, EngineSender};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -169,7 +169,7 @@
         most: 64,
         in_all: 1024,
         max_streams: 32,
-        connect_timeout: span(CONNECT_TIMEOUT),
+        connect_timeout: to_micros(CONNECT_TIMEOUT),
         idle: Micros::from_millis(30_000),
         max_open: 1000,
     }
@@ -177,12 +177,12 @@
 
 /// The actor of one engine, and the reports that come of it.
 struct Dispatcher {
-    mailbox: EngineBox,
-    told: mpsc::Receiver<ToBroker>,
+    mailbox: EngineSender,
+    told: mpsc::Receiver<BrokerMessage>,
     sent: Vec<(RequestId, AttemptNo)>,
-    ends: Vec<(RequestId, AttemptNo, End)>,
+    ends: Vec<(RequestId, AttemptNo, AttemptResult)>,
     given_up: Vec<(RequestId, AttemptNo)>,
-    probes: Vec<Probe>,
+    probes: Vec<ProbeResult>,
 }
 
 impl Dispatcher {
@@ -202,7 +202,7 @@
         };
         let (mailbox, incoming) = mpsc::channel(1024);
         let (broker, told) = mpsc::channel(1024);
-        let reports = Reports::new(EngineId(1), broker);
+        let reports = EngineReporter::new(EngineId(1), broker);
         let own = mailbox.downgrade();
         tokio::spawn(run(engine.to_string(), wires, own, incoming, reports));
         Dispatcher {
@@ -230,40 +230,45 @@
             request,
             number,
             class: "lookup".into(),
-            until: Instant::now() + timeout,
-            rank: 1,
+            deadline: Instant::now() + timeout,
+            priority: 1,
             memory_grant_mb: None,
             statement,
-            token: None,
+            idempotency_token: None,
             order_key: None,
-            cancelled: CancellationToken::new(),
+            cancel_token: CancellationToken::new(),
             starts_by: Instant::now() + timeout,
         };
         self.sent.push((request, number));
-        let told = self.mailbox.try_send(ToEngine::Send(attempt));
+        let told = self.mailbox.try_send(EngineCommand::Send(attempt));
         told.expect("room in the mailbox");
     }
 
     fn abort(&mut self, request: RequestId, number: AttemptNo) {
-        let told = self.mailbox.try_send(ToEngine::Abort(request, number));
+        let told = self.mailbox.try_send(EngineCommand::Abort(request, number));
         told.expect("room in the mailbox");
     }
 
     fn probe(&mut self) {
-        let told = self.mailbox.try_send(ToEngine::Probe);
+        let told = self.mailbox.try_send(EngineCommand::Probe);
         told.expect("room in the mailbox");
     }
 
     fn hear(&mut self) {
         while let Ok(told) = self.told.try_recv() {
             match told {
-                ToBroker::Engine(_, Report::Ended(request, number, end)) => {
+                BrokerMessage::EngineReport(
+                    _,
+                    EngineReport::AttemptEnded(request, number, end),
+                ) => {
                     self.ends.push((request, number, end));
                 }
-                ToBroker::Engine(_, Report::GivenUp(request, number)) => {
+                BrokerMessage::EngineReport(_, EngineReport::AbortConfirmed(request, number)) => {
                     self.given_up.push((request, number));
                 }
-                ToBroker::Engine(_, Report::Probed(probe)) => self.probes.push(probe),
+                BrokerMessage::EngineReport(_, EngineReport::Probed(probe)) => {
+                    self.probes.push(probe)
+                }
                 _ => {}
             }
         }
@@ -298,13 +303,13 @@
         }
     }
 
-    fn last_end(&self) -> &End {
+    fn last_end(&self) -> &AttemptResult {
         &self.ends.last().expect("an attempt has ended").2
     }
 
     fn served(&self) -> usize {
         let ends = self.ends.iter();
-        ends.filter(|(_, _, end)| matches!(end, End::Ok { .. }))
+        ends.filter(|(_, _, end)| matches!(end, AttemptResult::Ok { .. }))
             .count()
     }
 
@@ -373,7 +378,10 @@
         dispatcher.settle().await;
     }
     assert_eq!(engine.accepts(), 1, "at one moment");
-    assert!(matches!(dispatcher.last_end(), End::ConnectFailed));
+    assert!(matches!(
+        dispatcher.last_end(),
+        AttemptResult::ConnectFailed
+    ));
     let time = Duration::from_secs(24);
     dispatcher.send_for(time).await;
     let (accepts, most) = (engine.accepts(), most_connects(time));
@@ -433,7 +441,7 @@
     assert_eq!(lines_about(&engine).len(), 1, "{:?}", lines_about(&engine));
     engine.service.send_replace(WELL);
     dispatcher.send_for(LONGEST_PAUSE).await;
-    assert!(matches!(dispatcher.last_end(), End::Ok { .. }));
+    assert!(matches!(dispatcher.last_end(), AttemptResult::Ok { .. }));
     let lines = lines_about(&engine);
     assert_eq!(lines.len(), 2, "{lines:?}");
     assert!(
@@ -499,7 +507,10 @@
     let fetched = || engine.seen.fetches.lock().is_ok_and(|f| f.len() == 1);
     dispatcher.wait_for(|_| fetched()).await;
     assert_eq!((engine.held(), dispatcher.ends.len()), (1, 5));
-    assert!(matches!(dispatcher.last_end(), End::ConnectFailed));
+    assert!(matches!(
+        dispatcher.last_end(),
+        AttemptResult::ConnectFailed
+    ));
     // It was not closed within the time in which engines turn connections away.
     advance(CONNECT_TIMEOUT).await;
     for _ in 0..5 {
@@ -524,12 +535,16 @@
         dispatcher.settle().await;
         ends.push(dispatcher.last_end().clone());
     }
-    assert_eq!(ends[0], End::Busy);
+    assert_eq!(ends[0], AttemptResult::Busy);
     assert!(
-        matches!(ends[1], End::ConnectFailed | End::Reset),
+        matches!(ends[1], AttemptResult::ConnectFailed | AttemptResult::Reset),
         "turned away: {ends:?}"
     );
-    assert_eq!(ends[2], End::Void, "not on the connection that carried it");
+    assert_eq!(
+        ends[2],
+        AttemptResult::NotRun,
+        "not on the connection that carried it"
+    );
     assert_eq!((engine.accepts(), engine.most_fetches()), (2, 1));
 }
 
@@ -545,7 +560,7 @@
             .wait_for(|dispatcher| dispatcher.probes.len() == asked)
             .await;
     }
-    let refused = |probe: &Probe| matches!(probe, Probe::ConnectFailed);
+    let refused = |probe: &ProbeResult| matches!(probe, ProbeResult::ConnectFailed);
     assert!(dispatcher.probes.iter().all(refused));
     assert_eq!(engine.accepts(), 1);
 }
@@ -606,7 +621,7 @@
     };
     let (broker, _told) = mpsc::channel(4);
     let (came, _coming) = mpsc::channel(4);
-    let reports = Reports::new(EngineId(1), broker);
+    let reports = EngineReporter::new(EngineId(1), broker);
     let mut actor = Actor::new("127.0.0.1:1".to_string(), wires, reports, came);
     assert_eq!(actor.looks_at(), None);
     actor.probe().await;
@@ -768,5 +783,5 @@
     io::Write::write_all(&mut stream, spoilt).expect("room");
     dispatcher.settle().await;
     assert!(read_all(&mut stream, &mut last), "it is closed by then");
-    assert_eq!(dispatcher.ends, [(REQUEST, FIRST, End::Reset)]);
+    assert_eq!(dispatcher.ends, [(REQUEST, FIRST, AttemptResult::Reset)]);
 }
--- a/fronts/src/advice.rs
+++ b/fronts/src/advice.rs
@@ -1,7 +1,7 @@
 //! How long a refused client is advised to stay away before it tries again.
 
 use sedgebeam_core::{Micros, Settings};
-use sedgebeam_port::clock::duration;
+use sedgebeam_port::clock::to_duration;
 use std::time::Duration;
 
 /// The advice of a refusal that no queue has decided on.
@@ -19,7 +19,7 @@
 
     /// The advice of a refusal that no queue has decided on; none where the settings allow none.
     pub fn usual(settings: &Settings) -> Option<RetryAdvice> {
-        RetryAdvice::new(duration(USUAL.min(settings.max_retry_after)))
+        RetryAdvice::new(to_duration(USUAL.min(settings.max_retry_after)))
     }
 
     /// The time as the protocol of the clients has it.
--- a/fronts/src/flight.rs
+++ b/fronts/src/flight.rs
@@ -22,7 +22,7 @@
 use futures::stream::{self, Stream, TryStreamExt};
 use prost::Message;
 use sedgebeam_arrow as arrow;
-use sedgebeam_port::{Answer, Broken, Delivery, Failure, NewRequest, supervise};
+use sedgebeam_port::{Answer, Failure, NewRequest, ResultLost, ResultPages, supervise};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -125,10 +125,10 @@
 fn failed(failure: Failure) -> Status {
     let code = match failure {
         // It may have run: a client must not take it for harmless to repeat.
-        Failure::Unanswered | Failure::Ending => Code::Aborted,
+        Failure::OutcomeUnknown | Failure::ShuttingDown => Code::Aborted,
         Failure::Cancelled => Code::Cancelled,
-        Failure::Duplicate => Code::AlreadyExists,
-        Failure::Tenant => Code::InvalidArgument,
+        Failure::DuplicateId => Code::AlreadyExists,
+        Failure::UnknownTenant => Code::InvalidArgument,
     };
     Status::new(code, reason(failure))
 }
@@ -143,7 +143,7 @@
     fn read(&self, query: String, metadata: &MetadataMap) -> Result<NewRequest, Status> {
         let came = Instant::now();
         let text = Bytes::from(query);
-        let tuning = self.shared.desk.tuning();
+        let tuning = self.shared.desk.runtime_settings();
         let names = &tuning.names;
         let told = std::str::from_utf8(&text).is_ok_and(statement::has_fields);
         let request = if told {
@@ -166,7 +166,7 @@
             tickets.forget_old(Instant::now());
         }
         if tickets.held.len() >= MOST_TICKETS {
-            let tuning = self.shared.desk.tuning();
+            let tuning = self.shared.desk.runtime_settings();
             return Err(refused(RetryAdvice::usual(&tuning.settings)));
         }
         tickets.next = tickets.next.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -182,7 +182,7 @@
         let unknown = || Status::not_found("this ticket was never given, or is over");
         match tickets.held.remove(&number).ok_or_else(unknown)? {
             Held::Ready(request) => {
-                let token = request.cancelled.clone();
+                let token = request.cancel_token.clone();
                 let running = Held::Running(token.clone(), request.deadline);
                 tickets.held.insert(number, running);
                 let running = Running {
@@ -227,7 +227,7 @@
         &self,
         request: NewRequest,
         token: &CancellationToken,
-    ) -> Result<Delivery, Status> {
+    ) -> Result<ResultPages, Status> {
         let pending = self.shared.desk.submit(request).await;
         let answer = tokio::select! {
             answer = pending => answer,
@@ -270,10 +270,10 @@
 
 /// Passes a result on, page by page as the client takes them, until its deadline. Only a whole result ends
 /// without an error.
-fn pass(delivery: Delivery, running: Running) -> impl Stream<Item = Batch> {
+fn pass(delivery: ResultPages, running: Running) -> impl Stream<Item = Batch> {
     let (pages, taken) = mpsc::channel(1);
     let task = read_pages(delivery, running, pages);
-    supervise::watch("a Flight SQL result".to_string(), task, || {});
+    supervise::spawn_supervised("a Flight SQL result".to_string(), task, || {});
     stream::unfold(Some(taken), |taken| async {
         let mut taken = taken?;
         match taken.recv().await {
@@ -288,7 +288,7 @@
 
 /// Reads the pages of a result as their batches are taken; `None` stands for its end.
 async fn read_pages(
-    mut delivery: Delivery,
+    mut delivery: ResultPages,
     running: Running,
     pages: mpsc::Sender<Result<Option<RecordBatch>, Status>>,
 ) {
@@ -299,8 +299,8 @@
             () = pages.closed() => return,
             () = running.token.cancelled() => Err(failed(Failure::Cancelled)),
             page = delivery.next() => match page {
-                Ok(page) => page.as_ref().map(arrow::batch).transpose(),
-                Err(Broken) => Err(lost()),
+                Ok(page) => page.as_ref().map(arrow::page_to_batch).transpose(),
+                Err(ResultLost) => Err(lost()),
             },
         };
         let more = matches!(next, Ok(Some(_)));
@@ -359,10 +359,10 @@
         request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
         let held = self.read(update.query, request.metadata())?;
-        let cancelled = held.cancelled.clone();
+        let cancelled = held.cancel_token.clone();
         let mut delivery = self.answer(held, &cancelled).await?;
         let mut rows = 0;
-        while let Some(page) = delivery.next().await.map_err(|Broken| lost())? {
+        while let Some(page) = delivery.next().await.map_err(|ResultLost| lost())? {
             rows += page.rows.iter().filter(|byte| **byte == b'\n').count();
         }
         Ok(rows as i64)
--- a/fronts/src/incoming.rs
+++ b/fronts/src/incoming.rs
@@ -2,7 +2,7 @@
 //! One that says nothing, or stops in its preface, is closed: it would keep its place from others for good.
 
 use futures::stream::{Stream, StreamExt};
-use sedgebeam_sockets::{Stream as Whole, without_delay};
+use sedgebeam_sockets::{SocketStream as Whole, set_nodelay};
 use std::io;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 
 impl Placed {
     fn new(stream: TcpStream, place: OwnedSemaphorePermit) -> Placed {
-        without_delay(&stream);
+        set_nodelay(&stream);
         Placed {
             stream: Whole::new(stream),
             missing: PREFACE,
--- a/fronts/src/lib.rs
+++ b/fronts/src/lib.rs
@@ -10,21 +10,21 @@
 #[cfg(test)]
 mod test_desk;
 
-use sedgebeam_port::{Desk, Failure};
+use sedgebeam_port::{Failure, RequestRouter};
 
 /// What every front needs.
 #[derive(Clone)]
 pub struct Shared {
-    pub desk: Desk,
+    pub desk: RequestRouter,
 }
 
 /// What a client is told of a failure.
 pub fn reason(failure: Failure) -> &'static str {
     match failure {
-        Failure::Unanswered => "no ledger engine answered; the statement may have run",
+        Failure::OutcomeUnknown => "no ledger engine answered; the statement may have run",
         Failure::Cancelled => "the statement was cancelled; it may have run",
-        Failure::Duplicate => "a request of this txn is open already",
-        Failure::Tenant => "the field \"team\" names no tenant; nothing ran",
-        Failure::Ending => "the dispatcher is ending; the statement may have run",
+        Failure::DuplicateId => "a request of this txn is open already",
+        Failure::UnknownTenant => "the field \"team\" names no tenant; nothing ran",
+        Failure::ShuttingDown => "the dispatcher is ending; the statement may have run",
     }
 }
--- a/fronts/src/pg/codec.rs
+++ b/fronts/src/pg/codec.rs
@@ -286,7 +286,7 @@
     fn rows_have_three_columns_whatever_a_line_holds() {
         let page = |rows: &'static [u8]| Page {
             rows: Bytes::from_static(rows),
-            last: true,
+            is_last: true,
         };
         for (rows, count) in [
             (&b""[..], 0),
--- a/fronts/src/pg/mod.rs
+++ b/fronts/src/pg/mod.rs
@@ -13,8 +13,8 @@
 use codec::{Error, Pg, Said, Say};
 use futures::{FutureExt, Sink, SinkExt, Stream as Messages, StreamExt};
 use inbox::{Heard, Inbox};
-use sedgebeam_port::{Answer, Broken, Delivery, Desk, Failure, SessionKey};
-use sedgebeam_sockets::Stream;
+use sedgebeam_port::{Answer, Failure, RequestRouter, ResultLost, ResultPages, SessionKey};
+use sedgebeam_sockets::SocketStream;
 use std::future::poll_fn;
 use std::io;
 use std::pin::{Pin, pin};
@@ -46,7 +46,7 @@
 /// So many of them in a row end the session, all within the 3 s in which such a client is owed a word.
 const MOST_USELESS: u32 = 7;
 
-type Wire = Framed<Stream, Pg>;
+type Wire = Framed<SocketStream, Pg>;
 
 /// What sessions have in common.
 #[derive(Clone)]
@@ -81,7 +81,7 @@
 ) {
     let gives_way = place.gives_way();
     let mut session = Session {
-        wire: Framed::new(Stream::new(stream), Pg::new(serving.longest)),
+        wire: Framed::new(SocketStream::new(stream), Pg::new(serving.longest)),
         shared: serving.shared.clone(),
         key,
         leave,
@@ -148,7 +148,7 @@
         Away::Draining => draining(&shared.desk),
     };
     // No statement is read with this one.
-    let mut wire = Framed::new(Stream::new(stream), Pg::new(0));
+    let mut wire = Framed::new(SocketStream::new(stream), Pg::new(0));
     let heard = async {
         wire.send(Say::Error(told)).await?;
         SinkExt::close(&mut wire).await?;
@@ -200,13 +200,13 @@
     refusal("53300", reason, RetryAdvice::new(retry_after))
 }
 
-fn no_place(desk: &Desk) -> Error {
-    let advice = RetryAdvice::usual(&desk.tuning().settings);
+fn no_place(desk: &RequestRouter) -> Error {
+    let advice = RetryAdvice::usual(&desk.runtime_settings().settings);
     refusal("53300", "there are too many sessions; nothing ran", advice)
 }
 
-fn draining(desk: &Desk) -> Error {
-    let advice = RetryAdvice::usual(&desk.tuning().settings);
+fn draining(desk: &RequestRouter) -> Error {
+    let advice = RetryAdvice::usual(&desk.runtime_settings().settings);
     let reason = "this dispatcher takes no more work; nothing ran";
     refusal("57P03", reason, advice)
 }
@@ -446,7 +446,7 @@
             self.say(Say::Ready).await?;
             return Ok(true);
         }
-        let tuning = self.shared.desk.tuning();
+        let tuning = self.shared.desk.runtime_settings();
         let request = statement::read(&text, came, &tuning.names, Some(self.key));
         let answer = match request {
             Ok(request) => {
@@ -473,7 +473,7 @@
             Answer::Refused { retry_after } => {
                 self.wire.feed(Say::Error(busy(retry_after))).await?;
             }
-            Answer::Failed(failure @ (Failure::Duplicate | Failure::Tenant)) => {
+            Answer::Failed(failure @ (Failure::DuplicateId | Failure::UnknownTenant)) => {
                 self.place.stand(Standing::Stranger);
                 let told = failed(failure);
                 return self.reject(told.code, told.message).await;
@@ -486,7 +486,7 @@
     }
 
     /// Passes a result on, page by page as the client takes them.
-    async fn pass(&mut self, mut delivery: Delivery) -> io::Result<()> {
+    async fn pass(&mut self, mut delivery: ResultPages) -> io::Result<()> {
         let mut rows = 0;
         let deadline = delivery.deadline();
         self.wire.feed(Say::Columns).await?;
@@ -500,7 +500,7 @@
                     taken.map_err(io::Error::other)??;
                 }
                 Ok(None) => return self.wire.feed(Say::Complete(rows)).await,
-                Err(Broken) => {
+                Err(ResultLost) => {
                     let message = "the rest of the result was lost with its engine".to_string();
                     let told = Error {
                         code: "58030",
@@ -546,11 +546,11 @@
 
 fn failed(failure: Failure) -> Error {
     let code = match failure {
-        Failure::Unanswered => "58000",
+        Failure::OutcomeUnknown => "58000",
         Failure::Cancelled => "57014",
-        Failure::Duplicate => "42710",
-        Failure::Tenant => "42704",
-        Failure::Ending => "57P01",
+        Failure::DuplicateId => "42710",
+        Failure::UnknownTenant => "42704",
+        Failure::ShuttingDown => "57P01",
     };
     Error {
         code,
--- a/fronts/src/pg/tests.rs
+++ b/fronts/src/pg/tests.rs
@@ -60,7 +60,7 @@
     }
 }
 
-fn serving(desk: &Desk) -> Serving {
+fn serving(desk: &RequestRouter) -> Serving {
     Serving {
         shared: Shared { desk: desk.clone() },
         longest: 16 * 1024,
@@ -69,7 +69,11 @@
 }
 
 /// Has the front serve a connection on which the client has said this; the client's end, and the drain's orders.
-async fn session(desk: &Desk, drain: Drain, said: &[u8]) -> (TcpStream, watch::Sender<Orders>) {
+async fn session(
+    desk: &RequestRouter,
+    drain: Drain,
+    said: &[u8],
+) -> (TcpStream, watch::Sender<Orders>) {
     let (mut client, server) = pair().await;
     client.write_all(said).await.expect("writes");
     // All of it is there to be read before the session begins.
@@ -84,11 +88,11 @@
 
 /// Has the front serve a connection that begins with this query; the broker refuses it with that advice, if it comes so far.
 async fn refused(
-    desk: &Desk,
+    desk: &RequestRouter,
     drain: Drain,
     statement: &str,
     broker: Option<(
-        &mut tokio::sync::mpsc::Receiver<sedgebeam_port::ToBroker>,
+        &mut tokio::sync::mpsc::Receiver<sedgebeam_port::BrokerMessage>,
         Duration,
     )>,
 ) -> (String, Option<String>) {
@@ -166,7 +170,7 @@
     }
 }
 
-async fn turned_away(desk: Desk, why: Away) -> (String, Option<String>) {
+async fn turned_away(desk: RequestRouter, why: Away) -> (String, Option<String>) {
     let (mut client, server) = pair().await;
     tokio::spawn(async move { turn_away(server, &serving(&desk), why).await });
     error(&mut client).await
@@ -292,7 +296,7 @@
         run_all().await;
         assert!(
             !std::iter::from_fn(|| broker.try_recv().ok())
-                .any(|told| matches!(told, sedgebeam_port::ToBroker::Submit(..))),
+                .any(|told| matches!(told, sedgebeam_port::BrokerMessage::Submit(..))),
             "its command is begun"
         );
     });
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use sedgebeam_core::{GroupId, RequestId};
-use sedgebeam_port::clock::duration;
+use sedgebeam_port::clock::to_duration;
 use sedgebeam_port::{NewRequest, SessionKey};
 use sedgebeam_settings::{Names, micros, millis};
 use tokio::time::Instant;
@@ -110,16 +110,16 @@
         id: field("txn").and_then(id).ok_or_else(|| unusable("txn"))?,
         class,
         tenant: field("team").map(str::to_string),
-        deadline: came + duration(micros(limit)),
+        deadline: came + to_duration(micros(limit)),
         work: micros(number("cpu", MOST_WORK_MS)?),
         memory_mb: number("memory", MOST_MEMORY_MB)?,
         group: GroupId(group(text).unwrap_or_default()),
         statement,
         is_retry,
-        token: word("unique")?,
+        idempotency_token: word("unique")?,
         order_key: word("item")?,
         session,
-        cancelled: CancellationToken::new(),
+        cancel_token: CancellationToken::new(),
     })
 }
 
--- a/fronts/src/test_desk.rs
+++ b/fronts/src/test_desk.rs
@@ -2,7 +2,7 @@
 
 use sedgebeam_core::{Class, Micros, Settings};
 use sedgebeam_operation::Figures;
-use sedgebeam_port::{Answer, Desk, NewRequest, ToBroker};
+use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter};
 use sedgebeam_retune::Tuning;
 use sedgebeam_settings::Names;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     "/* verb=lookup,txn=00000000000000ff,limit=60000 */ SELECT 1 FROM sales_1.orders";
 
 /// Clients are advised to stay away for so many milliseconds at most.
-pub async fn desk(max_retry_after: u64) -> (Desk, mpsc::Receiver<ToBroker>) {
+pub async fn desk(max_retry_after: u64) -> (RequestRouter, mpsc::Receiver<BrokerMessage>) {
     let class = Class {
         name: "lookup".to_string(),
         ..Class::default()
@@ -31,18 +31,18 @@
         },
         most_open: 100,
     };
-    let desk = Desk::new(1, 1, Figures::default(), tuning);
+    let desk = RequestRouter::new(1, 1, Figures::default(), tuning);
     let (mailbox, broker) = mpsc::channel(64);
-    desk.open(0, mailbox).await.expect("a broker");
+    desk.open_shard(0, mailbox).await.expect("a broker");
     (desk, broker)
 }
 
 /// The next request, and where its answer goes.
 pub async fn submitted(
-    broker: &mut mpsc::Receiver<ToBroker>,
+    broker: &mut mpsc::Receiver<BrokerMessage>,
 ) -> (NewRequest, oneshot::Sender<Answer>) {
     while let Some(told) = broker.recv().await {
-        if let ToBroker::Submit(request, reply) = told {
+        if let BrokerMessage::Submit(request, reply) = told {
             return (request, reply);
         }
     }
@@ -50,7 +50,7 @@
 }
 
 /// Refuses the next request, with this advice.
-pub async fn refuse(broker: &mut mpsc::Receiver<ToBroker>, retry_after: Duration) {
+pub async fn refuse(broker: &mut mpsc::Receiver<BrokerMessage>, retry_after: Duration) {
     let (_, reply) = submitted(broker).await;
     let refused = Answer::Refused { retry_after };
     reply.send(refused).expect("is waited for");
--- a/port/src/administration.rs
+++ b/port/src/administration.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
-pub enum Asked {
+pub enum AdminRequest {
     Health,
     Counters,
     Engines,
@@ -20,17 +20,17 @@
 
 /// Why something is not done.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum AdminError {
     Invalid(String),
-    Unknown(String),
-    Method,
+    NotFound(String),
+    MethodNotAllowed,
     /// The dispatcher is ending, or no worker of it says anything.
-    Silent,
+    Unavailable,
 }
 
 /// What a broker tells; what several tell adds up.
 #[derive(Debug, PartialEq)]
-pub enum Told {
+pub enum AdminResponse {
     Health(Health),
     Counters(Counters),
     Engines(Vec<EngineRow>),
@@ -43,13 +43,15 @@
     pub ready: bool,
     pub engines: usize,
     /// Requests that have no answer yet.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub open_requests: usize,
 }
 
 /// How requests have ended; what is neither has its client gone or is still open.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Answers {
-    pub taken: u64,
+pub struct AnswerCounts {
+    #[serde(rename = "taken")]
+    pub accepted: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
@@ -58,8 +60,8 @@
 /// Requests by class and tenant, and attempts by outcome, since the start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Counters {
-    pub classes: BTreeMap<String, Answers>,
-    pub tenants: BTreeMap<String, Answers>,
+    pub classes: BTreeMap<String, AnswerCounts>,
+    pub tenants: BTreeMap<String, AnswerCounts>,
     pub attempts: BTreeMap<String, u64>,
 }
 
@@ -70,52 +72,55 @@
     pub state: String,
     pub drained: bool,
     /// Attempts that are out there.
-    pub out: usize,
+    #[serde(rename = "out")]
+    pub attempts_in_flight: usize,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct TenantRow {
     pub name: String,
-    pub portion: f64,
-    pub allowance_per_s: f64,
+    #[serde(rename = "portion")]
+    pub share: f64,
+    #[serde(rename = "allowance_per_s")]
+    pub requests_per_s: f64,
 }
 
-impl Answers {
-    fn add(&mut self, other: &Answers) {
-        self.taken += other.taken;
+impl AnswerCounts {
+    fn add(&mut self, other: &AnswerCounts) {
+        self.accepted += other.accepted;
         self.served += other.served;
         self.refused += other.refused;
         self.failed += other.failed;
     }
 }
 
-fn add_answers(sum: &mut BTreeMap<String, Answers>, more: BTreeMap<String, Answers>) {
+fn add_answers(sum: &mut BTreeMap<String, AnswerCounts>, more: BTreeMap<String, AnswerCounts>) {
     for (name, answers) in more {
         sum.entry(name).or_default().add(&answers);
     }
 }
 
-impl Told {
+impl AdminResponse {
     /// What two brokers tell of the same question, as one.
-    pub fn and(mut self, other: Told) -> Told {
+    pub fn merge(mut self, other: AdminResponse) -> AdminResponse {
         match (&mut self, other) {
-            (Told::Health(sum), Told::Health(more)) => {
+            (AdminResponse::Health(sum), AdminResponse::Health(more)) => {
                 sum.ready |= more.ready;
                 sum.engines = sum.engines.max(more.engines);
-                sum.open += more.open;
+                sum.open_requests += more.open_requests;
             }
-            (Told::Counters(sum), Told::Counters(more)) => {
+            (AdminResponse::Counters(sum), AdminResponse::Counters(more)) => {
                 add_answers(&mut sum.classes, more.classes);
                 add_answers(&mut sum.tenants, more.tenants);
                 for (outcome, count) in more.attempts {
                     *sum.attempts.entry(outcome).or_default() += count;
                 }
             }
-            (Told::Engines(sum), Told::Engines(more)) => {
+            (AdminResponse::Engines(sum), AdminResponse::Engines(more)) => {
                 for row in more {
                     match sum.iter_mut().find(|known| known.uid == row.uid) {
                         Some(known) => {
-                            known.out += row.out;
+                            known.attempts_in_flight += row.attempts_in_flight;
                             known.drained |= row.drained;
                         }
                         None => sum.push(row),
@@ -130,10 +135,10 @@
 
     pub fn to_json(&self) -> String {
         match self {
-            Told::Health(health) => json::to_string(health),
-            Told::Counters(counters) => json::to_string(counters),
-            Told::Engines(rows) => json::to_string(rows),
-            Told::Tenants(rows) => json::to_string(rows),
+            AdminResponse::Health(health) => json::to_string(health),
+            AdminResponse::Counters(counters) => json::to_string(counters),
+            AdminResponse::Engines(rows) => json::to_string(rows),
+            AdminResponse::Tenants(rows) => json::to_string(rows),
         }
     }
 }
@@ -146,35 +151,38 @@
     fn what_several_brokers_tell_adds_up() {
         let row = |uid: &str, out, drained| EngineRow {
             uid: uid.to_string(),
-            out,
+            attempts_in_flight: out,
             drained,
             ..EngineRow::default()
         };
-        let first = Told::Engines(vec![row("a", 2, false), row("b", 0, true)]);
-        let both = first.and(Told::Engines(vec![row("b", 3, false), row("c", 1, false)]));
+        let first = AdminResponse::Engines(vec![row("a", 2, false), row("b", 0, true)]);
+        let both = first.merge(AdminResponse::Engines(vec![
+            row("b", 3, false),
+            row("c", 1, false),
+        ]));
         let rows = vec![row("a", 2, false), row("b", 3, true), row("c", 1, false)];
-        assert_eq!(both, Told::Engines(rows));
+        assert_eq!(both, AdminResponse::Engines(rows));
         let counted = |served, ok| {
-            let answers = Answers {
+            let answers = AnswerCounts {
                 served,
-                ..Answers::default()
+                ..AnswerCounts::default()
             };
-            Told::Counters(Counters {
+            AdminResponse::Counters(Counters {
                 classes: BTreeMap::from([("lookup".to_string(), answers)]),
                 attempts: BTreeMap::from([("ok".to_string(), ok)]),
                 ..Counters::default()
             })
         };
-        assert_eq!(counted(1, 2).and(counted(3, 4)), counted(4, 6));
+        assert_eq!(counted(1, 2).merge(counted(3, 4)), counted(4, 6));
         let health = |ready, engines, open| {
-            Told::Health(Health {
+            AdminResponse::Health(Health {
                 ready,
                 engines,
-                open,
+                open_requests: open,
             })
         };
         assert_eq!(
-            health(false, 0, 1).and(health(true, 2, 5)),
+            health(false, 0, 1).merge(health(true, 2, 5)),
             health(true, 2, 6)
         );
     }
--- a/port/src/answer.rs
+++ b/port/src/answer.rs
@@ -1,7 +1,9 @@
 //! The final answer to a request, and how a front waits for it.
 
-use crate::desk::UnderWay;
-use crate::{BrokerBox, EngineBox, More, NewRequest, Page, ToBroker, ToEngine};
+use crate::request_router::UnderWay;
+use crate::{
+    BrokerMessage, BrokerSender, EngineCommand, EngineSender, NewRequest, Page, PageRequest,
+};
 use sedgebeam_core::{AttemptNo, RequestId};
 use sedgebeam_operation::{Disposition, Running};
 use std::future::Future;
@@ -15,7 +17,7 @@
 /// The final answer to a request. Whoever holds its sender can give it only once.
 #[derive(Debug)]
 pub enum Answer {
-    Rows(Delivery),
+    Rows(ResultPages),
     /// Turned away; harmless to try again after this long (zero: no advice).
     Refused {
         retry_after: Duration,
@@ -26,25 +28,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// Given up, with no promise whether it ran.
-    Unanswered,
+    OutcomeUnknown,
     /// Its client called it off.
     Cancelled,
     /// Another request of this name is open.
-    Duplicate,
+    DuplicateId,
     /// It names a tenant that there is not.
-    Tenant,
+    UnknownTenant,
     /// The dispatcher is ending.
-    Ending,
+    ShuttingDown,
 }
 
 /// A result on its way to the client: its pages are read as the client takes them.
 #[derive(Debug)]
-pub struct Delivery {
+pub struct ResultPages {
     first: Option<Page>,
     next: u32,
     whole: bool,
     deadline: Instant,
-    engine: EngineBox,
+    engine: EngineSender,
     request: RequestId,
     number: AttemptNo,
     /// Counted once it is whole, or can't be.
@@ -53,17 +55,17 @@
 
 /// The rest of a result can't be had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken;
+pub struct ResultLost;
 
-impl Delivery {
+impl ResultPages {
     pub fn new(
         first: Page,
         deadline: Instant,
-        engine: EngineBox,
+        engine: EngineSender,
         request: RequestId,
         number: AttemptNo,
-    ) -> Delivery {
-        Delivery {
+    ) -> ResultPages {
+        ResultPages {
             first: Some(first),
             next: 1,
             whole: false,
@@ -87,7 +89,7 @@
     }
 
     /// The next page; `None` once the result is whole.
-    pub async fn next(&mut self) -> Result<Option<Page>, Broken> {
+    pub async fn next(&mut self) -> Result<Option<Page>, ResultLost> {
         if self.whole {
             // All of it has been taken.
             self.ended(Disposition::Succeeded);
@@ -97,19 +99,19 @@
             Some(page) => page,
             None => match self.more().await {
                 Ok(page) => page,
-                Err(Broken) => {
+                Err(ResultLost) => {
                     self.ended(Disposition::Aborted);
-                    return Err(Broken);
+                    return Err(ResultLost);
                 }
             },
         };
-        self.whole = page.last;
+        self.whole = page.is_last;
         Ok(Some(page))
     }
 
-    async fn more(&mut self) -> Result<Page, Broken> {
+    async fn more(&mut self) -> Result<Page, ResultLost> {
         let (reply, page) = oneshot::channel();
-        let more = More {
+        let more = PageRequest {
             request: self.request,
             number: self.number,
             page: self.next,
@@ -117,19 +119,19 @@
         };
         self.next += 1;
         self.engine
-            .send(ToEngine::More(more))
+            .send(EngineCommand::FetchPage(more))
             .await
-            .map_err(|_| Broken)?;
+            .map_err(|_| ResultLost)?;
         let page = timeout_at(self.deadline, page).await;
-        page.map_err(|_| Broken)?.map_err(|_| Broken)
+        page.map_err(|_| ResultLost)?.map_err(|_| ResultLost)
     }
 }
 
-impl Drop for Delivery {
+impl Drop for ResultPages {
     fn drop(&mut self) {
         // A result of one page is forgotten by its engine once it is sent.
         if self.next > 1 || !self.whole {
-            let done = ToEngine::Done(self.request, self.number);
+            let done = EngineCommand::ReleaseResult(self.request, self.number);
             if self.engine.try_send(done).is_err() {
                 log::debug!("the engine of {:?} is gone", self.request);
             }
@@ -139,10 +141,10 @@
 
 /// A request that the broker has taken: wait on it for the answer, or drop it to leave.
 #[derive(Debug)]
-pub struct Pending {
+pub struct PendingAnswer {
     request: RequestId,
     answer: oneshot::Receiver<Answer>,
-    broker: Option<BrokerBox>,
+    broker: Option<BrokerSender>,
     /// What the answer is where the broker dies with the request.
     lost: Option<Answer>,
     answered: bool,
@@ -153,18 +155,18 @@
     _under_way: Option<UnderWay>,
 }
 
-impl Pending {
+impl PendingAnswer {
     pub(crate) fn new(
         request: &NewRequest,
         answer: oneshot::Receiver<Answer>,
-        broker: Option<BrokerBox>,
+        broker: Option<BrokerSender>,
         lost: Answer,
         running: Option<Running>,
         under_way: Option<UnderWay>,
-    ) -> Pending {
-        Pending {
+    ) -> PendingAnswer {
+        PendingAnswer {
             request: request.id,
-            cancelled: request.cancelled.clone(),
+            cancelled: request.cancel_token.clone(),
             _under_way: under_way,
             answer,
             broker,
@@ -188,7 +190,7 @@
     }
 }
 
-impl Future for Pending {
+impl Future for PendingAnswer {
     type Output = Answer;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Answer> {
@@ -197,7 +199,7 @@
             self.answered = true;
             // A sender dropped without an answer: the broker has ended.
             let lost = self.lost.take();
-            let lost = lost.unwrap_or(Answer::Failed(Failure::Ending));
+            let lost = lost.unwrap_or(Answer::Failed(Failure::ShuttingDown));
             let mut answer = answer.unwrap_or(lost);
             self.count(&mut answer);
             answer
@@ -205,7 +207,7 @@
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         let Some(broker) = self.broker.take().filter(|_| !self.answered) else {
             return;
@@ -213,7 +215,7 @@
         // At once: the broker may have thousands of messages before the word, and decides meanwhile.
         self.cancelled.cancel();
         // The client has left; its session may be gone, so the word must not depend on it.
-        if let Err(full) = broker.try_send(ToBroker::ClientLeft(self.request)) {
+        if let Err(full) = broker.try_send(BrokerMessage::ClientLeft(self.request)) {
             let word = full.into_inner();
             if let Ok(runtime) = tokio::runtime::Handle::try_current() {
                 runtime.spawn(async move { broker.send(word).await });
--- a/port/src/clock.rs
+++ b/port/src/clock.rs
@@ -14,25 +14,25 @@
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         Clock {
-            unix: span(unix.unwrap_or_default()),
+            unix: to_micros(unix.unwrap_or_default()),
             at: Instant::now(),
         }
     }
 
     pub fn micros(&self, instant: Instant) -> Micros {
-        self.unix + span(instant.saturating_duration_since(self.at))
+        self.unix + to_micros(instant.saturating_duration_since(self.at))
     }
 
     pub fn instant(&self, micros: Micros) -> Instant {
-        self.at + duration(micros - self.unix)
+        self.at + to_duration(micros - self.unix)
     }
 }
 
-pub fn span(duration: Duration) -> Micros {
+pub fn to_micros(duration: Duration) -> Micros {
     Micros(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
 
 /// A length of time, at most a day: timers far beyond any deadline must not overflow.
-pub fn duration(micros: Micros) -> Duration {
+pub fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.0.min(86_400_000_000))
 }
--- a/port/src/lib.rs
+++ b/port/src/lib.rs
@@ -5,18 +5,20 @@
 mod administration;
 mod answer;
 pub mod clock;
-mod desk;
 mod engine;
+mod replicated_state;
 mod request;
-mod standing;
+mod request_router;
 pub mod supervise;
 
-pub use administration::{Answers, Asked, Counters, Denied, EngineRow, Health, TenantRow, Told};
-pub use answer::{Answer, Broken, Delivery, Failure, Pending};
-pub use desk::{BEAT, Closed, Desk};
+pub use administration::{
+    AdminError, AdminRequest, AdminResponse, AnswerCounts, Counters, EngineRow, Health, TenantRow,
+};
+pub use answer::{Answer, Failure, PendingAnswer, ResultLost, ResultPages};
 pub use engine::{
-    Attempt, End, EngineBox, Engines, More, Page, Probe, Report, Reports, Resting, ToEngine,
-    memory_grant,
+    Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, EngineSender,
+    EngineTransport, IdleEngine, Page, PageRequest, ProbeResult, memory_grant,
 };
-pub use request::{BrokerBox, NewRequest, SessionKey, ToBroker};
+pub use request::{BrokerMessage, BrokerSender, NewRequest, SessionKey};
+pub use request_router::{HEARTBEAT_INTERVAL, RequestRouter, RouterClosed};
 pub use sedgebeam_roster::{Listing, Target, apply};
--- a/port/src/standing.rs
+++ b/port/src/replicated_state.rs
@@ -1,21 +1,21 @@
 //! What holds for all brokers alike and must be told to one that is started anew: the list of engines, and
 //! what the administration has set. No I/O.
 
-use crate::{Asked, Listing, Target, apply};
+use crate::{AdminRequest, Listing, Target, apply};
 use sedgebeam_retune::Table;
 use std::collections::BTreeSet;
 
 #[derive(Debug)]
-pub struct Standing {
+pub struct ReplicatedState {
     targets: Vec<Target>,
     drained: BTreeSet<String>,
     /// The settings, with the tenants that were set.
     pub table: Table,
 }
 
-impl Standing {
-    pub fn new(table: Table) -> Standing {
-        Standing {
+impl ReplicatedState {
+    pub fn new(table: Table) -> ReplicatedState {
+        ReplicatedState {
             targets: Vec::new(),
             drained: BTreeSet::new(),
             table,
@@ -23,20 +23,22 @@
     }
 
     /// Takes a change of the list.
-    pub fn list(&mut self, listing: Listing, targets: &[Target]) {
+    pub fn apply_listing(&mut self, listing: Listing, targets: &[Target]) {
         apply(&mut self.targets, listing, targets);
     }
 
     /// Takes what the administration has set, once it has been done.
-    pub fn set(&mut self, asked: &Asked) {
+    pub fn record(&mut self, asked: &AdminRequest) {
         match asked {
-            Asked::SetEngine(target) => self.list(Listing::Changes, std::slice::from_ref(target)),
-            Asked::RemoveEngine(uid) => self.targets.retain(|known| known.uid != *uid),
-            Asked::Drain(uid, true) => drop(self.drained.insert(uid.clone())),
-            Asked::Drain(uid, false) => drop(self.drained.remove(uid)),
+            AdminRequest::SetEngine(target) => {
+                self.apply_listing(Listing::Changes, std::slice::from_ref(target))
+            }
+            AdminRequest::RemoveEngine(uid) => self.targets.retain(|known| known.uid != *uid),
+            AdminRequest::Drain(uid, true) => drop(self.drained.insert(uid.clone())),
+            AdminRequest::Drain(uid, false) => drop(self.drained.remove(uid)),
             // New shares are settings, and stand in the table.
-            Asked::Health | Asked::Counters | Asked::Engines => {}
-            Asked::Tenants | Asked::SetTenant(..) => {}
+            AdminRequest::Health | AdminRequest::Counters | AdminRequest::Engines => {}
+            AdminRequest::Tenants | AdminRequest::SetTenant(..) => {}
         }
     }
 
@@ -51,10 +53,10 @@
 
     /// What a new broker must be asked once it has the list. Drains come with it: an engine that drains must
     /// not be sent anything for an instant.
-    pub fn replay(&self) -> Vec<Asked> {
+    pub fn replay_requests(&self) -> Vec<AdminRequest> {
         let listed = |uid: &&String| self.targets.iter().any(|target| target.uid == **uid);
         let drained = self.drained.iter().filter(listed).cloned();
-        drained.map(|uid| Asked::Drain(uid, true)).collect()
+        drained.map(|uid| AdminRequest::Drain(uid, true)).collect()
     }
 }
 
@@ -72,23 +74,23 @@
 
     #[test]
     fn a_new_broker_is_told_the_list_and_what_was_set() {
-        let mut standing = Standing::new(Table::default());
-        standing.list(Listing::Complete, &[target("a", "up"), target("b", "up")]);
-        standing.list(
+        let mut standing = ReplicatedState::new(Table::default());
+        standing.apply_listing(Listing::Complete, &[target("a", "up"), target("b", "up")]);
+        standing.apply_listing(
             Listing::Changes,
             &[target("a", "removed"), target("c", "up")],
         );
         for asked in [
-            Asked::Drain("c".to_string(), true),
-            Asked::Drain("a".to_string(), true),
-            Asked::Drain("b".to_string(), true),
-            Asked::Drain("b".to_string(), false),
+            AdminRequest::Drain("c".to_string(), true),
+            AdminRequest::Drain("a".to_string(), true),
+            AdminRequest::Drain("b".to_string(), true),
+            AdminRequest::Drain("b".to_string(), false),
         ] {
-            standing.set(&asked);
+            standing.record(&asked);
         }
         let uids: Vec<String> = standing.targets().into_iter().map(|t| t.uid).collect();
         assert_eq!(uids, ["b", "c"]);
-        let replay = format!("{:?}", standing.replay());
+        let replay = format!("{:?}", standing.replay_requests());
         // A drain of what is not listed would be denied; it counts again should the engine come back.
         assert_eq!(replay, r#"[Drain("c", true)]"#);
     }
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -1,6 +1,6 @@
 //! Requests on their way to the broker, and all else that it is told.
 
-use crate::{Answer, Asked, Denied, Listing, Report, Target, Told};
+use crate::{AdminError, AdminRequest, AdminResponse, Answer, EngineReport, Listing, Target};
 use bytes::Bytes;
 use sedgebeam_core::{ClassId, EngineId, GroupId, Held, Micros, RequestId};
 use sedgebeam_retune::Tuning;
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-pub type BrokerBox = mpsc::Sender<ToBroker>;
+pub type BrokerSender = mpsc::Sender<BrokerMessage>;
 
 /// A client's request, whatever its wire.
 #[derive(Clone, Debug)]
@@ -26,14 +26,14 @@
     /// Its client says that it has tried before.
     pub is_retry: bool,
     /// By what engines know a repeat of it, where its class is keyed; handed on as it came.
-    pub token: Option<Arc<str>>,
+    pub idempotency_token: Option<Arc<str>>,
     /// Requests of one key run in the order in which they came, where their class keeps it; handed on as it came.
     pub order_key: Option<Arc<str>>,
     /// The session that a cancel names, where the wire has such.
     pub session: Option<SessionKey>,
     /// Cancelled once its client has gone or called it off: from then on nothing of it is sent, however many
     /// messages the broker still has before that word.
-    pub cancelled: CancellationToken,
+    pub cancel_token: CancellationToken,
 }
 
 /// Names a session to those who may cancel what it asked.
@@ -41,22 +41,25 @@
 pub struct SessionKey(pub u64);
 
 #[derive(Debug)]
-pub enum ToBroker {
+pub enum BrokerMessage {
     Submit(NewRequest, oneshot::Sender<Answer>),
     /// Its client has gone, or called it off.
     ClientLeft(RequestId),
-    Engine(EngineId, Report),
-    EngineDied(EngineId),
-    List(Listing, Vec<Target>),
+    EngineReport(EngineId, EngineReport),
+    EngineActorDied(EngineId),
+    EngineList(Listing, Vec<Target>),
     /// Asks what the gateway holds.
-    HeldOver(oneshot::Sender<Held>),
+    GetHandoverState(oneshot::Sender<Held>),
     /// What an earlier process held, to begin with.
-    TakeOver(Arc<Held>),
+    RestoreHandoverState(Arc<Held>),
     /// What other processes of this dispatcher hold, and whether this one may send to cold engines.
-    Beside(Arc<Held>, bool),
+    SetPeerProcessUsage(Arc<Held>, bool),
     /// The process ends: what has no answer yet gets one now.
-    LastCall,
+    Shutdown,
     /// New settings; the sender is dropped once they hold.
-    Retune(Arc<Tuning>, oneshot::Sender<()>),
-    Admin(Asked, oneshot::Sender<Result<Told, Denied>>),
+    Reconfigure(Arc<Tuning>, oneshot::Sender<()>),
+    Admin(
+        AdminRequest,
+        oneshot::Sender<Result<AdminResponse, AdminError>>,
+    ),
 }
