--- a/port/src/desk.rs
+++ b/port/src/request_router.rs
@@ -7,11 +7,11 @@
 //! A request with an order key goes to the shard that its key names and to no other: it waits until that shard is
 //! open, and such requests are handed to a shard in the order in which they were submitted.
 
-use crate::clock::{duration, span};
-use crate::standing::Standing;
+use crate::clock::{to_duration, to_micros};
+use crate::replicated_state::ReplicatedState;
 use crate::{
-    Answer, Asked, BrokerBox, Denied, Failure, Listing, NewRequest, Pending, SessionKey, Target,
-    ToBroker, Told,
+    AdminError, AdminRequest, AdminResponse, Answer, BrokerMessage, BrokerSender, Failure, Listing,
+    NewRequest, PendingAnswer, SessionKey, Target,
 };
 use sedgebeam_core::{Effect, Held, Key, Micros, RequestId, Tenant, mix};
 use sedgebeam_operation::Figures;
@@ -25,7 +25,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// A broker beats so often while there are several.
-pub const BEAT: Duration = Duration::from_millis(20);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 /// One that has not for this long gets no request.
 const SILENT: Duration = Duration::from_millis(100);
 /// What a silent broker would tell is not waited for any longer.
@@ -33,7 +33,7 @@
 
 struct Slot {
     /// None while its broker has not opened yet, or is gone.
-    mailbox: watch::Sender<Option<BrokerBox>>,
+    mailbox: watch::Sender<Option<BrokerSender>>,
     /// When its broker last showed that it runs, in milliseconds since the desk's start.
     beat: AtomicU64,
     /// Held by a request with an order key until it is handed over. The lock is fair: none overtakes another.
@@ -49,12 +49,12 @@
         }
     }
 
-    fn mailbox(&self) -> Option<BrokerBox> {
+    fn mailbox(&self) -> Option<BrokerSender> {
         self.mailbox.borrow().clone()
     }
 
     /// Waits until the broker is open.
-    async fn opened(&self) -> BrokerBox {
+    async fn opened(&self) -> BrokerSender {
         let mut mailbox = self.mailbox.subscribe();
         loop {
             if let Some(open) = mailbox.borrow_and_update().clone() {
@@ -77,7 +77,7 @@
 
 /// Where a request goes, and for an ordered one the right to be the next that is handed over there.
 struct Route<'desk> {
-    broker: Option<BrokerBox>,
+    broker: Option<BrokerSender>,
     _turn: Option<MutexGuard<'desk, ()>>,
 }
 
@@ -92,7 +92,7 @@
     /// What each session has under way, for those who cancel it.
     sessions: Sessions,
     /// Held while all brokers are told something, so that they hear all in the same order.
-    standing: Mutex<Standing>,
+    standing: Mutex<ReplicatedState>,
 }
 
 /// A session's request, how it is called off, and the broker that has it.
@@ -101,7 +101,7 @@
     id: RequestId,
     cancelled: CancellationToken,
     /// None until it is handed over.
-    broker: Option<BrokerBox>,
+    broker: Option<BrokerSender>,
 }
 
 type Sessions = Arc<Lock<HashMap<SessionKey, SessionRequest>>>;
@@ -118,7 +118,7 @@
         let (key, sessions) = (request.session?, sessions.clone());
         let entry = SessionRequest {
             id: request.id,
-            cancelled: request.cancelled.clone(),
+            cancelled: request.cancel_token.clone(),
             broker: None,
         };
         sessions
@@ -129,7 +129,7 @@
     }
 
     /// From now on the broker is told of a cancel.
-    fn hand_over(&self, broker: &BrokerBox) {
+    fn hand_over(&self, broker: &BrokerSender) {
         let mut sessions = self.sessions.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(entry) = sessions.get_mut(&self.key) {
             entry.broker = Some(broker.clone());
@@ -145,18 +145,18 @@
 }
 
 #[derive(Clone)]
-pub struct Desk {
+pub struct RequestRouter {
     shared: Arc<Shared>,
 }
 
 /// No broker takes anything any more.
 #[derive(Debug)]
-pub struct Closed;
+pub struct RouterClosed;
 
-impl Desk {
+impl RequestRouter {
     /// A desk before so many brokers, none of which has come yet.
-    pub fn new(shards: usize, seed: u64, figures: Figures, tuning: Tuning) -> Desk {
-        Desk {
+    pub fn new(shards: usize, seed: u64, figures: Figures, tuning: Tuning) -> RequestRouter {
+        RequestRouter {
             shared: Arc::new(Shared {
                 slots: (0..shards).map(|_| Slot::new()).collect(),
                 figures,
@@ -164,7 +164,7 @@
                 seed,
                 began: Instant::now(),
                 sessions: Sessions::default(),
-                standing: Mutex::new(Standing::new(Table::new(tuning))),
+                standing: Mutex::new(ReplicatedState::new(Table::new(tuning))),
             }),
         }
     }
@@ -173,7 +173,7 @@
         &self.shared.slots
     }
 
-    fn mailbox(&self, shard: usize) -> Option<BrokerBox> {
+    fn mailbox(&self, shard: usize) -> Option<BrokerSender> {
         self.slots().get(shard)?.mailbox()
     }
 
@@ -182,14 +182,14 @@
     }
 
     /// A broker shows that it runs.
-    pub fn beat(&self, shard: usize) {
+    pub fn heartbeat(&self, shard: usize) {
         if let Some(slot) = self.slots().get(shard) {
             slot.beat.store(self.now(), Ordering::Relaxed);
         }
     }
 
     /// Whether the shard is open and has shown lately that it runs.
-    pub fn lives(&self, shard: usize) -> bool {
+    pub fn is_alive(&self, shard: usize) -> bool {
         let Some(slot) = self.slots().get(shard) else {
             return false;
         };
@@ -198,27 +198,31 @@
     }
 
     /// Waits until every shard has opened.
-    pub async fn opened(&self) {
+    pub async fn wait_until_open(&self) {
         for slot in self.slots() {
             slot.opened().await;
         }
     }
 
     /// A broker has come: it is told what holds, and then takes requests.
-    pub async fn open(&self, shard: usize, mailbox: BrokerBox) -> Result<(), Closed> {
+    pub async fn open_shard(
+        &self,
+        shard: usize,
+        mailbox: BrokerSender,
+    ) -> Result<(), RouterClosed> {
         let standing = self.shared.standing.lock().await;
         // The settings first: what follows is told in their numbers.
         let (held, _) = oneshot::channel();
-        let retune = ToBroker::Retune(self.tuning(), held);
-        mailbox.send(retune).await.map_err(|_| Closed)?;
-        let list = ToBroker::List(Listing::Saved, standing.targets());
-        mailbox.send(list).await.map_err(|_| Closed)?;
-        for asked in standing.replay() {
+        let retune = BrokerMessage::Reconfigure(self.runtime_settings(), held);
+        mailbox.send(retune).await.map_err(|_| RouterClosed)?;
+        let list = BrokerMessage::EngineList(Listing::Saved, standing.targets());
+        mailbox.send(list).await.map_err(|_| RouterClosed)?;
+        for asked in standing.replay_requests() {
             let (reply, _) = oneshot::channel();
-            let told = mailbox.send(ToBroker::Admin(asked, reply)).await;
-            told.map_err(|_| Closed)?;
+            let told = mailbox.send(BrokerMessage::Admin(asked, reply)).await;
+            told.map_err(|_| RouterClosed)?;
         }
-        self.beat(shard);
+        self.heartbeat(shard);
         if let Some(slot) = self.slots().get(shard) {
             slot.mailbox.send_replace(Some(mailbox));
         }
@@ -226,7 +230,7 @@
     }
 
     /// A broker has gone.
-    pub fn close(&self, shard: usize) {
+    pub fn close_shard(&self, shard: usize) {
         if let Some(slot) = self.slots().get(shard) {
             slot.mailbox.send_replace(None);
         }
@@ -239,13 +243,13 @@
 
     /// The mailbox for a request that keeps no order: of the shard that its id names, or of another while that one
     /// is silent.
-    fn mailbox_for(&self, id: RequestId) -> Option<BrokerBox> {
+    fn mailbox_for(&self, id: RequestId) -> Option<BrokerSender> {
         let shards = self.slots().len() as u64;
         if shards == 1 {
             return self.mailbox(0);
         }
         let draws = (0..4 * shards).map(|turn| self.draw(id.0, turn));
-        let mut living = draws.filter(|shard| self.lives(*shard));
+        let mut living = draws.filter(|shard| self.is_alive(*shard));
         let living = living.find_map(|shard| self.mailbox(shard));
         living.or_else(|| self.mailbox(self.draw(id.0, 0)))
     }
@@ -268,7 +272,7 @@
         };
         tokio::select! {
             biased;
-            () = request.cancelled.cancelled() => Err(Answer::Failed(Failure::Cancelled)),
+            () = request.cancel_token.cancelled() => Err(Answer::Failed(Failure::Cancelled)),
             route = slot.turn() => Ok(route),
             // It has not run: trying again is harmless, whatever its class.
             () = sleep_until(request.deadline) => Err(self.refusal()),
@@ -277,18 +281,18 @@
 
     fn refusal(&self) -> Answer {
         Answer::Refused {
-            retry_after: duration(self.tuning().settings.max_retry_after),
+            retry_after: to_duration(self.runtime_settings().settings.max_retry_after),
         }
     }
 
     /// Hands a request over; the answer is waited for on what this returns.
-    pub async fn submit(&self, request: NewRequest) -> Pending {
+    pub async fn submit(&self, request: NewRequest) -> PendingAnswer {
         let (reply, answer) = oneshot::channel();
-        let tuning = self.tuning();
+        let tuning = self.runtime_settings();
         let class = tuning.settings.classes.get(request.class.0);
         let lost = match class {
             Some(class) if class.effect == Effect::Repeatable => self.refusal(),
-            _ => Answer::Failed(Failure::Ending),
+            _ => Answer::Failed(Failure::ShuttingDown),
         };
         let running = class.map(|class| self.shared.figures.take(&class.name));
         let under_way = UnderWay::new(&self.shared.sessions, &request);
@@ -296,25 +300,25 @@
             Ok(route) => route,
             Err(unsent) => {
                 let _ = reply.send(unsent);
-                return Pending::new(&request, answer, None, lost, running, under_way);
+                return PendingAnswer::new(&request, answer, None, lost, running, under_way);
             }
         };
         if let (Some(under_way), Some(broker)) = (&under_way, &route.broker) {
             under_way.hand_over(broker);
         }
         let broker = route.broker.clone();
-        let pending = Pending::new(&request, answer, broker, lost, running, under_way);
-        if request.cancelled.is_cancelled() {
+        let pending = PendingAnswer::new(&request, answer, broker, lost, running, under_way);
+        if request.cancel_token.is_cancelled() {
             // Cancelled before its session's entry named the broker, which would not hear of the cancel.
             let _ = reply.send(Answer::Failed(Failure::Cancelled));
         } else if let Some(broker) = &route.broker {
             // Where the broker is gone, the reply goes with the message and the answer says so.
-            let _ = broker.send(ToBroker::Submit(request, reply)).await;
+            let _ = broker.send(BrokerMessage::Submit(request, reply)).await;
         }
         pending
     }
 
-    fn all(&self) -> impl Iterator<Item = BrokerBox> {
+    fn all(&self) -> impl Iterator<Item = BrokerSender> {
         (0..self.slots().len()).filter_map(|shard| self.mailbox(shard))
     }
 
@@ -334,32 +338,41 @@
             && let Some(broker) = broker
         {
             // A broker that is gone has nothing to cancel.
-            let _ = broker.send(ToBroker::ClientLeft(id)).await;
+            let _ = broker.send(BrokerMessage::ClientLeft(id)).await;
         }
     }
 
     /// Tells all brokers of a change of the list, a silent one too: it hears of it first of all.
-    pub async fn list(&self, listing: Listing, targets: Vec<Target>) -> Result<(), Closed> {
+    pub async fn update_engine_list(
+        &self,
+        listing: Listing,
+        targets: Vec<Target>,
+    ) -> Result<(), RouterClosed> {
         let mut standing = self.shared.standing.lock().await;
-        standing.list(listing, &targets);
+        standing.apply_listing(listing, &targets);
         let told = self.all().map(|mailbox| {
             let targets = targets.clone();
-            async move { mailbox.send(ToBroker::List(listing, targets)).await.is_ok() }
+            async move {
+                mailbox
+                    .send(BrokerMessage::EngineList(listing, targets))
+                    .await
+                    .is_ok()
+            }
         });
         let told = futures::future::join_all(told).await;
         // Where there are several, one that died is started anew and told then.
         let ended = self.slots().len() == 1 && !told.iter().all(|told| *told);
-        if ended { Err(Closed) } else { Ok(()) }
+        if ended { Err(RouterClosed) } else { Ok(()) }
     }
 
     /// The settings that hold, and the names that requests may use.
-    pub fn tuning(&self) -> Arc<Tuning> {
+    pub fn runtime_settings(&self) -> Arc<Tuning> {
         let tuning = self.shared.tuning.read();
         tuning.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Has all brokers take new settings; false, and nothing changes, where there is no room for them.
-    pub async fn retune(&self, told: &Tuning) -> bool {
+    pub async fn reconfigure(&self, told: &Tuning) -> bool {
         let mut standing = self.shared.standing.lock().await;
         if standing.table.retune(self.micros(), told).is_none() {
             return false;
@@ -369,7 +382,7 @@
     }
 
     /// Forgets the names that have had their time, now and whenever one has; for ever.
-    pub async fn forget_names(&self, mut changed: watch::Receiver<()>) {
+    pub async fn expire_names(&self, mut changed: watch::Receiver<()>) {
         loop {
             let mut standing = self.shared.standing.lock().await;
             if standing.table.expire(self.micros()) {
@@ -377,7 +390,7 @@
             }
             let next = standing.table.next_expiry();
             drop(standing);
-            let wait = next.map(|next| duration(next - self.micros()));
+            let wait = next.map(|next| to_duration(next - self.micros()));
             tokio::select! {
                 changed = changed.changed() => if changed.is_err() { return },
                 () = sleep(wait.unwrap_or_default()), if wait.is_some() => {}
@@ -386,10 +399,13 @@
     }
 
     /// What the gateways hold, added up; nothing of one that is silent.
-    pub async fn held_over(&self) -> Held {
+    pub async fn handover_state(&self) -> Held {
         let asked = self.all().map(|mailbox| async move {
             let (reply, held) = oneshot::channel();
-            mailbox.send(ToBroker::HeldOver(reply)).await.ok()?;
+            mailbox
+                .send(BrokerMessage::GetHandoverState(reply))
+                .await
+                .ok()?;
             timeout(TELLS_WITHIN, held).await.ok()?.ok()
         });
         let held = futures::future::join_all(asked).await;
@@ -399,7 +415,7 @@
     }
 
     /// Tells all brokers what needs no answer; one that is gone needs not hear it.
-    async fn tell_all(&self, message: impl Fn() -> ToBroker) {
+    async fn tell_all(&self, message: impl Fn() -> BrokerMessage) {
         let told = self.all().map(|mailbox| {
             let message = message();
             async move { mailbox.send(message).await.is_ok() }
@@ -408,32 +424,33 @@
     }
 
     /// Has the gateways begin with what an earlier process held.
-    pub async fn take_over(&self, held: Held) {
+    pub async fn restore(&self, held: Held) {
         let held = Arc::new(held);
-        self.tell_all(|| ToBroker::TakeOver(held.clone())).await;
+        self.tell_all(|| BrokerMessage::RestoreHandoverState(held.clone()))
+            .await;
     }
 
     /// What other processes of this dispatcher hold, and whether this one may send to cold engines.
-    pub async fn beside(&self, held: Held, may_warm: bool) {
+    pub async fn set_peer_process_usage(&self, held: Held, may_warm: bool) {
         let held = Arc::new(held);
-        self.tell_all(|| ToBroker::Beside(held.clone(), may_warm))
+        self.tell_all(|| BrokerMessage::SetPeerProcessUsage(held.clone(), may_warm))
             .await;
     }
 
     /// Has every request that is open answered now.
-    pub async fn last_call(&self) {
-        self.tell_all(|| ToBroker::LastCall).await;
+    pub async fn shut_down(&self) {
+        self.tell_all(|| BrokerMessage::Shutdown).await;
     }
 
     /// The engines listed, those that the administration has drained, and the shares that it has set.
-    pub async fn standing(&self) -> (Vec<Target>, Vec<String>, Vec<Tenant>) {
+    pub async fn replicated_state(&self) -> (Vec<Target>, Vec<String>, Vec<Tenant>) {
         let standing = self.shared.standing.lock().await;
         let (targets, drained) = (standing.targets(), standing.drained());
         (targets, drained, standing.table.set().to_vec())
     }
 
     fn micros(&self) -> Micros {
-        span(self.shared.began.elapsed())
+        to_micros(self.shared.began.elapsed())
     }
 
     /// Tells all brokers of the settings first, and only then those who take requests: no request names what
@@ -442,7 +459,7 @@
         let tuning = Arc::new(table.tuning().clone());
         let told = self.all().map(|mailbox| {
             let (held, done) = oneshot::channel();
-            let retune = ToBroker::Retune(tuning.clone(), held);
+            let retune = BrokerMessage::Reconfigure(tuning.clone(), held);
             async move {
                 // One that has died is told when another takes its place.
                 if mailbox.send(retune).await.is_ok() {
@@ -462,38 +479,46 @@
     }
 
     /// Asks all brokers, and adds up what they tell.
-    pub async fn ask(&self, asked: Asked) -> Result<Told, Denied> {
+    pub async fn administer(&self, asked: AdminRequest) -> Result<AdminResponse, AdminError> {
         let mut standing = self.shared.standing.lock().await;
-        if let Asked::SetTenant(name, share, per_second) = &asked {
+        if let AdminRequest::SetTenant(name, share, per_second) = &asked {
             let tenant = Tenant {
                 name: name.clone(),
                 share: *share,
                 per_second: *per_second,
             };
             if !standing.table.set_tenant(&tenant) {
-                return Err(Denied::Invalid("there are too many tenants".to_string()));
+                return Err(AdminError::Invalid(
+                    "there are too many tenants".to_string(),
+                ));
             }
             self.spread(&standing.table).await;
         }
         let asking = self.all().map(|mailbox| ask(mailbox, asked.clone()));
         let told = futures::future::join_all(asking).await;
-        let mut sum: Option<Told> = None;
+        let mut sum: Option<AdminResponse> = None;
         for told in told.into_iter().flatten() {
             let told = told?;
             sum = Some(match sum {
-                Some(sum) => sum.and(told),
+                Some(sum) => sum.merge(told),
                 None => told,
             });
         }
-        let sum = sum.ok_or(Denied::Silent)?;
-        standing.set(&asked);
+        let sum = sum.ok_or(AdminError::Unavailable)?;
+        standing.record(&asked);
         Ok(sum)
     }
 }
 
 /// What one broker tells; `None` where it is gone or silent. What was asked reaches a silent one all the same.
-async fn ask(mailbox: BrokerBox, asked: Asked) -> Option<Result<Told, Denied>> {
+async fn ask(
+    mailbox: BrokerSender,
+    asked: AdminRequest,
+) -> Option<Result<AdminResponse, AdminError>> {
     let (reply, told) = oneshot::channel();
-    mailbox.send(ToBroker::Admin(asked, reply)).await.ok()?;
+    mailbox
+        .send(BrokerMessage::Admin(asked, reply))
+        .await
+        .ok()?;
     timeout(TELLS_WITHIN, told).await.ok()?.ok()
 }
--- a/port/src/supervise.rs
+++ b/port/src/supervise.rs
@@ -5,7 +5,7 @@
 use tokio::task::JoinHandle;
 
 /// Runs a task; should it panic, that is logged and `died` is called.
-pub fn watch<F>(
+pub fn spawn_supervised<F>(
     name: String,
     task: F,
     died: impl FnOnce() + Send + 'static,
@@ -14,11 +14,11 @@
     F: Future + Send + 'static,
     F::Output: Send,
 {
-    watch_on(&Handle::current(), name, task, died)
+    spawn_supervised_on(&Handle::current(), name, task, died)
 }
 
 /// The same on the runtime of another thread.
-pub fn watch_on<F>(
+pub fn spawn_supervised_on<F>(
     runtime: &Handle,
     name: String,
     task: F,
@@ -41,10 +41,10 @@
 }
 
 /// Runs a task without which the dispatcher is of no use: its panic ends the process.
-pub fn vital<F>(name: &str, task: F) -> JoinHandle<Option<F::Output>>
+pub fn spawn_critical<F>(name: &str, task: F) -> JoinHandle<Option<F::Output>>
 where
     F: Future + Send + 'static,
     F::Output: Send,
 {
-    watch(name.to_string(), task, || std::process::exit(1))
+    spawn_supervised(name.to_string(), task, || std::process::exit(1))
 }
--- a/port/tests/ordered_requests.rs
+++ b/port/tests/ordered_requests.rs
@@ -5,7 +5,9 @@
 use futures::future::LocalBoxFuture;
 use sedgebeam_core::{Class, ClassId, GroupId, Micros, RequestId, Settings};
 use sedgebeam_operation::Figures;
-use sedgebeam_port::{Answer, Desk, Failure, NewRequest, Pending, SessionKey, ToBroker};
+use sedgebeam_port::{
+    Answer, BrokerMessage, Failure, NewRequest, PendingAnswer, RequestRouter, SessionKey,
+};
 use sedgebeam_retune::Tuning;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -19,9 +21,9 @@
 /// Longer than any run of these tests.
 const LONG: Duration = Duration::from_secs(600);
 
-type Incoming = mpsc::Receiver<ToBroker>;
+type Incoming = mpsc::Receiver<BrokerMessage>;
 
-fn desk() -> Desk {
+fn desk() -> RequestRouter {
     let class = Class {
         name: "load".to_string(),
         ..Class::default()
@@ -34,7 +36,7 @@
         },
         ..Tuning::default()
     };
-    Desk::new(SHARDS, SEED, Figures::default(), tuning)
+    RequestRouter::new(SHARDS, SEED, Figures::default(), tuning)
 }
 
 fn request(id: u64) -> NewRequest {
@@ -48,16 +50,16 @@
         group: GroupId(0),
         statement: Bytes::from_static(b"INSERT"),
         is_retry: false,
-        token: None,
+        idempotency_token: None,
         order_key: Some(KEY.into()),
         session: Some(SESSION),
-        cancelled: CancellationToken::new(),
+        cancel_token: CancellationToken::new(),
     }
 }
 
-async fn open(desk: &Desk, shard: usize) -> Incoming {
+async fn open(desk: &RequestRouter, shard: usize) -> Incoming {
     let (mailbox, incoming) = mpsc::channel(64);
-    desk.open(shard, mailbox).await.expect("is open");
+    desk.open_shard(shard, mailbox).await.expect("is open");
     incoming
 }
 
@@ -65,7 +67,7 @@
 fn submitted(incoming: &mut Incoming) -> Vec<u64> {
     let told = std::iter::from_fn(|| incoming.try_recv().ok());
     let ids = told.filter_map(|told| match told {
-        ToBroker::Submit(request, _) => Some(request.id.0),
+        BrokerMessage::Submit(request, _) => Some(request.id.0),
         _ => None,
     });
     ids.collect()
@@ -86,7 +88,7 @@
 
 /// A desk where all shards but that of the key are open.
 struct Bench {
-    desk: Desk,
+    desk: RequestRouter,
     own: usize,
     others: Vec<Incoming>,
 }
@@ -102,7 +104,7 @@
     }
 
     /// Submits a request as far as it comes without its shard.
-    fn waiting(&self, request: NewRequest) -> LocalBoxFuture<'_, Pending> {
+    fn waiting(&self, request: NewRequest) -> LocalBoxFuture<'_, PendingAnswer> {
         let mut submitting = self.desk.submit(request).boxed_local();
         let pending = (&mut submitting).now_or_never();
         assert!(pending.is_none(), "it does not wait for its shard");
@@ -118,12 +120,12 @@
 #[tokio::test]
 async fn the_desk_is_open_once_every_shard_is() {
     let bench = Bench::new().await;
-    assert!(!bench.desk.lives(bench.own), "it has never been open");
-    let mut opened = bench.desk.opened().boxed_local();
+    assert!(!bench.desk.is_alive(bench.own), "it has never been open");
+    let mut opened = bench.desk.wait_until_open().boxed_local();
     assert!((&mut opened).now_or_never().is_none());
     let _incoming = open(&bench.desk, bench.own).await;
     assert!((&mut opened).now_or_never().is_some());
-    assert!(bench.desk.lives(bench.own));
+    assert!(bench.desk.is_alive(bench.own));
 }
 
 #[tokio::test]
@@ -140,7 +142,7 @@
 async fn an_ordered_request_waits_for_the_successor_of_a_broker_that_died() {
     let mut bench = Bench::new().await;
     let _dead = open(&bench.desk, bench.own).await;
-    bench.desk.close(bench.own);
+    bench.desk.close_shard(bench.own);
     let submitting = bench.waiting(request(2));
     let mut own = open(&bench.desk, bench.own).await;
     let _pending = submitting.await;
--- a/sockets/src/errors.rs
+++ b/sockets/src/errors.rs
@@ -14,12 +14,12 @@
 ];
 
 /// Whether a connect failed for a lack on this side, or was interrupted: it says nothing of the peer.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_shortage(error: &io::Error) -> bool {
     let lacks = Errno::from_io_error(error).is_some_and(|errno| LACKS.contains(&errno));
     lacks || error.kind() == io::ErrorKind::Interrupted
 }
 
 /// Whether a listener that can't be had now may be had later.
-pub fn may_pass(error: &io::Error) -> bool {
-    is_local(error) || error.kind() == io::ErrorKind::AddrInUse
+pub fn is_transient(error: &io::Error) -> bool {
+    is_local_shortage(error) || error.kind() == io::ErrorKind::AddrInUse
 }
--- a/sockets/src/lib.rs
+++ b/sockets/src/lib.rs
@@ -4,6 +4,6 @@
 mod listen;
 mod stream;
 
-pub use errors::{is_local, may_pass};
+pub use errors::{is_local_shortage, is_transient};
 pub use listen::listen;
-pub use stream::{Reading, Stream, is_to_be_repeated, without_delay};
+pub use stream::{SocketReader, SocketStream, set_nodelay, should_retry};
--- a/sockets/src/listen.rs
+++ b/sockets/src/listen.rs
@@ -1,6 +1,6 @@
 //! Listeners that are tried for again while they can't be had.
 
-use crate::may_pass;
+use crate::is_transient;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     let mut tries = 0;
     loop {
         match bind(address) {
-            Err(error) if may_pass(&error) && Instant::now() < until => {
+            Err(error) if is_transient(&error) && Instant::now() < until => {
                 if tries == 0 {
                     log::warn!("listening on {address}: {error}; trying again");
                 }
--- a/sockets/src/stream.rs
+++ b/sockets/src/stream.rs
@@ -12,14 +12,14 @@
 
 /// Has small writes go out at once. An option that can't be set is no reason to drop a connection: its writes go out
 /// later.
-pub fn without_delay(stream: &TcpStream) {
+pub fn set_nodelay(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("a connection may delay small writes: {error}");
     }
 }
 
 /// Whether a call has moved nothing and is made again, once the socket is ready.
-pub fn is_to_be_repeated(error: &io::Error) -> bool {
+pub fn should_retry(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
@@ -28,9 +28,9 @@
 
 /// The reading side of a stream, or of a half of one.
 #[derive(Debug)]
-pub struct Reading<S>(pub S);
+pub struct SocketReader<S>(pub S);
 
-impl<S: AsRef<TcpStream> + Unpin> AsyncRead for Reading<S> {
+impl<S: AsRef<TcpStream> + Unpin> AsyncRead for SocketReader<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -48,7 +48,7 @@
     loop {
         ready!(stream.poll_read_ready(context))?;
         match stream.try_read_buf(bytes) {
-            Err(error) if is_to_be_repeated(&error) => {}
+            Err(error) if should_retry(&error) => {}
             read => return Poll::Ready(read.map(drop)),
         }
     }
@@ -56,11 +56,11 @@
 
 /// A stream that is read and written.
 #[derive(Debug)]
-pub struct Stream(TcpStream);
+pub struct SocketStream(TcpStream);
 
-impl Stream {
-    pub fn new(stream: TcpStream) -> Stream {
-        Stream(stream)
+impl SocketStream {
+    pub fn new(stream: TcpStream) -> SocketStream {
+        SocketStream(stream)
     }
 
     fn poll_write_with(
@@ -71,14 +71,14 @@
         loop {
             ready!(self.0.poll_write_ready(context))?;
             match write(&self.0) {
-                Err(error) if is_to_be_repeated(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 written => return Poll::Ready(written),
             }
         }
     }
 }
 
-impl AsyncRead for Stream {
+impl AsyncRead for SocketStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -88,7 +88,7 @@
     }
 }
 
-impl AsyncWrite for Stream {
+impl AsyncWrite for SocketStream {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
