--- a/broker/src/parts.rs
+++ b/broker/src/shards.rs
@@ -2,7 +2,7 @@
 
 use sedgebeam_core::{Demand, EngineId, Micros, RequestId, Settings, ShardUsage};
 use sedgebeam_leases::{CommitResult, Lease, LeaseId, LeaseTable, LeaseTerms, ShardId};
-use sedgebeam_port::Desk;
+use sedgebeam_port::RequestRouter;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
@@ -23,15 +23,15 @@
 type Stripe = Mutex<HashMap<RequestId, ShardId>>;
 
 /// What the shards of one dispatcher share.
-pub struct Shared {
-    ledger: Mutex<LeaseTable>,
+pub struct ShardLeases {
+ledger: Mutex<LeaseTable>,
     /// Wakes a shard that waits for what another has let go.
     wakes: Vec<Notify>,
     /// Which shard has a request: one name is open once, whichever shard is asked.
     open: Vec<Stripe>,
     /// The numbers of engines, the same at all shards.
     engines: Mutex<HashMap<String, Numbered>>,
-    pub desk: Desk,
+    pub router: RequestRouter,
 }
 
 /// Nothing panics while these are held; what they hold would be whole all the same.
@@ -50,15 +50,20 @@
     }
 }
 
-impl Shared {
-    pub fn new(shards: usize, open: usize, settings: &Settings, desk: Desk) -> Arc<Shared> {
+impl ShardLeases {
+    pub fn new(
+        shards: usize,
+        open: usize,
+        settings: &Settings,
+        desk: RequestRouter,
+    ) -> Arc<ShardLeases> {
         let terms = terms(shards, open, settings);
-        Arc::new(Shared {
-            ledger: Mutex::new(LeaseTable::new(terms)),
+ Arc::new(ShardLeases {
+ledger: Mutex::new(LeaseTable::new(terms)),
             wakes: (0..shards).map(|_| Notify::new()).collect(),
             open: (0..STRIPES).map(|_| Mutex::default()).collect(),
             engines: Mutex::default(),
-            desk,
+            router: desk,
         })
     }
 
@@ -68,8 +73,8 @@
     }
 
     /// A shard's broker has died, and with it the actors of its engines and their connections.
-    pub fn crash(&self, shard: usize) {
-        let waiters = lock(&self.ledger).remove_crashed_shard(ShardId(shard));
+ pub fn shard_crashed(&self, shard: usize) {
+let waiters = lock(&self.ledger).remove_crashed_shard(ShardId(shard));
         for stripe in &self.open {
             lock(stripe).retain(|_, at| *at != ShardId(shard));
         }
@@ -85,35 +90,35 @@
 
 /// One shard's hold on what is shared.
 #[derive(Clone)]
-pub struct Part {
-    shared: Arc<Shared>,
+pub struct Shard {
+    shared: Arc<ShardLeases>,
     shard: ShardId,
 }
 
-impl Part {
-    pub fn new(shared: Arc<Shared>, shard: usize) -> Part {
-        Part {
+impl Shard {
+    pub fn new(shared: Arc<ShardLeases>, shard: usize) -> Shard {
+        Shard {
             shared,
             shard: ShardId(shard),
         }
     }
 
-    pub fn shard(&self) -> usize {
+    pub fn index(&self) -> usize {
         self.shard.0
     }
 
     /// New settings; each shard tells of them.
-    pub fn retune(&self, settings: &Settings, open: usize) {
+    pub fn reconfigure(&self, settings: &Settings, open: usize) {
         let terms = terms(self.shared.wakes.len(), open, settings);
         lock(&self.shared.ledger).reconfigure(terms);
     }
 
     /// What other processes of this dispatcher hold.
- pub fn beside(&self, now: Micros, told: ShardUsage) {
+ pub fn set_peer_process_usage(&self, now: Micros, told: ShardUsage) {
 lock(&self.shared.ledger).set_peer_process_usage(now, told);
     }
 
- pub fn borrow(&self, now: Micros, wish: &Demand, open: usize) -> Lease {
+ pub fn acquire(&self, now: Micros, wish: &Demand, open: usize) -> Lease {
 lock(&self.shared.ledger).acquire(self.shard, now, wish, open)
     }
 
@@ -129,12 +134,12 @@
     }
 
     /// Becomes ready when another shard has let go what this one may be waiting for.
-    pub async fn woken(&self) {
+    pub async fn capacity_released(&self) {
         self.shared.wakes[self.shard.0].notified().await;
     }
 
-    pub fn beat(&self) {
-        self.shared.desk.beat(self.shard.0);
+    pub fn heartbeat(&self) {
+        self.shared.router.heartbeat(self.shard.0);
     }
 
     fn stripe(&self, id: RequestId) -> &Stripe {
@@ -142,7 +147,7 @@
     }
 
     /// Takes the name of a request; false where it is open, here or elsewhere.
-    pub fn claim(&self, id: RequestId) -> bool {
+    pub fn claim_request(&self, id: RequestId) -> bool {
         let mut open = lock(self.stripe(id));
         if open.contains_key(&id) {
             return false;
@@ -151,12 +156,12 @@
         true
     }
 
-    pub fn release(&self, id: RequestId) {
+    pub fn release_request(&self, id: RequestId) {
         lock(self.stripe(id)).remove(&id);
     }
 
     /// The number of an engine: that which the first shard gave it that heard of it.
-    pub fn identify(&self, uid: &str, first: impl FnOnce() -> u64) -> EngineId {
+    pub fn engine_id(&self, uid: &str, first: impl FnOnce() -> u64) -> EngineId {
         let mut engines = lock(&self.shared.engines);
         if let Some(engine) = engines.get_mut(uid) {
             engine.known_at.insert(self.shard);
@@ -172,7 +177,7 @@
     }
 
     /// This shard knows the engine no longer.
-    pub fn forget(&self, uid: &str) {
+    pub fn forget_engine(&self, uid: &str) {
         let mut engines = lock(&self.shared.engines);
         if let Some(engine) = engines.get_mut(uid) {
             engine.known_at.remove(&self.shard);
--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/beside.rs
@@ -14,7 +14,7 @@
 };
 use sedgebeam_operation::Orders;
 use sedgebeam_port::clock::Clock;
-use sedgebeam_port::{Asked, Desk};
+use sedgebeam_port::{AdminRequest, RequestRouter};
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -110,7 +110,7 @@
 /// What this process tells of itself.
 pub struct Own {
     pub clock: Clock,
-    pub desk: Desk,
+    pub desk: RequestRouter,
     pub places: Places,
     pub orders: watch::Receiver<Orders>,
     /// The change log's number.
@@ -140,14 +140,14 @@
         // The number first: a list that is newer than its number only hears of some change twice.
         let seq = self.reached.borrow().seq;
         let file = self.file.borrow().to_string();
-        let (targets, drained, tenants) = self.desk.standing().await;
-        let held = self.desk.held_over().await;
-        HandoverMessage {
-            status: ProcessStatus {
-                dispatcher_name: name.to_string(),
-                written_at_unix_us: unix_now().0,
-                writer_clock: Some(self.now()),
-                known_processes: Some(found),
+ let (targets, drained, tenants) = self.desk.replicated_state().await;
+let held = self.desk.handover_state().await;
+HandoverMessage {
+status: ProcessStatus {
+dispatcher_name: name.to_string(),
+written_at_unix_us: unix_now().0,
+writer_clock: Some(self.now()),
+known_processes: Some(found),
                 phase: self.phase(),
                 change_log_seq: seq,
                 targets,
@@ -168,7 +168,9 @@
         Member::Waiting(place) => {
             // As beside one that sends to cold engines and has half of all limits.
             left.send_replace(Others::MAYBE);
-            own.desk.beside(HandoverState::default(), false).await;
+ own.desk
+.set_peer_process_usage(HandoverState::default(), false)
+.await;
             (place.join_at_last().await, None)
         }
     };
@@ -264,7 +266,7 @@
 });
 self.own
 .desk
-.beside(held, self.pair.may_use_cold_engines())
+.set_peer_process_usage(held, self.pair.may_use_cold_engines())
 .await;
     }
 
@@ -285,12 +287,14 @@
 }
 
 /// Has brokers begin with what the administration had set before.
-pub async fn set_again(desk: &Desk, drained: Vec<String>, tenants: Vec<Tenant>) {
+pub async fn set_again(desk: &RequestRouter, drained: Vec<String>, tenants: Vec<Tenant>) {
     let tenants = tenants.into_iter();
-    let tenants = tenants.map(|t| Asked::SetTenant(t.name, t.share, t.requests_per_second));
-    let drains = drained.into_iter().map(|uid| Asked::Drain(uid, true));
+ let tenants = tenants.map(|t| AdminRequest::SetTenant(t.name, t.share, t.requests_per_second));
+let drains = drained
+.into_iter()
+.map(|uid| AdminRequest::Drain(uid, true));
     for asked in drains.chain(tenants) {
-        if let Err(denied) = desk.ask(asked).await {
+        if let Err(denied) = desk.administer(asked).await {
             log::info!("what was set before is not set again: {denied:?}");
         }
     }
