--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -8,7 +8,7 @@
 use crate::duty::Duty;
 use crate::reload::{Reload, Source};
 use crate::roster::{self, Reached};
-use sedgebeam_engines::{Slots, Wires};
+use sedgebeam_engines::{ConnectionSlots, NetworkTransport};
 use sedgebeam_handover::Share;
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::{Clock, duration};
@@ -42,10 +42,10 @@
         let farewells = Arc::new(Semaphore::new(config.descriptors.farewells));
         open_door(&config, &duty, &figures, clock, &farewells).await?;
         supervise::vital("the drain", duty.clone().keep_time());
-        let wires = Wires {
+        let wires = NetworkTransport {
             connections,
-            figures: figures.clone(),
-            slots: Slots::default(),
+            metrics: figures.clone(),
+            slots: ConnectionSlots::default(),
         };
         let crew = Crew::start(&config, Arc::new(wires), &figures, clock).await?;
         Ok(Program {
--- a/dispatcher/tests/scenarios/actors.rs
+++ b/dispatcher/tests/scenarios/actors.rs
@@ -4,7 +4,7 @@
 use crate::stage::{Peer, peer};
 use bytes::Bytes;
 use sedgebeam_core::{AttemptNo, EngineId, Micros, RequestId};
-use sedgebeam_engines::{Slots, Wires};
+use sedgebeam_engines::{ConnectionSlots, NetworkTransport};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::{
     Attempt, End, EngineBox, Engines, Page, Probe, Report, Reports, Target, ToBroker, ToEngine,
@@ -39,11 +39,17 @@
 
 /// An actor before the engine at this endpoint, with so many connections at the most.
 fn before(engine: Peer, endpoint: String, most: usize) -> Bench {
-    among(engine, endpoint, most, 64, Slots::default())
+    among(engine, endpoint, most, 64, ConnectionSlots::default())
 }
 
 /// The same where so many are left to all engines together.
-fn among(engine: Peer, endpoint: String, most: usize, in_all: usize, slots: Slots) -> Bench {
+fn among(
+    engine: Peer,
+    endpoint: String,
+    most: usize,
+    in_all: usize,
+    slots: ConnectionSlots,
+) -> Bench {
     let connections = Connections {
         most,
         in_all,
@@ -58,9 +64,9 @@
         endpoint,
         ..Target::default()
     };
-    let wires = Wires {
+    let wires = NetworkTransport {
         connections: watch::channel(connections).1,
-        figures: Figures::default(),
+        metrics: Figures::default(),
         slots,
     };
     let actor = wires.start(&target, Reports::new(EngineId(1), broker));
@@ -406,7 +412,7 @@
 #[test]
 fn an_idle_connection_gives_its_slot_to_another_engine() {
     inside(|| async {
-        let slots = Slots::default();
+        let slots = ConnectionSlots::default();
         let mut benches = Vec::new();
         for _ in 0..2 {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/dispatcher/tests/scenarios/flight_engine.rs
+++ b/dispatcher/tests/scenarios/flight_engine.rs
@@ -15,7 +15,7 @@
 use futures::stream::{self, BoxStream, StreamExt, TryStreamExt};
 use prost::Message;
 use sedgebeam_arrow as arrow;
-use sedgebeam_engines::flight::{ABORT, NOT_RUN};
+use sedgebeam_engines::flight::{ABORT_ACTION, NOT_RUN_METADATA};
 use sedgebeam_port::Page;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -157,7 +157,7 @@
     if not_run {
         status
             .metadata_mut()
-            .insert(NOT_RUN, "1".parse().expect("a value"));
+            .insert(NOT_RUN_METADATA, "1".parse().expect("a value"));
     }
     status
 }
@@ -253,7 +253,7 @@
         let action = request.into_inner();
         let body = String::from_utf8_lossy(&action.body).to_string();
         let _ = self.heard.send(match action.r#type.as_str() {
-            ABORT => format!("abort {}", body.trim_start_matches('0')),
+            ABORT_ACTION => format!("abort {}", body.trim_start_matches('0')),
             other => format!("action {other}"),
         });
         Ok(Response::new(stream::empty().boxed()))
--- a/engines/src/slots.rs
+++ b/engines/src/connection_slots.rs
@@ -8,14 +8,14 @@
 use tokio::sync::watch;
 
 #[derive(Clone, Debug)]
-pub struct Slots {
+pub struct ConnectionSlots {
     taken: Arc<AtomicUsize>,
     wanted: watch::Sender<()>,
 }
 
-impl Default for Slots {
-    fn default() -> Slots {
-        Slots {
+impl Default for ConnectionSlots {
+    fn default() -> ConnectionSlots {
+        ConnectionSlots {
             taken: Arc::default(),
             wanted: watch::Sender::new(()),
         }
@@ -24,30 +24,30 @@
 
 /// One connection's slot; given back when it is dropped.
 #[derive(Debug)]
-pub struct Slot(Arc<AtomicUsize>);
+pub struct ConnectionSlot(Arc<AtomicUsize>);
 
-impl Slots {
+impl ConnectionSlots {
     /// A slot, where fewer than so many are taken.
-    pub fn take(&self, most: usize) -> Option<Slot> {
+    pub fn try_acquire(&self, most: usize) -> Option<ConnectionSlot> {
         let more = |taken: usize| (taken < most).then_some(taken + 1);
         let taken = self
             .taken
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
-        taken.ok().map(|_| Slot(self.taken.clone()))
+        taken.ok().map(|_| ConnectionSlot(self.taken.clone()))
     }
 
     /// An engine has no connection at all and found no slot: all that keep an idle one hear of it.
-    pub fn want(&self) {
+    pub fn signal_shortage(&self) {
         self.wanted.send_replace(());
     }
 
     /// Hears when a slot is wanted.
-    pub fn wanted(&self) -> watch::Receiver<()> {
+    pub fn subscribe_shortage(&self) -> watch::Receiver<()> {
         self.wanted.subscribe()
     }
 }
 
-impl Drop for Slot {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -2,10 +2,10 @@
 //!
 //! An attempt is polled with PollFlightInfo, which tells its progress, until the engine has it ready, or,
 //! where the engine does not poll, asked for with GetFlightInfo; then its ticket is redeemed with DoGet.
-//! That it never ran is believed only of an error that says so in [`NOT_RUN`].
+//! That it never ran is believed only of an error that says so in [`NOT_RUN_METADATA`].
 
-use crate::Wires;
-use crate::slots::Slot;
+use crate::NetworkTransport;
+use crate::connection_slots::ConnectionSlot;
 use arrow_flight::decode::FlightRecordBatchStream;
 use arrow_flight::flight_service_client::FlightServiceClient;
 use arrow_flight::sql::{CommandStatementQuery, ProstMessageExt};
@@ -27,14 +27,14 @@
 use tonic::{Code, Request, Status};
 
 /// Metadata of an error: what was asked never ran.
-pub const NOT_RUN: &str = "sedgebeam-not-run";
+pub const NOT_RUN_METADATA: &str = "sedgebeam-not-run";
 /// Metadata of a result: the work that it took, in milliseconds.
-pub const WORK: &str = "sedgebeam-work";
+pub const WORK_MS_METADATA: &str = "sedgebeam-work";
 /// Actions of an engine beyond the standard ones: a new priority, a load report, and the end of what
 /// has no flight info yet that CancelFlightInfo could name.
-pub const ABORT: &str = "sedgebeam.abort";
-pub const RENICE: &str = "sedgebeam.renice";
-pub const STATS: &str = "sedgebeam.stats";
+pub const ABORT_ACTION: &str = "sedgebeam.abort";
+pub const REPRIORITIZE_ACTION: &str = "sedgebeam.renice";
+pub const LOAD_REPORT_ACTION: &str = "sedgebeam.stats";
 
 /// Time between polls: short at first, as most queries are.
 const FIRST_POLL: Duration = Duration::from_millis(10);
@@ -55,7 +55,7 @@
 
 /// A connection, and how many attempts it carries.
 struct Lane {
-    _slot: Slot,
+    _slot: ConnectionSlot,
     opening: Opening,
     out: usize,
     used: Instant,
@@ -79,7 +79,7 @@
 
 struct Actor {
     endpoint: String,
-    wires: Wires,
+    transport: NetworkTransport,
     reports: Reports,
     over: mpsc::Sender<Over>,
     lanes: HashMap<u64, Lane>,
@@ -90,21 +90,21 @@
 /// Runs until its mailbox is closed.
 pub async fn run(
     endpoint: String,
-    wires: Wires,
+    transport: NetworkTransport,
     mut mailbox: mpsc::Receiver<ToEngine>,
     reports: Reports,
 ) {
     let (over, mut incoming) = mpsc::channel(EVENTS);
     let mut actor = Actor {
         endpoint,
-        wires,
+        transport,
         reports,
         over,
         lanes: HashMap::new(),
         next_lane: 0,
         running: HashMap::new(),
     };
-    let mut wanted = actor.wires.slots.wanted();
+    let mut wanted = actor.transport.slots.subscribe_shortage();
     loop {
         tokio::select! {
             message = mailbox.recv() => match message {
@@ -119,7 +119,7 @@
 
 impl Actor {
     fn settings(&self) -> Connections {
-        *self.wires.connections.borrow()
+        *self.transport.connections.borrow()
     }
 
     async fn take(&mut self, message: ToEngine) {
@@ -196,8 +196,8 @@
         if self.lanes.len() >= self.settings().most {
             return None;
         }
-        let Some(slot) = self.wires.slots.take(self.settings().in_all) else {
-            self.wires.slots.want();
+        let Some(slot) = self.transport.slots.try_acquire(self.settings().in_all) else {
+            self.transport.slots.signal_shortage();
             return None;
         };
         self.next_lane += 1;
@@ -239,7 +239,7 @@
             attempt,
             endpoint: self.endpoint.clone(),
             reports: self.reports.clone(),
-            figures: self.wires.figures.clone(),
+            metrics: self.transport.metrics.clone(),
         };
         let (over, died) = (self.over.clone(), self.over.clone());
         let (reports, given_up) = (self.reports.clone(), self.reports.clone());
@@ -287,7 +287,7 @@
         let Some(channel) = lane.and_then(|lane| lane.opening.peek().cloned().flatten()) else {
             return;
         };
-        let action = Action::new(RENICE, format!("{:016x} {rank}", id.0));
+        let action = Action::new(REPRIORITIZE_ACTION, format!("{:016x} {rank}", id.0));
         tokio::spawn(async move {
             // An engine that knows no priorities says so; nothing depends on it.
             let _ = client(channel).do_action(action).await;
@@ -303,10 +303,10 @@
         drop(up);
         let (endpoint, reports) = (self.endpoint.clone(), self.reports.clone());
         let limit = duration(self.settings().connect_timeout);
-        let (slots, in_all) = (self.wires.slots.clone(), self.settings().in_all);
+        let (slots, in_all) = (self.transport.slots.clone(), self.settings().in_all);
         tokio::spawn(async move {
             // Only a connection of its own takes a slot, for as long as the probe lasts.
-            let slot = channel.is_none().then(|| slots.take(in_all));
+            let slot = channel.is_none().then(|| slots.try_acquire(in_all));
             let channel = match slot {
                 Some(Some(_)) => open(endpoint, limit).await,
                 _ => channel,
@@ -344,7 +344,9 @@
 
 async fn stats(channel: Channel, limit: Duration) -> Probe {
     let asked = async {
-        let mut results = client(channel).do_action(Action::new(STATS, "")).await?;
+        let mut results = client(channel)
+            .do_action(Action::new(LOAD_REPORT_ACTION, ""))
+            .await?;
         results.get_mut().message().await
     };
     match timeout(limit, asked).await {
@@ -369,7 +371,7 @@
 
 /// What an error says of an attempt.
 fn end(status: &Status) -> End {
-    let not_run = status.metadata().contains_key(NOT_RUN);
+    let not_run = status.metadata().contains_key(NOT_RUN_METADATA);
     match status.code() {
         // The connection had broken before, and no new one could be made.
         Code::Unavailable if never_connected(status) => End::ConnectFailed,
@@ -391,7 +393,7 @@
     attempt: Attempt,
     endpoint: String,
     reports: Reports,
-    figures: Figures,
+    metrics: Figures,
 }
 
 impl Task {
@@ -409,7 +411,7 @@
         }
         match self.result(client(channel)).await {
             Ok((stream, work)) => {
-                self.figures.forwarded(1);
+                self.metrics.forwarded(1);
                 self.pages(stream, work, asked).await;
                 false
             }
@@ -418,7 +420,7 @@
                 let end = end(&status);
                 let broken = matches!(end, End::Reset | End::ConnectFailed);
                 if end != End::ConnectFailed {
-                    self.figures.forwarded(1);
+                    self.metrics.forwarded(1);
                 }
                 self.reports.ended(id, number, end).await;
                 broken
@@ -464,7 +466,7 @@
         let info = self.info(&mut client, descriptor).await?;
         let mut guard = Guard(Some((client.clone(), cancel(info.clone()))));
         let answer = client.do_get(self.request(ticket(info)?)).await?;
-        let work = answer.metadata().get(WORK);
+        let work = answer.metadata().get(WORK_MS_METADATA);
         let work = work.and_then(|work| work.to_str().ok()?.parse::<f64>().ok());
         let data = answer.into_inner().map_err(Into::into);
         let stream = FlightRecordBatchStream::new_from_flight_data(data);
@@ -482,7 +484,7 @@
         let missing = || Status::internal("an answer without flight info");
         let (mut next, mut pause) = (descriptor.clone(), FIRST_POLL);
         // From the first poll on the engine may run it, before any answer tells how to cancel it.
-        let abort = || Action::new(ABORT, format!("{:016x}", self.attempt.request.0));
+        let abort = || Action::new(ABORT_ACTION, format!("{:016x}", self.attempt.request.0));
         let mut guard = Guard(Some((client.clone(), abort())));
         loop {
             let poll = match client.poll_flight_info(self.request(next)).await {
--- a/engines/src/flight/tests.rs
+++ b/engines/src/flight/tests.rs
@@ -24,7 +24,7 @@
         attempt,
         endpoint: String::new(),
         reports: Reports::new(EngineId(1), broker),
-        figures: Figures::default(),
+        metrics: Figures::default(),
     };
     task.request(()).metadata().clone()
 }
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -1,10 +1,10 @@
 //! Ledger engines: one actor each behind one message type, whatever its wire.
 
+mod connection_slots;
 pub mod flight;
 pub mod resp;
-mod slots;
 
-pub use slots::Slots;
+pub use connection_slots::ConnectionSlots;
 
 use sedgebeam_operation::Figures;
 use sedgebeam_port::{EngineBox, Engines, Reports, Target, supervise};
@@ -19,16 +19,16 @@
 
 /// Engines over the network.
 #[derive(Clone)]
-pub struct Wires {
+pub struct NetworkTransport {
     /// They may change while engines are served.
     pub connections: watch::Receiver<Connections>,
     /// Attempts are counted there once they are written.
-    pub figures: Figures,
+    pub metrics: Figures,
     /// Connections to all engines take one each.
-    pub slots: Slots,
+    pub slots: ConnectionSlots,
 }
 
-impl Engines for Wires {
+impl Engines for NetworkTransport {
     fn start(&self, target: &Target, reports: Reports) -> EngineBox {
         let (mailbox, incoming) = mpsc::channel(MAILBOX);
         let (name, endpoint) = (format!("engine {}", target.uid), target.endpoint.clone());
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -2,7 +2,7 @@
 
 use super::codec::{Command, Reply, Resp};
 use super::outgoing::{Named, Outgoing, Written};
-use crate::slots::Slot;
+use crate::connection_slots::ConnectionSlot;
 use futures::StreamExt;
 use sedgebeam_core::RequestId;
 use sedgebeam_fleet::reconnect::Connect;
@@ -65,7 +65,7 @@
 }
 
 impl Connection {
-    pub fn open(link: Link, slot: Slot, connect: Connect) -> Connection {
+    pub fn open(link: Link, slot: ConnectionSlot, connect: Connect) -> Connection {
         let (mailbox, commands) = mpsc::channel(MAILBOX);
         let (kept, dropped) = oneshot::channel();
         let (number, dead) = (link.number, link.came.clone());
@@ -129,7 +129,7 @@
     /// It is up within this time, or never.
     pub limit: Duration,
     pub came: mpsc::Sender<(Number, Came)>,
-    pub figures: Figures,
+    pub metrics: Figures,
 }
 
 fn fetched(command: &Command) -> Option<RequestId> {
@@ -144,7 +144,7 @@
         self,
         mut commands: mpsc::Receiver<Command>,
         dropped: oneshot::Receiver<()>,
-        slot: Slot,
+        slot: ConnectionSlot,
     ) {
         let mut outgoing = Outgoing::default();
         let ended = tokio::select! {
@@ -238,7 +238,7 @@
             for named in withdrawn {
                 self.tell(Came::Withdrawn(named)).await;
             }
-            self.figures.forwarded(written.begun);
+            self.metrics.forwarded(written.begun);
             for id in written.aborted {
                 self.tell(Came::Aborted(id)).await;
             }
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -9,7 +9,7 @@
 mod connection;
 mod outgoing;
 
-use crate::Wires;
+use crate::NetworkTransport;
 use bytes::{Bytes, BytesMut};
 use codec::{About, Command, Reply, Word};
 use connection::{Came, Connection, Link, Number};
@@ -99,7 +99,7 @@
 
 struct Actor {
     endpoint: String,
-    wires: Wires,
+    transport: NetworkTransport,
     reports: Reports,
     came: mpsc::Sender<(Number, Came)>,
     connections: HashMap<Number, Connection>,
@@ -118,14 +118,17 @@
 /// Runs until its mailbox is closed and nothing of it is out. Its own mailbox goes into the report that it rests.
 pub async fn run(
     endpoint: String,
-    wires: Wires,
+    transport: NetworkTransport,
     own: mpsc::WeakSender<ToEngine>,
     mut mailbox: mpsc::Receiver<ToEngine>,
     reports: Reports,
 ) {
     let (came, mut incoming) = mpsc::channel(MAILBOX);
-    let (mut limits, mut wanted) = (wires.connections.clone(), wires.slots.wanted());
-    let mut actor = Actor::new(endpoint, wires, reports, came);
+    let (mut limits, mut wanted) = (
+        transport.connections.clone(),
+        transport.slots.subscribe_shortage(),
+    );
+    let mut actor = Actor::new(endpoint, transport, reports, came);
     let mut reported = 0;
     loop {
         if actor.rests() && actor.taken != reported {
@@ -158,7 +161,7 @@
 impl Actor {
     fn new(
         endpoint: String,
-        wires: Wires,
+        transport: NetworkTransport,
         reports: Reports,
         came: mpsc::Sender<(Number, Came)>,
     ) -> Actor {
@@ -166,7 +169,7 @@
         let seed = RandomState::new().hash_one(&endpoint);
         Actor {
             endpoint,
-            wires,
+            transport,
             reports,
             came,
             connections: HashMap::new(),
@@ -231,7 +234,7 @@
     }
 
     fn settings(&self) -> Connections {
-        *self.wires.connections.borrow()
+        *self.transport.connections.borrow()
     }
 
     async fn take(&mut self, message: ToEngine) {
@@ -389,9 +392,9 @@
         if self.connections.len() >= settings.most {
             return None;
         }
-        let Some(slot) = self.wires.slots.take(settings.in_all) else {
+        let Some(slot) = self.transport.slots.try_acquire(settings.in_all) else {
             if needed {
-                self.wires.slots.want();
+                self.transport.slots.signal_shortage();
             }
             return None;
         };
@@ -402,7 +405,7 @@
             endpoint: self.endpoint.clone(),
             limit: duration(settings.connect_timeout),
             came: self.came.clone(),
-            figures: self.wires.figures.clone(),
+            metrics: self.transport.metrics.clone(),
         };
         let connect = self.backoff.begin(self.now());
         let connection = Connection::open(link, slot, connect);
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -1,7 +1,7 @@
 //! The actor of an engine, before stand-in engines on loopback sockets.
 
 use super::*;
-use crate::Slots;
+use crate::ConnectionSlots;
 use sedgebeam_core::EngineId;
 use sedgebeam_operation::Figures;
 use sedgebeam_port::{EngineBox, ToBroker};
@@ -195,16 +195,16 @@
     }
 
     fn start_at(engine: SocketAddr, connections: Connections) -> Dispatcher {
-        let wires = Wires {
+        let transport = NetworkTransport {
             connections: watch::channel(connections).1,
-            figures: Figures::default(),
-            slots: Slots::default(),
+            metrics: Figures::default(),
+            slots: ConnectionSlots::default(),
         };
         let (mailbox, incoming) = mpsc::channel(1024);
         let (broker, told) = mpsc::channel(1024);
         let reports = Reports::new(EngineId(1), broker);
         let own = mailbox.downgrade();
-        tokio::spawn(run(engine.to_string(), wires, own, incoming, reports));
+        tokio::spawn(run(engine.to_string(), transport, own, incoming, reports));
         Dispatcher {
             mailbox,
             told,
@@ -599,15 +599,15 @@
         idle: Micros::from_millis(30_000),
         max_open: 10,
     };
-    let wires = Wires {
+    let transport = NetworkTransport {
         connections: watch::channel(connections).1,
-        figures: Figures::default(),
-        slots: Slots::default(),
+        metrics: Figures::default(),
+        slots: ConnectionSlots::default(),
     };
     let (broker, _told) = mpsc::channel(4);
     let (came, _coming) = mpsc::channel(4);
     let reports = Reports::new(EngineId(1), broker);
-    let mut actor = Actor::new("127.0.0.1:1".to_string(), wires, reports, came);
+    let mut actor = Actor::new("127.0.0.1:1".to_string(), transport, reports, came);
     assert_eq!(actor.looks_at(), None);
     actor.probe().await;
     let probed = actor.looks_at().expect("a probe may be overdue");
