--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/beside.rs
@@ -8,7 +8,7 @@
 
 use folder::unix_now;
 use sedgebeam_core::{Held, Micros, Tenant};
-use sedgebeam_fronts::places::Places;
+use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_handover::{Freshness, Life, Pair, Phase, Share, Stated};
 use sedgebeam_operation::Orders;
 use sedgebeam_port::clock::Clock;
@@ -109,7 +109,7 @@
 pub struct Own {
     pub clock: Clock,
     pub desk: Desk,
-    pub places: Places,
+    pub places: SessionSlots,
     pub orders: watch::Receiver<Orders>,
     /// The change log's number.
     pub reached: watch::Receiver<crate::roster::Reached>,
@@ -149,7 +149,7 @@
                 phase: self.phase(),
                 seq,
                 targets,
-                sessions: self.places.taken(),
+                sessions: self.places.in_use(),
                 drained,
                 tenants,
                 file,
--- a/dispatcher/src/duty.rs
+++ b/dispatcher/src/duty.rs
@@ -1,6 +1,6 @@
 //! The drain's state where all parts of the program see it: changed by calls and signals, and by time.
 
-use sedgebeam_fronts::leave::Staying;
+use sedgebeam_fronts::connection_drain::DrainWatcher;
 use sedgebeam_operation::{Drain, Orders};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -61,8 +61,8 @@
         self.shared.orders.subscribe()
     }
 
-    pub fn staying(&self) -> Staying {
-        Staying::new(self.subscribe(), self.shared.began)
+    pub fn staying(&self) -> DrainWatcher {
+        DrainWatcher::new(self.subscribe(), self.shared.began)
     }
 
     /// Tells of what changes with time, for ever.
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::reload::Source;
 use crate::roster::Reached;
 use limits::SharedLimits;
-use sedgebeam_fronts::places::Places;
+use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_handover::Share;
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::Clock;
@@ -74,7 +74,7 @@
     let seq = program.restore_list(handed).await?;
     let (changelog, reached) = program.follow_changelog(seq);
     let file_in_use = program.heed_reloads(source, hangup, changelog, whole);
-    let places = Places::new(program.config.descriptors.sessions);
+    let places = SessionSlots::new(program.config.descriptors.sessions);
     let (others_told, others) = watch::channel(Others::NONE);
     let limits = SharedLimits {
         sessions: program.config.descriptors.sessions,
@@ -107,7 +107,7 @@
     /// Opens all fronts and returns what it takes to end. From then on sessions alone hold the program.
     async fn take_clients(
         self,
-        places: Places,
+        places: SessionSlots,
         reached: watch::Receiver<Reached>,
         all_ended: mpsc::Receiver<()>,
     ) -> io::Result<Shutdown> {
--- a/dispatcher/src/serve/flight.rs
+++ b/dispatcher/src/serve/flight.rs
@@ -25,9 +25,9 @@
     alive: &mpsc::Sender<()>,
     most: usize,
 ) {
-    let accepted = incoming::accepted(listener, most);
+    let accepted = incoming::accept_connections(listener, most);
     if !crew.is_several() {
-        let placed = incoming::placed(accepted);
+        let placed = incoming::local_connections(accepted);
         let serving = serve_connections(placed, front.clone(), end.subscribe(), alive.clone());
         supervise::vital("the Flight SQL front", serving);
         return;
@@ -35,7 +35,7 @@
     let mut workers = Vec::new();
     for worker in crew.workers() {
         let (hand_over, taken) = mpsc::channel(most);
-        let taken = incoming::taken_over(taken);
+        let taken = incoming::transferred_connections(taken);
         let serving = serve_connections(taken, front.clone(), end.subscribe(), alive.clone());
         worker.watch("the Flight SQL front of a worker", serving);
         workers.push(hand_over);
@@ -46,9 +46,9 @@
 
 /// Hands connections over to the workers until the end.
 async fn spread(
-    accepted: impl Stream<Item = incoming::Accepted>,
+    accepted: impl Stream<Item = incoming::AcceptedConnection>,
     crew: Arc<Crew>,
-    workers: Vec<mpsc::Sender<incoming::HandedOver>>,
+    workers: Vec<mpsc::Sender<incoming::TransferredConnection>>,
     mut end: watch::Receiver<bool>,
 ) {
     let mut accepted = std::pin::pin!(accepted);
@@ -59,7 +59,7 @@
         };
         let Some(connection) = next else { return };
         let (place, _) = crew.place();
-        let handed = match incoming::HandedOver::new(connection) {
+        let handed = match incoming::TransferredConnection::new(connection) {
             Ok(handed) => workers[place].try_send(handed).map_err(io::Error::other),
             Err(error) => Err(error),
         };
@@ -71,7 +71,7 @@
 
 /// Serves these connections until the end; counts as a session until then.
 async fn serve_connections(
-    connections: impl Stream<Item = io::Result<incoming::Placed>> + Send + 'static,
+    connections: impl Stream<Item = io::Result<incoming::FlightConnection>> + Send + 'static,
     front: flight::Front,
     mut end: watch::Receiver<bool>,
     alive: mpsc::Sender<()>,
--- a/dispatcher/src/serve/limits.rs
+++ b/dispatcher/src/serve/limits.rs
@@ -1,7 +1,7 @@
 //! What two processes of one dispatcher share, as during an upgrade: connections to engines and sessions.
 
 use crate::beside::Others;
-use sedgebeam_fronts::places::Places;
+use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_settings::Connections;
 use tokio::sync::watch;
 
@@ -11,7 +11,7 @@
 /// The limits of one dispatcher, and where this process's share of them is told.
 pub(super) struct SharedLimits {
     pub sessions: usize,
-    pub places: Places,
+    pub places: SessionSlots,
     pub whole: watch::Receiver<Connections>,
     pub divided: watch::Sender<Connections>,
 }
@@ -31,7 +31,7 @@
             });
             let left = self.sessions.saturating_sub(beside.sessions);
             self.places
-                .limit(left.max(self.sessions / LEAST_SESSIONS_DIVISOR));
+                .set_max_sessions(left.max(self.sessions / LEAST_SESSIONS_DIVISOR));
             let changed = tokio::select! {
                 changed = self.whole.changed() => changed,
                 // Where nobody looks for others there are none.
--- a/dispatcher/src/serve/listeners.rs
+++ b/dispatcher/src/serve/listeners.rs
@@ -5,8 +5,8 @@
 use super::sessions::Sessions;
 use crate::{admin, passed};
 use futures::future::BoxFuture;
-use sedgebeam_fronts::places::Places;
-use sedgebeam_fronts::{Shared, flight, pg};
+use sedgebeam_fronts::session_slots::SessionSlots;
+use sedgebeam_fronts::{FrontContext, flight, pg};
 use sedgebeam_port::supervise;
 use sedgebeam_sockets::listen;
 use std::io;
@@ -55,8 +55,8 @@
     }
 
     fn open_flight(&self, address: SocketAddr) -> Opening {
-        let shared = Shared {
-            desk: self.crew.desk.clone(),
+        let shared = FrontContext {
+            router: self.crew.desk.clone(),
         };
         let front = flight::Front::new(shared, self.config.seed);
         let (crew, end, alive) = (self.crew.clone(), self.end.clone(), self.alive.downgrade());
@@ -89,7 +89,7 @@
     /// Accepts clients of the PostgreSQL protocol, as the drain allows; where, too.
     pub(super) async fn accept_sessions(
         &self,
-        places: Places,
+        places: SessionSlots,
     ) -> io::Result<(JoinHandle<Option<()>>, SocketAddr)> {
         let config = &self.config;
         let listener = match config.passed {
@@ -98,15 +98,15 @@
         };
         let address = listener.local_addr()?;
         let began = self.clock.micros(Instant::now());
-        let shared = Shared {
-            desk: self.crew.desk.clone(),
+        let shared = FrontContext {
+            router: self.crew.desk.clone(),
         };
         let sessions = Sessions {
             crew: self.crew.clone(),
-            serving: pg::Serving {
-                shared,
-                longest: config.message,
-                farewells: self.farewells.clone(),
+            serving: pg::SessionContext {
+                front_context: shared,
+                max_message_bytes: config.message,
+                lingering_closes: self.farewells.clone(),
             },
             staying: self.duty.staying(),
             alive: self.alive.clone(),
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -2,9 +2,9 @@
 
 use crate::crew::Crew;
 use futures::FutureExt;
-use sedgebeam_fronts::leave::Staying;
+use sedgebeam_fronts::connection_drain::DrainWatcher;
 use sedgebeam_fronts::pg;
-use sedgebeam_fronts::places::Places;
+use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_operation::{Newcomers, Orders};
 use sedgebeam_port::{SessionKey, supervise};
 use sedgebeam_sockets::without_delay;
@@ -25,10 +25,10 @@
 /// Accepts sessions and gives each to a worker.
 pub(super) struct Sessions {
     pub crew: Arc<Crew>,
-    pub serving: pg::Serving,
-    pub staying: Staying,
+    pub serving: pg::SessionContext,
+    pub staying: DrainWatcher,
     pub alive: mpsc::Sender<()>,
-    pub places: Places,
+    pub places: SessionSlots,
     /// The key of the last session; each next one is mixed from it.
     pub last_key: u64,
 }
@@ -64,7 +64,7 @@
             };
             match accepted {
                 Ok((stream, _)) if newcomers == Newcomers::TurnedAway => {
-                    self.turn_away(stream, pg::Away::Draining);
+                    self.turn_away(stream, pg::RejectReason::Draining);
                     yield_now().await;
                 }
                 Ok((stream, _)) => self.start(stream).await,
@@ -83,7 +83,7 @@
             // What the system has told of by now.
             yield_now().await;
             match listener.accept().now_or_never() {
-                Some(Ok((stream, _))) => self.turn_away(stream, pg::Away::Draining),
+                Some(Ok((stream, _))) => self.turn_away(stream, pg::RejectReason::Draining),
                 Some(Err(error)) => {
                     log::warn!("accepting: {error}");
                     failures += 1;
@@ -95,9 +95,9 @@
     }
 
     /// Refuses a connection with a word.
-    fn turn_away(&self, stream: TcpStream, why: pg::Away) {
+    fn turn_away(&self, stream: TcpStream, why: pg::RejectReason) {
         let serving = self.serving.clone();
-        let refusal = async move { pg::turn_away(stream, &serving, why).await };
+        let refusal = async move { pg::reject_connection(stream, &serving, why).await };
         supervise::watch("a refusal".to_string(), refusal, || {});
     }
 
@@ -108,9 +108,9 @@
 
     /// Starts a session on a worker, if it gets a place.
     async fn start(&mut self, stream: TcpStream) {
-        let Some((place, gave_way)) = self.places.take() else {
+        let Some((place, gave_way)) = self.places.acquire() else {
             log::debug!("all sessions are busy: a connection is turned away");
-            self.turn_away(stream, pg::Away::NoPlace);
+            self.turn_away(stream, pg::RejectReason::NoFreeSlot);
             // Where it can't stay, its descriptor is free before the next one is accepted.
             yield_now().await;
             return;
@@ -123,7 +123,7 @@
         let (serving, key) = (self.serving.clone(), self.next_key());
         let leave = self
             .staying
-            .newcomer(sedgebeam_core::mix(key.0) as f64 / u64::MAX as f64);
+            .new_connection(sedgebeam_core::mix(key.0) as f64 / u64::MAX as f64);
         let alive = self.alive.clone();
         let several = self.crew.is_several();
         let (_, worker) = self.crew.place();
--- a/dispatcher/tests/beside.rs
+++ b/dispatcher/tests/beside.rs
@@ -3,7 +3,7 @@
 
 use sedgebeam::beside::{Member, Others, Own, Place, keep};
 use sedgebeam::roster::Reached;
-use sedgebeam_fronts::places::Places;
+use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_operation::{Drain, Figures, Orders};
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{Desk, ToBroker};
@@ -72,7 +72,7 @@
         let own = Own {
             clock: Clock::start(),
             desk,
-            places: Places::new(1),
+            places: SessionSlots::new(1),
             orders,
             reached,
             file,
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -3,9 +3,9 @@
 
 use crate::pg_client::{query, startup, statement};
 use sedgebeam_core::{ClassId, GroupId, Micros, RequestId};
-use sedgebeam_fronts::leave::Staying;
-use sedgebeam_fronts::places::{Places, Standing};
-use sedgebeam_fronts::{Shared, pg};
+use sedgebeam_fronts::connection_drain::DrainWatcher;
+use sedgebeam_fronts::session_slots::{SessionSlots, SessionState};
+use sedgebeam_fronts::{FrontContext, pg};
 use sedgebeam_operation::{Drain, Figures, Orders};
 use sedgebeam_port::{Answer, Desk, NewRequest, SessionKey, ToBroker};
 use sedgebeam_retune::Tuning;
@@ -22,9 +22,9 @@
 const HANGS: Duration = Duration::from_secs(60);
 
 struct Front {
-    serving: pg::Serving,
+    serving: pg::SessionContext,
     broker: mpsc::Receiver<ToBroker>,
-    places: Places,
+    places: SessionSlots,
     orders: watch::Sender<Orders>,
 }
 
@@ -41,13 +41,13 @@
     let mut drain = Drain::new(false);
     drain.prepared();
     let mut front = Front {
-        serving: pg::Serving {
-            shared: Shared { desk },
-            longest: 16 * 1024,
-            farewells: Arc::new(Semaphore::new(4)),
+        serving: pg::SessionContext {
+            front_context: FrontContext { router: desk },
+            max_message_bytes: 16 * 1024,
+            lingering_closes: Arc::new(Semaphore::new(4)),
         },
         broker,
-        places: Places::new(places),
+        places: SessionSlots::new(places),
         orders: watch::channel(drain.orders(Duration::ZERO)).0,
     };
     // The settings and the list.
@@ -61,8 +61,8 @@
     /// Serves a connection on which the client has said this, once all of it is there to be read.
     async fn serve(&self, said: &[u8]) -> TcpStream {
         let (client, server) = pair(said).await;
-        let (place, _) = self.places.take().expect("a place");
-        let leave = Staying::new(self.orders.subscribe(), Instant::now()).newcomer(0.5);
+        let (place, _) = self.places.acquire().expect("a place");
+        let leave = DrainWatcher::new(self.orders.subscribe(), Instant::now()).new_connection(0.5);
         let serving = self.serving.clone();
         tokio::spawn(pg::serve(server, serving, SessionKey(7), leave, place));
         client
@@ -110,8 +110,8 @@
         said.extend(query(&statement("lookup 1")));
         let client = front.serve(&said).await;
         // Before the session's task has run at all.
-        let (newcomer, gave_way) = front.places.take().expect("the stranger gives way");
-        assert!(gave_way && newcomer.stand(Standing::Busy));
+        let (newcomer, gave_way) = front.places.acquire().expect("the stranger gives way");
+        assert!(gave_way && newcomer.set_state(SessionState::Busy));
         let heard = heard(client).await;
         assert!(heard.contains("53300"), "{heard}");
         assert!(front.broker.try_recv().is_err(), "it was sent on");
@@ -123,11 +123,11 @@
 fn a_query_that_crosses_the_loss_of_its_place_is_refused_though_nobody_may_stay_to_hear_it() {
     inside(|| async {
         let mut front = front(1).await;
-        front.serving.farewells = Arc::new(Semaphore::new(0));
+        front.serving.lingering_closes = Arc::new(Semaphore::new(0));
         let mut said = startup();
         said.extend(query(&statement("lookup 1")));
         let client = front.serve(&said).await;
-        assert!(front.places.take().expect("the stranger gives way").1);
+        assert!(front.places.acquire().expect("the stranger gives way").1);
         let heard = heard(client).await;
         assert!(heard.contains("53300"), "{heard}");
         assert!(front.broker.try_recv().is_err(), "it was sent on");
@@ -142,8 +142,8 @@
         let mut client = front.serve(&startup()).await;
         let mut welcome = [0; 1024];
         assert!(client.read(&mut welcome).await.expect("reads") > 0);
-        let (newcomer, _) = front.places.take().expect("the stranger gives way");
-        assert!(newcomer.stand(Standing::Busy));
+        let (newcomer, _) = front.places.acquire().expect("the stranger gives way");
+        assert!(newcomer.set_state(SessionState::Busy));
         let heard = heard(client).await;
         assert!(heard.contains("53300"), "{heard}");
     });
@@ -176,11 +176,11 @@
 fn a_newcomer_is_refused_in_order_though_nobody_may_stay_to_hear_it() {
     inside(|| async {
         let mut front = front(1).await;
-        front.serving.farewells = Arc::new(Semaphore::new(0));
+        front.serving.lingering_closes = Arc::new(Semaphore::new(0));
         let mut said = startup();
         said.extend(query(&statement("lookup 1")));
         let (client, server) = pair(&said).await;
-        pg::turn_away(server, &front.serving, pg::Away::NoPlace).await;
+        pg::reject_connection(server, &front.serving, pg::RejectReason::NoFreeSlot).await;
         let heard = heard(client).await;
         assert!(heard.contains("53300"), "{heard}");
     });
@@ -191,7 +191,7 @@
     inside(|| async {
         let mut front = front(1).await;
         let cancelled = CancellationToken::new();
-        let desk = front.serving.shared.desk.clone();
+        let desk = front.serving.front_context.router.clone();
         let request = NewRequest {
             id: RequestId(5),
             class: ClassId(1),
@@ -213,7 +213,7 @@
         };
         let said = sedgebeam_lab::wire::cancel(&7u64.to_be_bytes());
         let (client, server) = pair(&said).await;
-        let away = pg::turn_away(server, &front.serving, pg::Away::NoPlace);
+        let away = pg::reject_connection(server, &front.serving, pg::RejectReason::NoFreeSlot);
         let (_, heard) = tokio::join!(away, heard(client));
         assert!(heard.contains("53300"), "{heard}");
         // Nothing is sent from then on, before the broker has heard of it.
--- a/fronts/src/leave.rs
+++ b/fronts/src/connection_drain.rs
@@ -8,20 +8,20 @@
 
 /// What the drain orders, for all connections.
 #[derive(Clone)]
-pub struct Staying {
+pub struct DrainWatcher {
     orders: watch::Receiver<Orders>,
     /// The moment since which the drain counts time.
     began: Instant,
 }
 
-impl Staying {
-    pub fn new(orders: watch::Receiver<Orders>, began: Instant) -> Staying {
-        Staying { orders, began }
+impl DrainWatcher {
+    pub fn new(orders: watch::Receiver<Orders>, began: Instant) -> DrainWatcher {
+        DrainWatcher { orders, began }
     }
 
     /// For a connection that comes now; its draw, from 0 to 1, sets it apart from the others.
-    pub fn newcomer(&self, draw: f64) -> Leave {
-        Leave {
+    pub fn new_connection(&self, draw: f64) -> ConnectionDrain {
+        ConnectionDrain {
             orders: self.orders.clone(),
             began: self.began,
             came: self.began.elapsed(),
@@ -31,26 +31,26 @@
 }
 
 /// The same for one connection.
-pub struct Leave {
+pub struct ConnectionDrain {
     orders: watch::Receiver<Orders>,
     began: Instant,
     came: Duration,
     draw: f64,
 }
 
-impl Leave {
+impl ConnectionDrain {
     /// Whether the dispatcher takes work.
-    pub fn ready(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.orders.borrow().ready
     }
 
     /// Whether it goes now that it has answered.
-    pub fn after_answer(&self) -> bool {
+    pub fn closes_after_answer(&self) -> bool {
         self.orders.borrow().kept != Kept::Stay
     }
 
     /// Becomes ready when it goes, idle as it is.
-    pub async fn when_idle(&mut self) {
+    pub async fn wait_for_idle_close(&mut self) {
         loop {
             let kept = self.orders.borrow_and_update().kept;
             let at = match kept {
--- a/fronts/src/flight.rs
+++ b/fronts/src/flight.rs
@@ -4,7 +4,7 @@
 //! in a comment ahead of the statement, as on the other front, or else in the call's metadata.
 
 use super::advice::RetryAdvice;
-use super::{Shared, reason, statement};
+use super::{FrontContext, failure_message, statement};
 use arrow_array::RecordBatch;
 use arrow_flight::encode::FlightDataEncoderBuilder;
 use arrow_flight::error::FlightError;
@@ -69,13 +69,13 @@
 
 #[derive(Clone)]
 pub struct Front {
-    shared: Shared,
+    shared: FrontContext,
     tickets: Arc<Mutex<Tickets>>,
 }
 
 impl Front {
     /// One front, of which each worker serves a clone: a ticket is good at all of them.
-    pub fn new(shared: Shared, seed: u64) -> Front {
+    pub fn new(shared: FrontContext, seed: u64) -> Front {
         let tickets = Tickets {
             next: seed,
             ..Tickets::default()
@@ -130,7 +130,7 @@
         Failure::Duplicate => Code::AlreadyExists,
         Failure::Tenant => Code::InvalidArgument,
     };
-    Status::new(code, reason(failure))
+    Status::new(code, failure_message(failure))
 }
 
 impl Front {
@@ -143,16 +143,16 @@
     fn read(&self, query: String, metadata: &MetadataMap) -> Result<NewRequest, Status> {
         let came = Instant::now();
         let text = Bytes::from(query);
-        let tuning = self.shared.desk.tuning();
+        let tuning = self.shared.router.tuning();
         let names = &tuning.names;
         let told = std::str::from_utf8(&text).is_ok_and(statement::has_fields);
         let request = if told {
-            statement::read(&text, came, names, None)
+            statement::parse(&text, came, names, None)
         } else {
             let field = |name: &str| metadata.get(format!("{PREFIX}{name}"))?.to_str().ok();
-            statement::build(field, text.clone(), came, names, None)
+            statement::build_request(field, text.clone(), came, names, None)
         };
-        let mut request = request.map_err(|statement::Unusable(why)| invalid(why))?;
+        let mut request = request.map_err(|statement::InvalidStatement(why)| invalid(why))?;
         if let Some(limit) = call_timeout(metadata) {
             request.deadline = request.deadline.min(came + limit);
         }
@@ -166,7 +166,7 @@
             tickets.forget_old(Instant::now());
         }
         if tickets.held.len() >= MOST_TICKETS {
-            let tuning = self.shared.desk.tuning();
+            let tuning = self.shared.router.tuning();
             return Err(refused(RetryAdvice::usual(&tuning.settings)));
         }
         tickets.next = tickets.next.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -228,7 +228,7 @@
         request: NewRequest,
         token: &CancellationToken,
     ) -> Result<Delivery, Status> {
-        let pending = self.shared.desk.submit(request).await;
+        let pending = self.shared.router.submit(request).await;
         let answer = tokio::select! {
             answer = pending => answer,
             () = token.cancelled() => return Err(failed(Failure::Cancelled)),
--- a/fronts/src/flight/tests.rs
+++ b/fronts/src/flight/tests.rs
@@ -1,7 +1,7 @@
 //! What refused clients are told.
 
 use super::*;
-use crate::test_desk::{STATEMENT, desk, refuse};
+use crate::test_router::{STATEMENT, desk, refuse};
 
 /// The time after which a refused client is advised to come back.
 fn advice(status: &Status) -> Option<Duration> {
@@ -13,7 +13,7 @@
 #[tokio::test]
 async fn a_refused_call_has_retry_info_only_where_there_is_advice() {
     let (desk, mut broker) = desk(1000).await;
-    let front = Front::new(Shared { desk }, 1);
+    let front = Front::new(FrontContext { router: desk }, 1);
     for (retry_after, told) in [
         (Duration::from_millis(250), Some(Duration::from_millis(250))),
         (Duration::ZERO, None),
@@ -35,7 +35,7 @@
         (9000, Some(millis(1000))),
     ] {
         let (desk, _broker) = desk(longest).await;
-        let front = Front::new(Shared { desk }, 1);
+        let front = Front::new(FrontContext { router: desk }, 1);
         let read = || front.read(STATEMENT.to_string(), &MetadataMap::new());
         for _ in 0..MOST_TICKETS {
             front.hold(read().expect("is read")).expect("a ticket");
--- a/fronts/src/incoming.rs
+++ b/fronts/src/incoming.rs
@@ -21,7 +21,7 @@
 const PREFACE: usize = 24;
 const PREFACE_LIMIT: Duration = Duration::from_secs(2);
 
-pub struct Placed {
+pub struct FlightConnection {
     stream: Whole,
     /// Bytes of the preface that are still to come, and when they must have.
     missing: usize,
@@ -29,10 +29,10 @@
     _place: OwnedSemaphorePermit,
 }
 
-impl Placed {
-    fn new(stream: TcpStream, place: OwnedSemaphorePermit) -> Placed {
+impl FlightConnection {
+    fn new(stream: TcpStream, place: OwnedSemaphorePermit) -> FlightConnection {
         without_delay(&stream);
-        Placed {
+        FlightConnection {
             stream: Whole::new(stream),
             missing: PREFACE,
             limit: Box::pin(sleep(PREFACE_LIMIT)),
@@ -42,10 +42,13 @@
 }
 
 /// A connection with its place, not yet served by any worker.
-pub type Accepted = (TcpStream, OwnedSemaphorePermit);
+pub type AcceptedConnection = (TcpStream, OwnedSemaphorePermit);
 
 /// The connections of a listener, no more than `most` at once; others wait to be accepted.
-pub fn accepted(listener: TcpListener, most: usize) -> impl Stream<Item = Accepted> {
+pub fn accept_connections(
+    listener: TcpListener,
+    most: usize,
+) -> impl Stream<Item = AcceptedConnection> {
     let places = Arc::new(Semaphore::new(most));
     futures::stream::unfold((listener, places), |(listener, places)| async move {
         // The semaphore is never closed.
@@ -63,38 +66,42 @@
 }
 
 /// Connections that this worker has accepted itself.
-pub fn placed(accepted: impl Stream<Item = Accepted>) -> impl Stream<Item = io::Result<Placed>> {
-    accepted.map(|(stream, place)| Ok(Placed::new(stream, place)))
+pub fn local_connections(
+    accepted: impl Stream<Item = AcceptedConnection>,
+) -> impl Stream<Item = io::Result<FlightConnection>> {
+    accepted.map(|(stream, place)| Ok(FlightConnection::new(stream, place)))
 }
 
 /// A connection on its way from the worker that accepted it to the one that serves it.
-pub struct HandedOver {
+pub struct TransferredConnection {
     stream: std::net::TcpStream,
     place: OwnedSemaphorePermit,
 }
 
-impl HandedOver {
-    pub fn new((stream, place): Accepted) -> io::Result<HandedOver> {
+impl TransferredConnection {
+    pub fn new((stream, place): AcceptedConnection) -> io::Result<TransferredConnection> {
         let stream = stream.into_std()?;
-        Ok(HandedOver { stream, place })
+        Ok(TransferredConnection { stream, place })
     }
 }
 
 /// Connections that another worker has accepted, until it accepts no more.
-pub fn taken_over(incoming: mpsc::Receiver<HandedOver>) -> impl Stream<Item = io::Result<Placed>> {
+pub fn transferred_connections(
+    incoming: mpsc::Receiver<TransferredConnection>,
+) -> impl Stream<Item = io::Result<FlightConnection>> {
     futures::stream::unfold(incoming, |mut incoming| async move {
-        let HandedOver { stream, place } = incoming.recv().await?;
-        let placed = TcpStream::from_std(stream).map(|stream| Placed::new(stream, place));
+        let TransferredConnection { stream, place } = incoming.recv().await?;
+        let placed = TcpStream::from_std(stream).map(|stream| FlightConnection::new(stream, place));
         Some((placed, incoming))
     })
 }
 
-impl Connected for Placed {
+impl Connected for FlightConnection {
     type ConnectInfo = ();
     fn connect_info(&self) {}
 }
 
-impl AsyncRead for Placed {
+impl AsyncRead for FlightConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -111,7 +118,7 @@
     }
 }
 
-impl AsyncWrite for Placed {
+impl AsyncWrite for FlightConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/fronts/src/lib.rs
+++ b/fronts/src/lib.rs
@@ -1,25 +1,25 @@
 //! What clients speak to: thin fronts that decode a request, call the broker and encode its answer.
 
 mod advice;
+pub mod connection_drain;
 pub mod flight;
 pub mod incoming;
-pub mod leave;
 pub mod pg;
-pub mod places;
+pub mod session_slots;
 pub mod statement;
 #[cfg(test)]
-mod test_desk;
+mod test_router;
 
 use sedgebeam_port::{Desk, Failure};
 
 /// What every front needs.
 #[derive(Clone)]
-pub struct Shared {
-    pub desk: Desk,
+pub struct FrontContext {
+    pub router: Desk,
 }
 
 /// What a client is told of a failure.
-pub fn reason(failure: Failure) -> &'static str {
+pub fn failure_message(failure: Failure) -> &'static str {
     match failure {
         Failure::Unanswered => "no ledger engine answered; the statement may have run",
         Failure::Cancelled => "the statement was cancelled; it may have run",
--- a/fronts/src/pg/mod.rs
+++ b/fronts/src/pg/mod.rs
@@ -6,9 +6,9 @@
 mod tests;
 
 use super::advice::RetryAdvice;
-use super::leave::Leave;
-use super::places::{Place, Standing};
-use super::{Shared, reason, statement};
+use super::connection_drain::ConnectionDrain;
+use super::session_slots::{SessionSlot, SessionState};
+use super::{FrontContext, failure_message, statement};
 use bytes::Bytes;
 use codec::{Error, Pg, Said, Say};
 use futures::{FutureExt, Sink, SinkExt, Stream as Messages, StreamExt};
@@ -50,19 +50,19 @@
 
 /// What sessions have in common.
 #[derive(Clone)]
-pub struct Serving {
-    pub shared: Shared,
+pub struct SessionContext {
+    pub front_context: FrontContext,
     /// The longest message that a client may send.
-    pub longest: usize,
+    pub max_message_bytes: usize,
     /// Held by connections that are closed without a place: those turned away, and those that gave theirs up.
-    pub farewells: Arc<Semaphore>,
+    pub lingering_closes: Arc<Semaphore>,
 }
 
-impl Serving {
+impl SessionContext {
     /// Ends a connection that has no place. Where too many without one stay already, only what can be done at once is
     /// done: what has come is refused, and with nothing left unread the close is no reset.
     async fn as_may_stay(&self, goodbye: impl Future<Output = ()>) {
-        match self.farewells.try_acquire() {
+        match self.lingering_closes.try_acquire() {
             Ok(_farewell) => goodbye.await,
             Err(_) => {
                 let _ = at_once(goodbye);
@@ -74,20 +74,20 @@
 /// Serves a connection until it ends, or until it must go.
 pub async fn serve(
     stream: TcpStream,
-    serving: Serving,
+    serving: SessionContext,
     key: SessionKey,
-    leave: Leave,
-    place: Place,
+    leave: ConnectionDrain,
+    place: SessionSlot,
 ) {
-    let gives_way = place.gives_way();
+    let gives_way = place.eviction();
     let mut session = Session {
-        wire: Framed::new(Stream::new(stream), Pg::new(serving.longest)),
-        shared: serving.shared.clone(),
+        wire: Framed::new(Stream::new(stream), Pg::new(serving.max_message_bytes)),
+        shared: serving.front_context.clone(),
         key,
         leave,
         place,
         useless: 0,
-        inbox: Inbox::new(serving.longest),
+        inbox: Inbox::new(serving.max_message_bytes),
         gone: false,
         started: false,
         asked: false,
@@ -117,7 +117,7 @@
                 session.refuse_first().await;
             }
             // It is the first to give way to a newcomer now.
-            session.place.stand(Standing::Stranger);
+            session.place.set_state(SessionState::Unproven);
             let mut closed = std::pin::pin!(farewell(session.wire));
             tokio::select! {
                 biased;
@@ -131,21 +131,21 @@
 
 /// Why a connection is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Away {
-    NoPlace,
+pub enum RejectReason {
+    NoFreeSlot,
     Draining,
 }
 
 /// Refuses a connection. It may have come to cancel what another session has under way, and for that needs no place.
-pub async fn turn_away(stream: TcpStream, serving: &Serving, why: Away) {
-    let goodbye = refuse_connection(stream, &serving.shared, why);
+pub async fn reject_connection(stream: TcpStream, serving: &SessionContext, why: RejectReason) {
+    let goodbye = refuse_connection(stream, &serving.front_context, why);
     serving.as_may_stay(goodbye).await;
 }
 
-async fn refuse_connection(stream: TcpStream, shared: &Shared, why: Away) {
+async fn refuse_connection(stream: TcpStream, shared: &FrontContext, why: RejectReason) {
     let told = match why {
-        Away::NoPlace => no_place(&shared.desk),
-        Away::Draining => draining(&shared.desk),
+        RejectReason::NoFreeSlot => no_place(&shared.router),
+        RejectReason::Draining => draining(&shared.router),
     };
     // No statement is read with this one.
     let mut wire = Framed::new(Stream::new(stream), Pg::new(0));
@@ -154,7 +154,7 @@
         SinkExt::close(&mut wire).await?;
         while let Some(said) = wire.next().await {
             if let Said::Cancel(key) = said? {
-                shared.desk.cancel(SessionKey(key)).await;
+                shared.router.cancel(SessionKey(key)).await;
             }
         }
         io::Result::Ok(())
@@ -213,10 +213,10 @@
 
 struct Session {
     wire: Wire,
-    shared: Shared,
+    shared: FrontContext,
     key: SessionKey,
-    leave: Leave,
-    place: Place,
+    leave: ConnectionDrain,
+    place: SessionSlot,
     /// Messages of no use in a row.
     useless: u32,
     /// What the client said while the session was busy.
@@ -267,7 +267,7 @@
                     return Ok(true);
                 }
                 Said::Cancel(key) => {
-                    self.shared.desk.cancel(SessionKey(key)).await;
+                    self.shared.router.cancel(SessionKey(key)).await;
                     return Ok(false);
                 }
                 _ => return Ok(false),
@@ -284,7 +284,7 @@
         let said = tokio::select! {
             biased;
             said = next(&mut self.wire) => said?,
-            () = self.leave.when_idle() => return Ok(None),
+            () = self.leave.wait_for_idle_close() => return Ok(None),
         };
         self.gone = said.is_none();
         Ok(said.map(Heard::now))
@@ -360,10 +360,10 @@
 
     async fn refuse_one(&mut self) -> io::Result<()> {
         self.asked = true;
-        let told = if self.leave.after_answer() {
-            draining(&self.shared.desk)
+        let told = if self.leave.closes_after_answer() {
+            draining(&self.shared.router)
         } else {
-            no_place(&self.shared.desk)
+            no_place(&self.shared.router)
         };
         self.tell_error(told).await
     }
@@ -437,26 +437,26 @@
     async fn query(&mut self, text: Bytes, came: Instant) -> io::Result<bool> {
         if is_empty(&text) {
             // The platform's front asks in this way whether the dispatcher takes work.
-            let told = if self.leave.ready() {
+            let told = if self.leave.accepts_work() {
                 Say::Empty
             } else {
-                Say::Error(draining(&self.shared.desk))
+                Say::Error(draining(&self.shared.router))
             };
             self.wire.feed(told).await?;
             self.say(Say::Ready).await?;
             return Ok(true);
         }
-        let tuning = self.shared.desk.tuning();
-        let request = statement::read(&text, came, &tuning.names, Some(self.key));
+        let tuning = self.shared.router.tuning();
+        let request = statement::parse(&text, came, &tuning.names, Some(self.key));
         let answer = match request {
             Ok(request) => {
                 // One that must give way at this moment has sent nothing on.
-                if !self.place.stand(Standing::Busy) {
-                    let told = no_place(&self.shared.desk);
+                if !self.place.set_state(SessionState::Busy) {
+                    let told = no_place(&self.shared.router);
                     self.tell_error(told).await?;
                     return Ok(false);
                 }
-                let desk = self.shared.desk.clone();
+                let desk = self.shared.router.clone();
                 // The client may go also while its request waits to be handed over.
                 let answer = async move { desk.submit(request).await.await };
                 match self.watch(answer).await? {
@@ -464,7 +464,7 @@
                     None => return Ok(false),
                 }
             }
-            Err(statement::Unusable(message)) => {
+            Err(statement::InvalidStatement(message)) => {
                 return self.reject("42601", message).await;
             }
         };
@@ -474,7 +474,7 @@
                 self.wire.feed(Say::Error(busy(retry_after))).await?;
             }
             Answer::Failed(failure @ (Failure::Duplicate | Failure::Tenant)) => {
-                self.place.stand(Standing::Stranger);
+                self.place.set_state(SessionState::Unproven);
                 let told = failed(failure);
                 return self.reject(told.code, told.message).await;
             }
@@ -482,7 +482,7 @@
         }
         self.say(Say::Ready).await?;
         self.useless = 0;
-        Ok(self.place.stand(Standing::Idle) && !self.leave.after_answer())
+        Ok(self.place.set_state(SessionState::Idle) && !self.leave.closes_after_answer())
     }
 
     /// Passes a result on, page by page as the client takes them.
@@ -554,7 +554,7 @@
     };
     Error {
         code,
-        message: reason(failure).to_string(),
+        message: failure_message(failure).to_string(),
         hint: None,
     }
 }
--- a/fronts/src/pg/tests.rs
+++ b/fronts/src/pg/tests.rs
@@ -1,9 +1,9 @@
 //! What refused clients are told, on real sockets: the front alone, before a broker that the test plays.
 
 use super::*;
-use crate::leave::Staying;
-use crate::places::Places;
-use crate::test_desk::{STATEMENT, desk, refuse, submitted};
+use crate::connection_drain::DrainWatcher;
+use crate::session_slots::SessionSlots;
+use crate::test_router::{STATEMENT, desk, refuse, submitted};
 use sedgebeam_operation::{Drain, Orders};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -60,11 +60,13 @@
     }
 }
 
-fn serving(desk: &Desk) -> Serving {
-    Serving {
-        shared: Shared { desk: desk.clone() },
-        longest: 16 * 1024,
-        farewells: Arc::new(Semaphore::new(4)),
+fn serving(desk: &Desk) -> SessionContext {
+    SessionContext {
+        front_context: FrontContext {
+            router: desk.clone(),
+        },
+        max_message_bytes: 16 * 1024,
+        lingering_closes: Arc::new(Semaphore::new(4)),
     }
 }
 
@@ -75,9 +77,9 @@
     // All of it is there to be read before the session begins.
     let mut there = vec![0; said.len()];
     while server.peek(&mut there).await.expect("reads") < said.len() {}
-    let (place, _) = Places::new(1).take().expect("a place");
+    let (place, _) = SessionSlots::new(1).acquire().expect("a place");
     let (order, orders) = watch::channel(drain.orders(Duration::ZERO));
-    let leave = Staying::new(orders, Instant::now()).newcomer(0.5);
+    let leave = DrainWatcher::new(orders, Instant::now()).new_connection(0.5);
     tokio::spawn(serve(server, serving(desk), SessionKey(7), leave, place));
     (client, order)
 }
@@ -148,7 +150,7 @@
             // The platform's front asks with an empty query whether work is taken.
             let heard = refused(&desk, drain, ";", None).await;
             assert_eq!(heard, advising(reason, told), "{longest}");
-            let heard = turned_away(desk, Away::Draining).await;
+            let heard = turned_away(desk, RejectReason::Draining).await;
             assert_eq!(heard, advising(reason, told), "{longest}");
         });
     }
@@ -160,15 +162,15 @@
     for (longest, told) in FIXED {
         inside(async {
             let (desk, _broker) = desk(longest).await;
-            let heard = turned_away(desk, Away::NoPlace).await;
+            let heard = turned_away(desk, RejectReason::NoFreeSlot).await;
             assert_eq!(heard, advising(reason, told), "{longest}");
         });
     }
 }
 
-async fn turned_away(desk: Desk, why: Away) -> (String, Option<String>) {
+async fn turned_away(desk: Desk, why: RejectReason) -> (String, Option<String>) {
     let (mut client, server) = pair().await;
-    tokio::spawn(async move { turn_away(server, &serving(&desk), why).await });
+    tokio::spawn(async move { reject_connection(server, &serving(&desk), why).await });
     error(&mut client).await
 }
 
--- a/fronts/src/places.rs
+++ b/fronts/src/session_slots.rs
@@ -10,15 +10,15 @@
 
 /// What a session is at the moment; the first to give way stands first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum SessionState {
     /// It has asked nothing yet that could be answered.
-    Stranger,
+    Unproven,
     Idle,
     Busy,
 }
 
 struct Entry {
-    standing: Standing,
+    standing: SessionState,
     /// The turn at which it came to this standing.
     turn: u64,
     gives_way: CancellationToken,
@@ -29,12 +29,12 @@
     most: usize,
     entries: HashMap<u64, Entry>,
     /// All that may give way, in that order.
-    order: BTreeMap<(Standing, u64), u64>,
+    order: BTreeMap<(SessionState, u64), u64>,
     turn: u64,
 }
 
 impl Table {
-    fn stand(&mut self, number: u64, standing: Standing) -> bool {
+    fn set_state(&mut self, number: u64, standing: SessionState) -> bool {
         self.turn += 1;
         let turn = self.turn;
         let Some(entry) = self.entries.get_mut(&number) else {
@@ -42,7 +42,7 @@
         };
         self.order.remove(&(entry.standing, entry.turn));
         (entry.standing, entry.turn) = (standing, turn);
-        if standing != Standing::Busy {
+        if standing != SessionState::Busy {
             self.order.insert((standing, turn), number);
         }
         true
@@ -67,28 +67,28 @@
 }
 
 #[derive(Clone)]
-pub struct Places {
+pub struct SessionSlots {
     table: Arc<Mutex<Table>>,
 }
 
-impl Places {
-    pub fn new(most: usize) -> Places {
+impl SessionSlots {
+    pub fn new(most: usize) -> SessionSlots {
         let table = Table {
             most,
             ..Table::default()
         };
-        Places {
+        SessionSlots {
             table: Arc::new(Mutex::new(table)),
         }
     }
 
     /// So many from now on. Nobody gives way at once: a request may be on its way to any of them.
-    pub fn limit(&self, most: usize) {
+    pub fn set_max_sessions(&self, most: usize) {
         self.table().most = most;
     }
 
     /// How many are taken.
-    pub fn taken(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.table().entries.len()
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// A place for a newcomer, and whether another gave way for it; `None` where all are busy.
-    pub fn take(&self) -> Option<(Place, bool)> {
+    pub fn acquire(&self) -> Option<(SessionSlot, bool)> {
         let mut table = self.table();
         let full = table.entries.len() >= table.most;
         if full && !table.make_room() {
@@ -108,13 +108,13 @@
         let number = table.turn;
         let gives_way = CancellationToken::new();
         let entry = Entry {
-            standing: Standing::Stranger,
+            standing: SessionState::Unproven,
             turn: number,
             gives_way: gives_way.clone(),
         };
         table.entries.insert(number, entry);
-        table.order.insert((Standing::Stranger, number), number);
-        let place = Place {
+        table.order.insert((SessionState::Unproven, number), number);
+        let place = SessionSlot {
             number,
             gives_way,
             places: self.clone(),
@@ -124,25 +124,25 @@
 }
 
 /// A session's place; given back when it is dropped.
-pub struct Place {
+pub struct SessionSlot {
     number: u64,
     gives_way: CancellationToken,
-    places: Places,
+    places: SessionSlots,
 }
 
-impl Place {
+impl SessionSlot {
     /// Changes what the session is; false where it has been told to give way.
-    pub fn stand(&self, standing: Standing) -> bool {
-        self.places.table().stand(self.number, standing)
+    pub fn set_state(&self, standing: SessionState) -> bool {
+        self.places.table().set_state(self.number, standing)
     }
 
     /// Becomes ready when the session must give way.
-    pub fn gives_way(&self) -> CancellationToken {
+    pub fn eviction(&self) -> CancellationToken {
         self.gives_way.clone()
     }
 }
 
-impl Drop for Place {
+impl Drop for SessionSlot {
     fn drop(&mut self) {
         self.places.table().leave(self.number);
     }
@@ -154,22 +154,25 @@
 
     #[test]
     fn strangers_give_way_first_then_the_longest_idle_and_the_busy_never() {
-        let places = Places::new(3);
-        let take = || places.take().expect("a place").0;
+        let places = SessionSlots::new(3);
+        let take = || places.acquire().expect("a place").0;
         let (first, second, stranger) = (take(), take(), take());
         for place in [&second, &first] {
-            assert!(place.stand(Standing::Busy) && place.stand(Standing::Idle));
+            assert!(place.set_state(SessionState::Busy) && place.set_state(SessionState::Idle));
         }
-        let gone = |place: &Place| place.gives_way().is_cancelled();
+        let gone = |place: &SessionSlot| place.eviction().is_cancelled();
         let busy = take();
         assert!(gone(&stranger) && !gone(&second));
-        assert!(!stranger.stand(Standing::Busy), "it has no place any more");
-        assert!(busy.stand(Standing::Busy));
+        assert!(
+            !stranger.set_state(SessionState::Busy),
+            "it has no place any more"
+        );
+        assert!(busy.set_state(SessionState::Busy));
         let last = take();
         assert!(gone(&second) && !gone(&first));
-        assert!(first.stand(Standing::Busy) && last.stand(Standing::Busy));
-        assert!(places.take().is_none(), "all are busy");
+        assert!(first.set_state(SessionState::Busy) && last.set_state(SessionState::Busy));
+        assert!(places.acquire().is_none(), "all are busy");
         drop(last);
-        assert!(!places.take().expect("a place given back").1);
+        assert!(!places.acquire().expect("a place given back").1);
     }
 }
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -27,35 +27,38 @@
 
 /// What is wrong with a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unusable(pub String);
+pub struct InvalidStatement(pub String);
 
-fn unusable(name: &str) -> Unusable {
-    Unusable(format!(
+fn unusable(name: &str) -> InvalidStatement {
+    InvalidStatement(format!(
         "the field {name:?} in the statement's comment is missing or unusable"
     ))
 }
 
 /// Reads a request that came whole at `came`, with its fields in the comment ahead of it.
-pub fn read(
+pub fn parse(
     text: &Bytes,
     came: Instant,
     names: &Names,
     session: Option<SessionKey>,
-) -> Result<NewRequest, Unusable> {
-    let whole = std::str::from_utf8(text).map_err(|_| Unusable("not UTF-8".to_string()))?;
-    let (fields, statement) = split(whole)
-        .ok_or_else(|| Unusable("the statement begins with no comment of fields".to_string()))?;
+) -> Result<NewRequest, InvalidStatement> {
+    let whole = std::str::from_utf8(text).map_err(|_| InvalidStatement("not UTF-8".to_string()))?;
+    let (fields, statement) = split(whole).ok_or_else(|| {
+        InvalidStatement("the statement begins with no comment of fields".to_string())
+    })?;
     let pairs = fields.split(',').map(|pair| pair.trim().split_once('='));
     let pairs: Option<Vec<(&str, &str)>> = pairs.collect();
-    let pairs =
-        pairs.ok_or_else(|| Unusable("the comment holds no pairs of fields".to_string()))?;
+    let pairs = pairs
+        .ok_or_else(|| InvalidStatement("the comment holds no pairs of fields".to_string()))?;
     // Of two values of a field, an engine might mean the other one.
     let twice = |(place, (name, _)): (usize, &(&str, &str))| {
         let earlier = &pairs[..place];
         earlier.iter().any(|(known, _)| known == name)
     };
     if let Some((_, (name, _))) = pairs.iter().enumerate().find(|pair| twice(*pair)) {
-        return Err(Unusable(format!("the field {name:?} is there twice")));
+        return Err(InvalidStatement(format!(
+            "the field {name:?} is there twice"
+        )));
     }
     let field = |name: &str| {
         let found = pairs.iter().find(|(known, _)| *known == name);
@@ -63,7 +66,7 @@
     };
     let start = whole.len() - statement.len();
     let statement = text.slice(start..);
-    build(field, statement, came, names, session)
+    build_request(field, statement, came, names, session)
 }
 
 /// Whether a comment of fields stands ahead of the statement.
@@ -72,16 +75,17 @@
 }
 
 /// Builds a request from its fields, wherever they stood.
-pub fn build<'a>(
+pub fn build_request<'a>(
     field: impl Fn(&str) -> Option<&'a str>,
     statement: Bytes,
     came: Instant,
     names: &Names,
     session: Option<SessionKey>,
-) -> Result<NewRequest, Unusable> {
-    let text = std::str::from_utf8(&statement).map_err(|_| Unusable("not UTF-8".to_string()))?;
+) -> Result<NewRequest, InvalidStatement> {
+    let text =
+        std::str::from_utf8(&statement).map_err(|_| InvalidStatement("not UTF-8".to_string()))?;
     if text.trim().is_empty() {
-        return Err(Unusable("there is no statement".to_string()));
+        return Err(InvalidStatement("there is no statement".to_string()));
     }
     let number = |name: &str, most: f64| match field(name).map(str::parse::<f64>) {
         None => Ok(0.0),
@@ -113,7 +117,7 @@
         deadline: came + duration(micros(limit)),
         work: micros(number("cpu", MOST_WORK_MS)?),
         memory_mb: number("memory", MOST_MEMORY_MB)?,
-        group: GroupId(group(text).unwrap_or_default()),
+        group: GroupId(table_group(text).unwrap_or_default()),
         statement,
         is_retry,
         token: word("unique")?,
@@ -152,7 +156,7 @@
 
 /// The number of the table group: that in the name of the schema of the first table named, or, where no
 /// table stands behind its usual word, of the first qualified name.
-pub fn group(statement: &str) -> Option<u64> {
+pub fn table_group(statement: &str) -> Option<u64> {
     let tokens: Vec<Token> = Tokens(statement).collect();
     let mut first = None;
     for (place, three) in tokens.windows(3).enumerate() {
--- a/fronts/src/statement/tests.rs
+++ b/fronts/src/statement/tests.rs
@@ -44,7 +44,7 @@
         ("", None),
     ];
     for (statement, number) in cases {
-        assert_eq!(group(statement), number, "{statement}");
+        assert_eq!(table_group(statement), number, "{statement}");
     }
 }
 
@@ -57,7 +57,7 @@
     };
     let told = |text: &str| {
         let text = Bytes::copy_from_slice(text.as_bytes());
-        read(&text, Instant::now(), &names, None).map_err(|Unusable(why)| why)
+        parse(&text, Instant::now(), &names, None).map_err(|InvalidStatement(why)| why)
     };
     let good = "/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500,cpu=820.0 */ SELECT 1";
     let request = told(good).expect("is read");
@@ -106,7 +106,7 @@
     };
     for (mark, is_retry) in [("", false), (",second=1", true)] {
         let text = format!("/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500{mark} */ SELECT 1");
-        let request = read(&Bytes::from(text), Instant::now(), &names, None);
+        let request = parse(&Bytes::from(text), Instant::now(), &names, None);
         assert_eq!(request.expect("is read").is_retry, is_retry, "{mark:?}");
     }
 }
@@ -124,7 +124,7 @@
         (format!(",unique={word}"), Some(word)),
     ] {
         let text = format!("/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500{mark} */ SELECT 1");
-        let request = read(&Bytes::from(text), Instant::now(), &names, None).expect("is read");
+        let request = parse(&Bytes::from(text), Instant::now(), &names, None).expect("is read");
         assert_eq!(request.token.as_deref(), token);
     }
 }
