--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/beside.rs
@@ -8,9 +8,9 @@
 
 use folder::unix_now;
 use sedgebeam_core::{HandoverState, Micros, Tenant};
-use sedgebeam_fronts::places::Places;
+use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_handover::{
-    Freshness, HandoverMessage, Incarnation, Phase, ProcessPair, ProcessStatus,
+Freshness, HandoverMessage, Incarnation, Phase, ProcessPair, ProcessStatus,
 };
 use sedgebeam_operation::Orders;
 use sedgebeam_port::clock::Clock;
@@ -110,8 +110,8 @@
 /// What this process tells of itself.
 pub struct Own {
     pub clock: Clock,
-    pub desk: RequestRouter,
-    pub places: Places,
+ pub desk: RequestRouter,
+pub places: SessionSlots,
     pub orders: watch::Receiver<Orders>,
     /// The change log's number.
     pub reached: watch::Receiver<crate::roster::Reached>,
@@ -151,8 +151,8 @@
                 phase: self.phase(),
                 change_log_seq: seq,
                 targets,
-                session_count: self.places.taken(),
-                drained_engines: drained,
+ session_count: self.places.in_use(),
+drained_engines: drained,
                 tenants,
                 config_text: file,
             },
