--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -149,8 +149,8 @@
     fn tenant_rows(&self) -> AdminResponse {
         let row = |tenant: &Tenant| TenantRow {
             name: tenant.name.clone(),
- share: tenant.share,
-requests_per_s: tenant.requests_per_second,
+            share: tenant.share,
+            requests_per_s: tenant.requests_per_second,
         };
         AdminResponse::Tenants(self.settings.tenants.iter().map(row).collect())
     }
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -290,10 +290,10 @@
         let Some(part) = self.part.clone() else {
             return (self.gateway.handle(at, events), true);
         };
- let wish = self.gateway.demand(at, &events);
-let loan = part.acquire(at, &wish, self.open.len());
-self.most_open = loan.max_open_requests;
-self.gateway.update_siblings(loan.siblings);
+        let wish = self.gateway.demand(at, &events);
+        let loan = part.acquire(at, &wish, self.open.len());
+        self.most_open = loan.max_open_requests;
+        self.gateway.update_siblings(loan.siblings);
         let actions = self.gateway.handle(at, events);
         let told = self.gateway.publish();
         let stands = part.settle(loan.id, self.clock.micros(Instant::now()), told);
@@ -382,8 +382,8 @@
                 self.batch(Instant::now());
                 self.gateway.restore(&held);
             }
- BrokerMessage::SetPeerProcessUsage(held, may_warm) => self.beside(&held, may_warm),
-BrokerMessage::Shutdown => self.events.push(Event::Shutdown),
+            BrokerMessage::SetPeerProcessUsage(held, may_warm) => self.beside(&held, may_warm),
+            BrokerMessage::Shutdown => self.events.push(Event::Shutdown),
             // Whoever told of them waits for the sender to be dropped.
             BrokerMessage::Reconfigure(tuning, _held) => self.retune(&tuning),
             BrokerMessage::Admin(asked, reply) => {
@@ -416,8 +416,8 @@
     fn beside(&mut self, held: &HandoverState, may_warm: bool) {
         let (now, nothing) = (self.clock.micros(Instant::now()), HandoverState::default());
         if let Some(part) = &self.part {
- part.set_peer_process_usage(now, abroad(held, &self.class_names, now + BESIDE_LASTS));
-self.gateway.set_peer_process_usage(now, &nothing, may_warm);
+            part.set_peer_process_usage(now, abroad(held, &self.class_names, now + BESIDE_LASTS));
+            self.gateway.set_peer_process_usage(now, &nothing, may_warm);
         } else {
             self.gateway.set_peer_process_usage(now, held, may_warm);
         }
@@ -635,8 +635,8 @@
             attempt: number,
             engine,
             outcome,
- elapsed: to_micros(now - sent),
-request_finished: open.is_none_or(|open| open.reply.is_none()),
+            elapsed: to_micros(now - sent),
+            request_finished: open.is_none_or(|open| open.reply.is_none()),
             work: None,
             load_report: None,
         }));
@@ -729,14 +729,14 @@
             return;
         };
         let outcome = match end {
- AttemptResult::Ok { page, work, load } => {
-return self.served(id, number, out, page, work, load);
-}
-AttemptResult::Busy => Outcome::Rejected,
-AttemptResult::Error => Outcome::Error,
-AttemptResult::NotRun => Outcome::NotSent,
-AttemptResult::ConnectFailed => Outcome::ConnectFailed,
-AttemptResult::Reset => Outcome::Reset,
+            AttemptResult::Ok { page, work, load } => {
+                return self.served(id, number, out, page, work, load);
+            }
+            AttemptResult::Busy => Outcome::Rejected,
+            AttemptResult::Error => Outcome::Error,
+            AttemptResult::NotRun => Outcome::NotSent,
+            AttemptResult::ConnectFailed => Outcome::ConnectFailed,
+            AttemptResult::Reset => Outcome::Reset,
         };
         self.report(id, number, engine, outcome, out.sent, now);
     }
@@ -762,8 +762,8 @@
             attempt: number,
             engine: out.engine,
             outcome: Outcome::Ok,
- elapsed: to_micros(out.sent.elapsed()),
-request_finished: true,
+            elapsed: to_micros(out.sent.elapsed()),
+            request_finished: true,
             work: work.filter(|_| self.names.tells_cost),
             load_report: load,
         }));
--- a/broker/src/shards.rs
+++ b/broker/src/shards.rs
@@ -24,7 +24,7 @@
 
 /// What the shards of one dispatcher share.
 pub struct ShardLeases {
-ledger: Mutex<LeaseTable>,
+    ledger: Mutex<LeaseTable>,
     /// Wakes a shard that waits for what another has let go.
     wakes: Vec<Notify>,
     /// Which shard has a request: one name is open once, whichever shard is asked.
@@ -40,13 +40,13 @@
 }
 
 fn terms(shards: usize, open: usize, settings: &Settings) -> LeaseTerms {
-LeaseTerms {
-shard_count: shards,
-lease_duration: LEASE,
-redistribution_interval: settings.tick,
-cold_window: settings.overload_window,
-max_credit: sedgebeam_core::MAX_CREDIT,
-max_open_requests: open,
+    LeaseTerms {
+        shard_count: shards,
+        lease_duration: LEASE,
+        redistribution_interval: settings.tick,
+        cold_window: settings.overload_window,
+        max_credit: sedgebeam_core::MAX_CREDIT,
+        max_open_requests: open,
     }
 }
 
@@ -58,8 +58,8 @@
         desk: RequestRouter,
     ) -> Arc<ShardLeases> {
         let terms = terms(shards, open, settings);
- Arc::new(ShardLeases {
-ledger: Mutex::new(LeaseTable::new(terms)),
+        Arc::new(ShardLeases {
+            ledger: Mutex::new(LeaseTable::new(terms)),
             wakes: (0..shards).map(|_| Notify::new()).collect(),
             open: (0..STRIPES).map(|_| Mutex::default()).collect(),
             engines: Mutex::default(),
@@ -73,8 +73,8 @@
     }
 
     /// A shard's broker has died, and with it the actors of its engines and their connections.
- pub fn shard_crashed(&self, shard: usize) {
-let waiters = lock(&self.ledger).remove_crashed_shard(ShardId(shard));
+    pub fn shard_crashed(&self, shard: usize) {
+        let waiters = lock(&self.ledger).remove_crashed_shard(ShardId(shard));
         for stripe in &self.open {
             lock(stripe).retain(|_, at| *at != ShardId(shard));
         }
@@ -114,23 +114,23 @@
     }
 
     /// What other processes of this dispatcher hold.
- pub fn set_peer_process_usage(&self, now: Micros, told: ShardUsage) {
-lock(&self.shared.ledger).set_peer_process_usage(now, told);
+    pub fn set_peer_process_usage(&self, now: Micros, told: ShardUsage) {
+        lock(&self.shared.ledger).set_peer_process_usage(now, told);
     }
 
- pub fn acquire(&self, now: Micros, wish: &Demand, open: usize) -> Lease {
-lock(&self.shared.ledger).acquire(self.shard, now, wish, open)
+    pub fn acquire(&self, now: Micros, wish: &Demand, open: usize) -> Lease {
+        lock(&self.shared.ledger).acquire(self.shard, now, wish, open)
     }
 
     /// Whether what was decided may be carried out.
- pub fn settle(&self, ticket: LeaseId, now: Micros, told: ShardUsage) -> bool {
-let settled = lock(&self.shared.ledger).commit(self.shard, ticket, now, told);
-let CommitResult {
-is_valid,
-shards_to_wake,
-} = settled;
-self.shared.wake(&shards_to_wake);
-is_valid
+    pub fn settle(&self, ticket: LeaseId, now: Micros, told: ShardUsage) -> bool {
+        let settled = lock(&self.shared.ledger).commit(self.shard, ticket, now, told);
+        let CommitResult {
+            is_valid,
+            shards_to_wake,
+        } = settled;
+        self.shared.wake(&shards_to_wake);
+        is_valid
     }
 
     /// Becomes ready when another shard has let go what this one may be waiting for.
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -147,11 +147,11 @@
 fn each_end_of_an_attempt_is_one_outcome() {
     let cases = [
         (ok(), Outcome::Ok, true),
- (AttemptResult::Busy, Outcome::Rejected, false),
-(AttemptResult::Error, Outcome::Error, false),
-(AttemptResult::NotRun, Outcome::NotSent, false),
-(AttemptResult::ConnectFailed, Outcome::ConnectFailed, false),
-(AttemptResult::Reset, Outcome::Reset, false),
+        (AttemptResult::Busy, Outcome::Rejected, false),
+        (AttemptResult::Error, Outcome::Error, false),
+        (AttemptResult::NotRun, Outcome::NotSent, false),
+        (AttemptResult::ConnectFailed, Outcome::ConnectFailed, false),
+        (AttemptResult::Reset, Outcome::Reset, false),
     ];
     inside(|| {
         for (end, outcome, finished) in cases {
--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/beside.rs
@@ -10,7 +10,7 @@
 use sedgebeam_core::{HandoverState, Micros, Tenant};
 use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_handover::{
-Freshness, HandoverMessage, Incarnation, Phase, ProcessPair, ProcessStatus,
+    Freshness, HandoverMessage, Incarnation, Phase, ProcessPair, ProcessStatus,
 };
 use sedgebeam_operation::Orders;
 use sedgebeam_port::clock::Clock;
@@ -110,8 +110,8 @@
 /// What this process tells of itself.
 pub struct Own {
     pub clock: Clock,
- pub desk: RequestRouter,
-pub places: SessionSlots,
+    pub desk: RequestRouter,
+    pub places: SessionSlots,
     pub orders: watch::Receiver<Orders>,
     /// The change log's number.
     pub reached: watch::Receiver<crate::roster::Reached>,
@@ -140,19 +140,19 @@
         // The number first: a list that is newer than its number only hears of some change twice.
         let seq = self.reached.borrow().seq;
         let file = self.file.borrow().to_string();
- let (targets, drained, tenants) = self.desk.replicated_state().await;
-let held = self.desk.handover_state().await;
-HandoverMessage {
-status: ProcessStatus {
-dispatcher_name: name.to_string(),
-written_at_unix_us: unix_now().0,
-writer_clock: Some(self.now()),
-known_processes: Some(found),
+        let (targets, drained, tenants) = self.desk.replicated_state().await;
+        let held = self.desk.handover_state().await;
+        HandoverMessage {
+            status: ProcessStatus {
+                dispatcher_name: name.to_string(),
+                written_at_unix_us: unix_now().0,
+                writer_clock: Some(self.now()),
+                known_processes: Some(found),
                 phase: self.phase(),
                 change_log_seq: seq,
                 targets,
- session_count: self.places.in_use(),
-drained_engines: drained,
+                session_count: self.places.in_use(),
+                drained_engines: drained,
                 tenants,
                 config_text: file,
             },
@@ -168,9 +168,9 @@
         Member::Waiting(place) => {
             // As beside one that sends to cold engines and has half of all limits.
             left.send_replace(Others::MAYBE);
- own.desk
-.set_peer_process_usage(HandoverState::default(), false)
-.await;
+            own.desk
+                .set_peer_process_usage(HandoverState::default(), false)
+                .await;
             (place.join_at_last().await, None)
         }
     };
@@ -261,13 +261,13 @@
     async fn tell_brokers(&self) {
         let now = self.own.now();
         let told = self.seen.iter().filter_map(|(_, share)| share.as_ref());
- let held = told.fold(HandoverState::default(), |sum, share| {
-sum.merge(share.handover_state_at(now))
-});
-self.own
-.desk
-.set_peer_process_usage(held, self.pair.may_use_cold_engines())
-.await;
+        let held = told.fold(HandoverState::default(), |sum, share| {
+            sum.merge(share.handover_state_at(now))
+        });
+        self.own
+            .desk
+            .set_peer_process_usage(held, self.pair.may_use_cold_engines())
+            .await;
     }
 
     async fn tell_others(&self) {
@@ -289,10 +289,10 @@
 /// Has brokers begin with what the administration had set before.
 pub async fn set_again(desk: &RequestRouter, drained: Vec<String>, tenants: Vec<Tenant>) {
     let tenants = tenants.into_iter();
- let tenants = tenants.map(|t| AdminRequest::SetTenant(t.name, t.share, t.requests_per_second));
-let drains = drained
-.into_iter()
-.map(|uid| AdminRequest::Drain(uid, true));
+    let tenants = tenants.map(|t| AdminRequest::SetTenant(t.name, t.share, t.requests_per_second));
+    let drains = drained
+        .into_iter()
+        .map(|uid| AdminRequest::Drain(uid, true));
     for asked in drains.chain(tenants) {
         if let Err(denied) = desk.administer(asked).await {
             log::info!("what was set before is not set again: {denied:?}");
--- a/dispatcher/src/crew.rs
+++ b/dispatcher/src/crew.rs
@@ -164,7 +164,7 @@
     pub fn place(&self) -> (usize, &Worker) {
         let load = |(shard, worker): (usize, &Worker)| WorkerLoad {
             connections: worker.connections.load(Ordering::Relaxed),
- is_alive: shard >= self.shards || self.desk.is_alive(shard),
+            is_alive: shard >= self.shards || self.desk.is_alive(shard),
         };
         let loads: Vec<WorkerLoad> = self.workers.iter().enumerate().map(load).collect();
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -97,8 +97,8 @@
     /// Refuses a connection with a word.
     fn turn_away(&self, stream: TcpStream, why: pg::RejectReason) {
         let serving = self.serving.clone();
- let refusal = async move { pg::reject_connection(stream, &serving, why).await };
-supervise::spawn_supervised("a refusal".to_string(), refusal, || {});
+        let refusal = async move { pg::reject_connection(stream, &serving, why).await };
+        supervise::spawn_supervised("a refusal".to_string(), refusal, || {});
     }
 
     fn next_key(&mut self) -> SessionKey {
@@ -123,7 +123,7 @@
         let (serving, key) = (self.serving.clone(), self.next_key());
         let leave = self
             .staying
- .new_connection(sedgebeam_core::splitmix64(key.0) as f64 / u64::MAX as f64);
+            .new_connection(sedgebeam_core::splitmix64(key.0) as f64 / u64::MAX as f64);
         let alive = self.alive.clone();
         let several = self.crew.is_several();
         let (_, worker) = self.crew.place();
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -41,8 +41,8 @@
         }
         let farewells = Arc::new(Semaphore::new(config.descriptors.farewells));
         open_door(&config, &duty, &figures, clock, &farewells).await?;
- supervise::spawn_critical("the drain", duty.clone().keep_time());
-let wires = NetworkTransport {
+        supervise::spawn_critical("the drain", duty.clone().keep_time());
+        let wires = NetworkTransport {
             connections,
             metrics: figures.clone(),
             slots: ConnectionSlots::default(),
@@ -72,17 +72,17 @@
         let Some(share) = handed else {
             return Ok(known.seq);
         };
- let held = share.handover_state_at(self.clock.micros(Instant::now()));
-let stated = share.status;
-let seq = stated.change_log_seq.max(known.seq);
-if stated.change_log_seq > known.seq {
-let told = desk
-.update_engine_list(Listing::Complete, stated.targets)
-.await;
+        let held = share.handover_state_at(self.clock.micros(Instant::now()));
+        let stated = share.status;
+        let seq = stated.change_log_seq.max(known.seq);
+        if stated.change_log_seq > known.seq {
+            let told = desk
+                .update_engine_list(Listing::Complete, stated.targets)
+                .await;
             told.map_err(ended)?;
         }
- desk.restore(held).await;
-beside::set_again(desk, stated.drained_engines, stated.tenants).await;
+        desk.restore(held).await;
+        beside::set_again(desk, stated.drained_engines, stated.tenants).await;
         log::info!("begun with what the process before it knew, up to change {seq}");
         Ok(seq)
     }
--- a/dispatcher/tests/scenarios/actors.rs
+++ b/dispatcher/tests/scenarios/actors.rs
@@ -181,8 +181,8 @@
         let EngineReport::Probed(ProbeResult::Up(Some(load))) = bench.report().await else {
             panic!("no load report")
         };
- assert_eq!(load.busy_cores_share, Some(0.5));
-bench.ask(EngineCommand::Probe).await;
+        assert_eq!(load.busy_cores_share, Some(0.5));
+        bench.ask(EngineCommand::Probe).await;
         bench.hears("stats p2").await;
         bench.says("p2 raw *3\\r\\n$2\\r\\np2\\r\\n$4\\r\\nDOWN\\r\\n$1\\r\\n-\\r\\n");
         assert!(matches!(
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -22,9 +22,9 @@
 const HANGS: Duration = Duration::from_secs(60);
 
 struct Front {
- serving: pg::SessionContext,
-broker: mpsc::Receiver<BrokerMessage>,
-places: SessionSlots,
+    serving: pg::SessionContext,
+    broker: mpsc::Receiver<BrokerMessage>,
+    places: SessionSlots,
     orders: watch::Sender<Orders>,
 }
 
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -82,8 +82,8 @@
 
 struct Actor {
     endpoint: String,
- transport: NetworkTransport,
-reports: EngineReporter,
+    transport: NetworkTransport,
+    reports: EngineReporter,
     over: mpsc::Sender<Over>,
     lanes: HashMap<u64, Lane>,
     next_lane: u64,
@@ -93,9 +93,9 @@
 /// Runs until its mailbox is closed.
 pub async fn run(
     endpoint: String,
- transport: NetworkTransport,
-mut mailbox: mpsc::Receiver<EngineCommand>,
-reports: EngineReporter,
+    transport: NetworkTransport,
+    mut mailbox: mpsc::Receiver<EngineCommand>,
+    reports: EngineReporter,
 ) {
     let (over, mut incoming) = mpsc::channel(EVENTS);
     let mut actor = Actor {
@@ -313,8 +313,8 @@
         let channel = up.next();
         drop(up);
         let (endpoint, reports) = (self.endpoint.clone(), self.reports.clone());
- let limit = to_duration(self.settings().connect_timeout);
-let (slots, in_all) = (self.transport.slots.clone(), self.settings().in_all);
+        let limit = to_duration(self.settings().connect_timeout);
+        let (slots, in_all) = (self.transport.slots.clone(), self.settings().in_all);
         tokio::spawn(async move {
             // Only a connection of its own takes a slot, for as long as the probe lasts.
             let slot = channel.is_none().then(|| slots.try_acquire(in_all));
@@ -382,7 +382,7 @@
 
 /// What an error says of an attempt.
 fn end(status: &Status) -> AttemptResult {
-let not_run = status.metadata().contains_key(NOT_RUN_METADATA);
+    let not_run = status.metadata().contains_key(NOT_RUN_METADATA);
     match status.code() {
         // The connection had broken before, and no new one could be made.
         Code::Unavailable if never_connected(status) => AttemptResult::ConnectFailed,
@@ -403,8 +403,8 @@
 struct Task {
     attempt: Attempt,
     endpoint: String,
- reports: EngineReporter,
-metrics: Figures,
+    reports: EngineReporter,
+    metrics: Figures,
 }
 
 impl Task {
@@ -433,9 +433,9 @@
             Err(status) => {
                 log::debug!("{}: {status}", self.endpoint);
                 let end = end(&status);
- let broken = matches!(end, AttemptResult::Reset | AttemptResult::ConnectFailed);
-if end != AttemptResult::ConnectFailed {
-self.metrics.forwarded(1);
+                let broken = matches!(end, AttemptResult::Reset | AttemptResult::ConnectFailed);
+                if end != AttemptResult::ConnectFailed {
+                    self.metrics.forwarded(1);
                 }
                 self.reports.attempt_ended(id, number, end).await;
                 broken
--- a/engines/src/flight/tests.rs
+++ b/engines/src/flight/tests.rs
@@ -23,8 +23,8 @@
     let task = Task {
         attempt,
         endpoint: String::new(),
- reports: EngineReporter::new(EngineId(1), broker),
-metrics: Figures::default(),
+        reports: EngineReporter::new(EngineId(1), broker),
+        metrics: Figures::default(),
     };
     task.request(()).metadata().clone()
 }
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -29,7 +29,7 @@
 }
 
 impl EngineTransport for NetworkTransport {
-fn start(&self, target: &Target, reports: EngineReporter) -> EngineSender {
+    fn start(&self, target: &Target, reports: EngineReporter) -> EngineSender {
         let (mailbox, incoming) = mpsc::channel(MAILBOX);
         let (name, endpoint) = (format!("engine {}", target.uid), target.endpoint.clone());
         let last = reports.clone();
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -65,7 +65,7 @@
 }
 
 impl Connection {
- pub fn open(link: Link, slot: ConnectionSlot, connect: TrackedConnection) -> Connection {
+    pub fn open(link: Link, slot: ConnectionSlot, connect: TrackedConnection) -> Connection {
         let (mailbox, commands) = mpsc::channel(MAILBOX);
         let (kept, dropped) = oneshot::channel();
         let (number, dead) = (link.number, link.came.clone());
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -16,12 +16,12 @@
 use outgoing::Named;
 use sedgebeam_core::{AttemptNo, LoadReport, Micros, RequestId};
 use sedgebeam_fleet::reconnect::{
-Backoff, BackoffConfig, ConnectionEnd, Permit, TrackedConnection,
+    Backoff, BackoffConfig, ConnectionEnd, Permit, TrackedConnection,
 };
 use sedgebeam_port::clock::{to_duration, to_micros};
 use sedgebeam_port::{
-Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, IdleEngine, Page,
-ProbeResult,
+    Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, IdleEngine, Page,
+    ProbeResult,
 };
 use sedgebeam_settings::Connections;
 use std::cmp::Reverse;
@@ -104,8 +104,8 @@
 
 struct Actor {
     endpoint: String,
- transport: NetworkTransport,
-reports: EngineReporter,
+    transport: NetworkTransport,
+    reports: EngineReporter,
     came: mpsc::Sender<(Number, Came)>,
     connections: HashMap<Number, Connection>,
     next_connection: u64,
@@ -123,10 +123,10 @@
 /// Runs until its mailbox is closed and nothing of it is out. Its own mailbox goes into the report that it rests.
 pub async fn run(
     endpoint: String,
- transport: NetworkTransport,
-own: mpsc::WeakSender<EngineCommand>,
-mut mailbox: mpsc::Receiver<EngineCommand>,
-reports: EngineReporter,
+    transport: NetworkTransport,
+    own: mpsc::WeakSender<EngineCommand>,
+    mut mailbox: mpsc::Receiver<EngineCommand>,
+    reports: EngineReporter,
 ) {
     let (came, mut incoming) = mpsc::channel(MAILBOX);
     let (mut limits, mut wanted) = (
@@ -169,8 +169,8 @@
 impl Actor {
     fn new(
         endpoint: String,
- transport: NetworkTransport,
-reports: EngineReporter,
+        transport: NetworkTransport,
+        reports: EngineReporter,
         came: mpsc::Sender<(Number, Came)>,
     ) -> Actor {
         // Drawn anew in each process, so that dispatchers do not call an engine together.
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -621,8 +621,8 @@
     };
     let (broker, _told) = mpsc::channel(4);
     let (came, _coming) = mpsc::channel(4);
- let reports = EngineReporter::new(EngineId(1), broker);
-let mut actor = Actor::new("127.0.0.1:1".to_string(), transport, reports, came);
+    let reports = EngineReporter::new(EngineId(1), broker);
+    let mut actor = Actor::new("127.0.0.1:1".to_string(), transport, reports, came);
     assert_eq!(actor.looks_at(), None);
     actor.probe().await;
     let probed = actor.looks_at().expect("a probe may be overdue");
--- a/fronts/src/flight.rs
+++ b/fronts/src/flight.rs
@@ -143,7 +143,7 @@
     fn read(&self, query: String, metadata: &MetadataMap) -> Result<NewRequest, Status> {
         let came = Instant::now();
         let text = Bytes::from(query);
- let tuning = self.shared.router.runtime_settings();
+        let tuning = self.shared.router.runtime_settings();
         let names = &tuning.names;
         let told = std::str::from_utf8(&text).is_ok_and(statement::has_fields);
         let request = if told {
@@ -166,7 +166,7 @@
             tickets.forget_old(Instant::now());
         }
         if tickets.held.len() >= MOST_TICKETS {
- let tuning = self.shared.router.runtime_settings();
+            let tuning = self.shared.router.runtime_settings();
             return Err(refused(RetryAdvice::usual(&tuning.settings)));
         }
         tickets.next = tickets.next.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -227,8 +227,8 @@
         &self,
         request: NewRequest,
         token: &CancellationToken,
- ) -> Result<ResultPages, Status> {
-let pending = self.shared.router.submit(request).await;
+    ) -> Result<ResultPages, Status> {
+        let pending = self.shared.router.submit(request).await;
         let answer = tokio::select! {
             answer = pending => answer,
             () = token.cancelled() => return Err(failed(Failure::Cancelled)),
--- a/fronts/src/incoming.rs
+++ b/fronts/src/incoming.rs
@@ -30,9 +30,9 @@
 }
 
 impl FlightConnection {
-fn new(stream: TcpStream, place: OwnedSemaphorePermit) -> FlightConnection {
-set_nodelay(&stream);
-FlightConnection {
+    fn new(stream: TcpStream, place: OwnedSemaphorePermit) -> FlightConnection {
+        set_nodelay(&stream);
+        FlightConnection {
             stream: Whole::new(stream),
             missing: PREFACE,
             limit: Box::pin(sleep(PREFACE_LIMIT)),
--- a/fronts/src/lib.rs
+++ b/fronts/src/lib.rs
@@ -15,7 +15,7 @@
 /// What every front needs.
 #[derive(Clone)]
 pub struct FrontContext {
-pub router: RequestRouter,
+    pub router: RequestRouter,
 }
 
 /// What a client is told of a failure.
--- a/fronts/src/pg/mod.rs
+++ b/fronts/src/pg/mod.rs
@@ -81,8 +81,11 @@
 ) {
     let gives_way = place.eviction();
     let mut session = Session {
- wire: Framed::new(SocketStream::new(stream), Pg::new(serving.max_message_bytes)),
-shared: serving.front_context.clone(),
+        wire: Framed::new(
+            SocketStream::new(stream),
+            Pg::new(serving.max_message_bytes),
+        ),
+        shared: serving.front_context.clone(),
         key,
         leave,
         place,
@@ -446,8 +449,8 @@
             self.say(Say::Ready).await?;
             return Ok(true);
         }
- let tuning = self.shared.router.runtime_settings();
-let request = statement::parse(&text, came, &tuning.names, Some(self.key));
+        let tuning = self.shared.router.runtime_settings();
+        let request = statement::parse(&text, came, &tuning.names, Some(self.key));
         let answer = match request {
             Ok(request) => {
                 // One that must give way at this moment has sent nothing on.
@@ -473,8 +476,8 @@
             Answer::Refused { retry_after } => {
                 self.wire.feed(Say::Error(busy(retry_after))).await?;
             }
- Answer::Failed(failure @ (Failure::DuplicateId | Failure::UnknownTenant)) => {
-self.place.set_state(SessionState::Unproven);
+            Answer::Failed(failure @ (Failure::DuplicateId | Failure::UnknownTenant)) => {
+                self.place.set_state(SessionState::Unproven);
                 let told = failed(failure);
                 return self.reject(told.code, told.message).await;
             }
--- a/fronts/src/pg/tests.rs
+++ b/fronts/src/pg/tests.rs
@@ -61,12 +61,12 @@
 }
 
 fn serving(desk: &RequestRouter) -> SessionContext {
-SessionContext {
-front_context: FrontContext {
-router: desk.clone(),
-},
-max_message_bytes: 16 * 1024,
-lingering_closes: Arc::new(Semaphore::new(4)),
+    SessionContext {
+        front_context: FrontContext {
+            router: desk.clone(),
+        },
+        max_message_bytes: 16 * 1024,
+        lingering_closes: Arc::new(Semaphore::new(4)),
     }
 }
 
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -117,7 +117,7 @@
         deadline: came + to_duration(micros(limit)),
         work: micros(number("cpu", MOST_WORK_MS)?),
         memory_mb: number("memory", MOST_MEMORY_MB)?,
- group: TableGroupId(table_group(text).unwrap_or_default()),
+        group: TableGroupId(table_group(text).unwrap_or_default()),
         statement,
         is_retry,
         idempotency_token: word("unique")?,
--- a/fronts/src/statement/tests.rs
+++ b/fronts/src/statement/tests.rs
@@ -124,7 +124,7 @@
         (format!(",unique={word}"), Some(word)),
     ] {
         let text = format!("/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500{mark} */ SELECT 1");
- let request = parse(&Bytes::from(text), Instant::now(), &names, None).expect("is read");
-assert_eq!(request.idempotency_token.as_deref(), token);
+        let request = parse(&Bytes::from(text), Instant::now(), &names, None).expect("is read");
+        assert_eq!(request.idempotency_token.as_deref(), token);
     }
 }
--- a/handover/src/message.rs
+++ b/handover/src/message.rs
@@ -19,8 +19,8 @@
 /// What a process tells.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandoverMessage {
-pub status: ProcessStatus,
-pub handover_state: HandoverState,
+    pub status: ProcessStatus,
+    pub handover_state: HandoverState,
 }
 
 /// All of it but what the gateway holds.
@@ -235,20 +235,20 @@
             sessions: session_count,
             drained: drained_engines,
             tenants: tenants.into_iter().map(TenantRecord::from).collect(),
- file: config_text,
-engines: self
-.handover_state
-.engines
-.iter()
-.map(EngineRecord::from)
-.collect(),
-classes: self
-.handover_state
-.classes
-.iter()
-.map(ClassRecord::from)
-.collect(),
-multiple: self.handover_state.concurrency_limit,
+            file: config_text,
+            engines: self
+                .handover_state
+                .engines
+                .iter()
+                .map(EngineRecord::from)
+                .collect(),
+            classes: self
+                .handover_state
+                .classes
+                .iter()
+                .map(ClassRecord::from)
+                .collect(),
+            multiple: self.handover_state.concurrency_limit,
         };
         let body = json::to_string(&record);
         let sum = crc32fast::hash(body.as_bytes());
@@ -292,18 +292,18 @@
                 tenants: record.tenants.into_iter().map(Tenant::from).collect(),
                 config_text: record.file,
             },
- handover_state: HandoverState {
-engines: record
-.engines
-.into_iter()
-.map(EngineHandover::from)
-.collect(),
-classes: record
-.classes
-.into_iter()
-.map(ClassHandover::from)
-.collect(),
-concurrency_limit: record.multiple,
+            handover_state: HandoverState {
+                engines: record
+                    .engines
+                    .into_iter()
+                    .map(EngineHandover::from)
+                    .collect(),
+                classes: record
+                    .classes
+                    .into_iter()
+                    .map(ClassHandover::from)
+                    .collect(),
+                concurrency_limit: record.multiple,
             },
         })
     }
@@ -317,10 +317,10 @@
     }
 
     /// What it holds, with times by the clock of a reader at which it is now this time.
- pub fn handover_state_at(&self, now: Micros) -> HandoverState {
-match self.status.writer_clock {
-Some(clock) => self.handover_state.clone().translate_clock(clock, now),
-None => self.handover_state.clone(),
+    pub fn handover_state_at(&self, now: Micros) -> HandoverState {
+        match self.status.writer_clock {
+            Some(clock) => self.handover_state.clone().translate_clock(clock, now),
+            None => self.handover_state.clone(),
         }
     }
 }
--- a/handover/tests/message.rs
+++ b/handover/tests/message.rs
@@ -67,7 +67,7 @@
             }],
             config_text: "{\"settings\": {}}".to_string(),
         },
- handover_state: HandoverState {
+        handover_state: HandoverState {
             engines: vec![engine],
             classes: vec![class],
             concurrency_limit: 1.5,
@@ -142,8 +142,8 @@
 #[test]
 fn times_are_on_the_clock_of_the_reader() {
     for now in [NOW - HOUR, NOW, NOW + HOUR] {
- let held = share().handover_state_at(Micros(now));
-assert_eq!(held.engines[0].recent_sends, [(Micros(now - 5), 1.25)]);
+        let held = share().handover_state_at(Micros(now));
+        assert_eq!(held.engines[0].recent_sends, [(Micros(now - 5), 1.25)]);
         // No rest is not one that ends at some time.
         assert_eq!(held.engines[0].ejected_until, (Micros(0), Micros(now + 9)));
     }
--- a/lab/src/decide.rs
+++ b/lab/src/decide.rs
@@ -145,8 +145,8 @@
     fn decide(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
         let wish = self.gateway.demand(now, &events);
         let ledger = || self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
- let loan = ledger().acquire(self.shard, now, &wish, 0);
-self.gateway.update_siblings(loan.siblings);
+        let loan = ledger().acquire(self.shard, now, &wish, 0);
+        self.gateway.update_siblings(loan.siblings);
         let actions = self.gateway.handle(now, events);
         let told = self.gateway.publish();
         ledger().commit(self.shard, loan.id, now, told);
@@ -167,8 +167,8 @@
                 lease_duration: Micros::from_millis(250),
                 redistribution_interval: Micros::from_millis(5),
                 cold_window: Micros::from_millis(1000),
- max_credit: MAX_CREDIT,
-max_open_requests: 1_000_000,
+                max_credit: MAX_CREDIT,
+                max_open_requests: 1_000_000,
             };
             let ledger = Arc::new(Mutex::new(LeaseTable::new(terms)));
             let sharded = |shard| Sharded {
--- a/leases/src/engine_leases.rs
+++ b/leases/src/engine_leases.rs
@@ -64,8 +64,8 @@
     /// Lends a part of the threads that are free below the limit. One query always has room on an engine
     /// on which there is nothing, whatever the limit; on a cold one, only one shard borrows at a time, since
     /// what it will send is known only afterwards.
- pub fn lend(&mut self, shard: usize, wished: &EngineDemand, claim: &LeaseRequest) -> f64 {
-let LeaseRequest {
+    pub fn lend(&mut self, shard: usize, wished: &EngineDemand, claim: &LeaseRequest) -> f64 {
+        let LeaseRequest {
             now,
             redistribution_interval,
             part,
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -60,8 +60,8 @@
 /// What a shard has borrowed.
 #[derive(Debug)]
 pub struct Lease {
-pub id: LeaseId,
-pub siblings: SiblingUsage,
+    pub id: LeaseId,
+    pub siblings: SiblingUsage,
     /// Requests that the shard may have open until it borrows again.
     pub max_open_requests: usize,
 }
@@ -139,8 +139,8 @@
 
     /// Hears what other processes of this dispatcher hold, all of them added up. It counts for every shard, until something
     /// else is told or all that is out there must have ended.
- pub fn set_peer_process_usage(&mut self, now: Micros, told: ShardUsage) {
-self.publish(self.terms.shard_count, now, told);
+    pub fn set_peer_process_usage(&mut self, now: Micros, told: ShardUsage) {
+        self.publish(self.terms.shard_count, now, told);
     }
 
     /// How many leases were void before they were settled.
@@ -149,8 +149,8 @@
     }
 
     /// Lends room for one decision. `open` tells how many requests the shard has open.
- pub fn acquire(&mut self, shard: ShardId, now: Micros, wish: &Demand, open: usize) -> Lease {
-self.expire_leases(now);
+    pub fn acquire(&mut self, shard: ShardId, now: Micros, wish: &Demand, open: usize) -> Lease {
+        self.expire_leases(now);
         self.take_back(shard);
         self.tickets += 1;
         let ticket = LeaseId(self.tickets);
@@ -164,8 +164,8 @@
         } else {
             0.0
         };
- let most = wants.max(wish.heaviest_class_threads);
-let claim = LeaseRequest {
+        let most = wants.max(wish.heaviest_class_threads);
+        let claim = LeaseRequest {
             now,
             redistribution_interval: self.terms.redistribution_interval,
             part,
@@ -189,9 +189,9 @@
             at: now,
             threads: most,
         });
- Lease {
-id: ticket,
-siblings: SiblingUsage {
+        Lease {
+            id: ticket,
+            siblings: SiblingUsage {
                 engines,
                 classes,
                 waiting_requests: waiting,
@@ -210,9 +210,9 @@
         shard: ShardId,
         ticket: LeaseId,
         now: Micros,
- told: ShardUsage,
-) -> CommitResult {
-self.expire_leases(now);
+        told: ShardUsage,
+    ) -> CommitResult {
+        self.expire_leases(now);
         let own = shard.0;
         let lent = self.shards[own].lent;
         if lent.is_none_or(|lent| lent.ticket != ticket) {
--- a/leases/tests/interleavings.rs
+++ b/leases/tests/interleavings.rs
@@ -3,7 +3,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use sedgebeam_core::{
-ClassUsage, Demand, EngineDemand, EngineId, EngineUsage, Micros, ShardUsage, TableGroupId,
+    ClassUsage, Demand, EngineDemand, EngineId, EngineUsage, Micros, ShardUsage, TableGroupId,
 };
 use sedgebeam_leases::{Lease, LeaseTable, LeaseTerms, ShardId};
 use std::collections::BTreeMap;
@@ -296,7 +296,7 @@
 }
 
 fn room(loan: &Lease) -> f64 {
-loan.siblings.engines[0].quota.0
+    loan.siblings.engines[0].quota.0
 }
 
 #[test]
@@ -379,9 +379,9 @@
     let (dead, other) = (ShardId(0), ShardId(1));
     let loan = ledger.acquire(dead, Micros(0), &wish(8.0, true), 0);
     let mut told = holds(8.0, Micros(500));
- told.work_sent_core_s = vec![(EngineId(1), 2.5)];
-assert!(ledger.commit(dead, loan.id, Micros(1), told).is_valid);
-ledger.remove_crashed_shard(dead);
+    told.work_sent_core_s = vec![(EngineId(1), 2.5)];
+    assert!(ledger.commit(dead, loan.id, Micros(1), told).is_valid);
+    ledger.remove_crashed_shard(dead);
     for shard in [other, dead] {
         let loan = ledger.acquire(shard, Micros(100), &wish(8.0, true), 0);
         let share = &loan.siblings.engines[0];
@@ -413,8 +413,8 @@
 fn credit_is_one_for_all_shards() {
     let mut ledger = LeaseTable::new(terms(2));
     for (shard, change) in [(0, 0.5), (1, 0.75)] {
- let loan = ledger.acquire(ShardId(shard), Micros(0), &wish(0.0, false), 0);
-let told = ShardUsage {
+        let loan = ledger.acquire(ShardId(shard), Micros(0), &wish(0.0, false), 0);
+        let told = ShardUsage {
             class_credit: vec![change, -change],
             tenant_credit: vec![vec![], vec![change]],
             ..ShardUsage::default()
@@ -432,15 +432,15 @@
 
 #[test]
 fn what_another_process_holds_counts_for_every_shard_until_it_must_have_ended() {
- let mut ledger = LeaseTable::new(terms(2));
-let beside = |threads, until| ShardUsage {
-waiting_requests: Vec::new(),
+    let mut ledger = LeaseTable::new(terms(2));
+    let beside = |threads, until| ShardUsage {
+        waiting_requests: Vec::new(),
         ..holds(threads, until)
     };
     ledger.set_peer_process_usage(Micros(0), beside(8.0, Micros(900)));
     for shard in [ShardId(0), ShardId(1)] {
- let loan = ledger.acquire(shard, Micros(1), &wish(30.0, false), 0);
-let told = &loan.siblings.engines[0].usage;
+        let loan = ledger.acquire(shard, Micros(1), &wish(30.0, false), 0);
+        let told = &loan.siblings.engines[0].usage;
         assert_eq!((room(&loan), told.threads), (LIMIT - 8.0, 8.0));
         assert_eq!(loan.siblings.classes[0].threads, 8.0);
         assert!(told.table_groups.contains(&TableGroupId(7)));
--- a/leases/tests/sharded_gateways.rs
+++ b/leases/tests/sharded_gateways.rs
@@ -135,13 +135,13 @@
             woken: false,
             stopped_until: 0,
         };
- let terms = LeaseTerms {
-shard_count: shards,
-lease_duration: ms(250),
-redistribution_interval: Micros(TICK),
-cold_window: settings().overload_window,
-max_credit: sedgebeam_core::MAX_CREDIT,
-max_open_requests: 1_000_000,
+        let terms = LeaseTerms {
+            shard_count: shards,
+            lease_duration: ms(250),
+            redistribution_interval: Micros(TICK),
+            cold_window: settings().overload_window,
+            max_credit: sedgebeam_core::MAX_CREDIT,
+            max_open_requests: 1_000_000,
         };
         let mut world = World {
             shards: (0..shards).map(shard).collect(),
@@ -270,8 +270,8 @@
         shard.woken = false;
         let events = std::mem::take(&mut shard.events);
         let loan = self.ledger.as_mut().map(|ledger| {
- let wish = shard.gateway.demand(now, &events);
-ledger.acquire(ShardId(place), now, &wish, 0)
+            let wish = shard.gateway.demand(now, &events);
+            ledger.acquire(ShardId(place), now, &wish, 0)
         });
         (place, events, loan)
     }
--- a/port/src/engine.rs
+++ b/port/src/engine.rs
@@ -135,7 +135,7 @@
 
 #[derive(Clone, Debug)]
 pub enum ProbeResult {
-Up(Option<LoadReport>),
+    Up(Option<LoadReport>),
     Down,
     TimedOut,
     ConnectFailed,
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -49,11 +49,11 @@
     EngineActorDied(EngineId),
     EngineList(Listing, Vec<Target>),
     /// Asks what the gateway holds.
- GetHandoverState(oneshot::Sender<HandoverState>),
+    GetHandoverState(oneshot::Sender<HandoverState>),
     /// What an earlier process held, to begin with.
- RestoreHandoverState(Arc<HandoverState>),
+    RestoreHandoverState(Arc<HandoverState>),
     /// What other processes of this dispatcher hold, and whether this one may send to cold engines.
- SetPeerProcessUsage(Arc<HandoverState>, bool),
+    SetPeerProcessUsage(Arc<HandoverState>, bool),
     /// The process ends: what has no answer yet gets one now.
     Shutdown,
     /// New settings; the sender is dropped once they hold.
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -400,7 +400,7 @@
     }
 
     /// What the gateways hold, added up; nothing of one that is silent.
- pub async fn handover_state(&self) -> HandoverState {
+    pub async fn handover_state(&self) -> HandoverState {
         let asked = self.all().map(|mailbox| async move {
             let (reply, held) = oneshot::channel();
             mailbox
@@ -425,14 +425,14 @@
     }
 
     /// Has the gateways begin with what an earlier process held.
- pub async fn restore(&self, held: HandoverState) {
+    pub async fn restore(&self, held: HandoverState) {
         let held = Arc::new(held);
         self.tell_all(|| BrokerMessage::RestoreHandoverState(held.clone()))
             .await;
     }
 
     /// What other processes of this dispatcher hold, and whether this one may send to cold engines.
- pub async fn set_peer_process_usage(&self, held: HandoverState, may_warm: bool) {
+    pub async fn set_peer_process_usage(&self, held: HandoverState, may_warm: bool) {
         let held = Arc::new(held);
         self.tell_all(|| BrokerMessage::SetPeerProcessUsage(held.clone(), may_warm))
             .await;
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -50,8 +50,8 @@
     /// Tells what it holds and has learned.
     pub fn handover_state(&self) -> HandoverState {
         let engines = self.engines.iter().map(|(id, engine)| {
- let (rests, jammed) = engine.health.handover_state();
-EngineHandover {
+            let (rests, jammed) = engine.health.handover_state();
+            EngineHandover {
                 engine: *id,
                 usage: EngineUsage {
                     threads: engine.threads_out,
@@ -86,7 +86,7 @@
         HandoverState {
             engines: engines.collect(),
             classes,
- concurrency_limit: self.multiple.handover_state(),
+            concurrency_limit: self.multiple.handover_state(),
         }
     }
 
@@ -109,12 +109,12 @@
         }
         for held in &held.engines {
             if let Some(engine) = self.engines.get_mut(&held.engine) {
- engine.pace = held.service_time_ratio;
-let (rests, jammed) = held.ejected_until;
-engine.health.restore((rests.0, jammed.0));
+                engine.pace = held.service_time_ratio;
+                let (rests, jammed) = held.ejected_until;
+                engine.health.restore((rests.0, jammed.0));
             }
         }
- self.multiple.restore(held.concurrency_limit);
+        self.multiple.restore(held.concurrency_limit);
     }
 
     /// Gives every request its final answer: whoever ends the process waits no longer.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -373,8 +373,8 @@
 
     /// Engines that a query of the class asks.
     fn asked(&self, class: usize) -> usize {
- let (price, worth) = (self.settings.probe_cost, self.settings.classes[class].worth);
-probing::probe_count(price, worth, self.worth.0.unwrap_or(worth))
+        let (price, worth) = (self.settings.probe_cost, self.settings.classes[class].worth);
+        probing::probe_count(price, worth, self.worth.0.unwrap_or(worth))
     }
 
     /// Refuses at once what waits beyond its class's bound once all ready engines have been tried, the newest
@@ -809,7 +809,7 @@
         let well = matches!(end.outcome, Outcome::Ok | Outcome::Rejected);
         self.heard(to, well, end.load_report);
         match end.outcome {
- Outcome::Rejected | Outcome::TimedOut => self.multiple.adjust(true),
+            Outcome::Rejected | Outcome::TimedOut => self.multiple.adjust(true),
             Outcome::Ok => self.learn(end.request, to, &end)?,
             _ => {}
         }
--- a/src/reconfigure.rs
+++ b/src/reconfigure.rs
@@ -76,9 +76,9 @@
         // place between two rights is another, as at a start: the places of before lie close together.
         let (me, other) = (settings.gateway_index, old.warming() != settings.warming());
         for engine in self.engines.values_mut() {
- engine.rights.reset_baseline();
-if other || old.gateway_index != me {
-engine.rights = AdmissionTokens::default();
+            engine.rights.reset_baseline();
+            if other || old.gateway_index != me {
+                engine.rights = AdmissionTokens::default();
                 self.started_at = Some(self.now);
             }
         }
--- a/src/sizing.rs
+++ b/src/sizing.rs
@@ -45,8 +45,8 @@
     }
 
     /// How much of the fleet a gateway may have out. Engines with a line for memory bound themselves what they run.
- pub(crate) fn multiple(&self) -> ConcurrencyLimit {
-let bounds = if self.queues_for_memory {
+    pub(crate) fn multiple(&self) -> ConcurrencyLimit {
+        let bounds = if self.queues_for_memory {
             (OWN_EXCESS, MOST_PARTS)
         } else {
             (LEAST_PART, OWN_EXCESS)
@@ -79,13 +79,13 @@
         threads.fold(1.0, f64::max)
     }
 
- pub(crate) fn warming(&self) -> SlowStart {
-SlowStart {
-initial_capacity: self.start_capacity,
-warm_up_us: self.warm_after.0,
-overload_factor: self.overload_multiple,
-window_us: self.overload_window.0,
-gateway_count: self.all_gateways(),
+    pub(crate) fn warming(&self) -> SlowStart {
+        SlowStart {
+            initial_capacity: self.start_capacity,
+            warm_up_us: self.warm_after.0,
+            overload_factor: self.overload_multiple,
+            window_us: self.overload_window.0,
+            gateway_count: self.all_gateways(),
         }
     }
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -97,13 +97,13 @@
             };
             let granted = warming.granted_work(age, engine.cores);
             let salt = engine.entry.id.0;
- let phase = |class: usize| {
-slow_start::phase(
-me,
-warming.gateway_count,
-splitmix64(salt ^ splitmix64(class as u64)),
-)
-};
+            let phase = |class: usize| {
+                slow_start::phase(
+                    me,
+                    warming.gateway_count,
+                    splitmix64(salt ^ splitmix64(class as u64)),
+                )
+            };
             engine
                 .rights
                 .refill(now.0, granted, &warming, &classes, phase);
