--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -1,4 +1,4 @@
-//! What the administration asks of the broker, and what has been counted for it.
+//! Administration requests, and the counters that they report.
 
 use super::Broker;
 use sedgebeam_core::{Outcome, Tenant};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What is counted by class and tenant, and attempts by outcome.
+/// Counters of answers by class and tenant, and of attempts by outcome.
 #[derive(Debug, Default)]
 pub struct Tally {
     classes: BTreeMap<Arc<str>, AnswerCounts>,
@@ -17,7 +17,7 @@
     attempts: BTreeMap<&'static str, u64>,
 }
 
-fn count(answers: &mut AnswerCounts, answer: &Answer) {
+fn count_answer_kind(answers: &mut AnswerCounts, answer: &Answer) {
     match answer {
         Answer::Rows(_) => answers.served += 1,
         Answer::Refused { .. } => answers.refused += 1,
@@ -26,12 +26,12 @@
 }
 
 impl Tally {
-    pub fn taken(&mut self, class: &Arc<str>, tenant: Option<&str>) {
+    pub fn count_accepted(&mut self, class: &Arc<str>, tenant: Option<&str>) {
         self.count(class, tenant, |answers| answers.accepted += 1);
     }
 
-    pub fn answered(&mut self, class: &Arc<str>, tenant: Option<&str>, answer: &Answer) {
-        self.count(class, tenant, |answers| count(answers, answer));
+    pub fn count_answer(&mut self, class: &Arc<str>, tenant: Option<&str>, answer: &Answer) {
+        self.count(class, tenant, |answers| count_answer_kind(answers, answer));
     }
 
     fn count(&mut self, class: &Arc<str>, tenant: Option<&str>, count: impl Fn(&mut AnswerCounts)) {
@@ -43,7 +43,7 @@
         }
     }
 
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub fn count_attempt(&mut self, outcome: Outcome) {
         let name = match outcome {
             Outcome::Ok => "ok",
             Outcome::Error => "error",
@@ -58,95 +58,109 @@
     }
 }
 
-/// Names with what was counted under them; what is not counted yet is nothing.
-fn named<N: AsRef<str>>(
+/// Counters by name, with zeros for names without any counts yet.
+fn with_uncounted<N: AsRef<str>>(
     names: impl Iterator<Item = String>,
     counted: &BTreeMap<N, AnswerCounts>,
 ) -> BTreeMap<String, AnswerCounts> {
-    let fresh = names.map(|name| (name, AnswerCounts::default()));
+    let zeros = names.map(|name| (name, AnswerCounts::default()));
     let counted = counted.iter();
-    fresh
+    zeros
         .chain(counted.map(|(name, answers)| (name.as_ref().to_string(), answers.clone())))
         .collect()
 }
 
 impl Broker {
-    pub(super) fn administer(&mut self, asked: AdminRequest) -> Result<AdminResponse, AdminError> {
-        match asked {
+    pub(super) fn administer(
+        &mut self,
+        request: AdminRequest,
+    ) -> Result<AdminResponse, AdminError> {
+        match request {
             AdminRequest::Health => {
-                let engines = self.engines.values().filter(|known| known.ready).count();
+                let engines = self
+                    .engines
+                    .values()
+                    .filter(|engine| engine.is_ready)
+                    .count();
                 let ready = engines > 0;
-                let open = self
-                    .open
+                let open_requests = self
+                    .open_requests
                     .values()
-                    .filter(|open| open.reply.is_some())
+                    .filter(|request| request.reply.is_some())
                     .count();
                 return Ok(AdminResponse::Health(Health {
                     ready,
                     engines,
-                    open_requests: open,
+                    open_requests,
                 }));
             }
-            AdminRequest::Counters => return Ok(self.counted()),
-            AdminRequest::Engines => return Ok(self.engine_rows()),
-            // The desk has told of new shares as of all new settings.
-            AdminRequest::Tenants | AdminRequest::SetTenant(..) => return Ok(self.tenant_rows()),
-            AdminRequest::SetEngine(target) => self.list(Listing::Changes, vec![target]),
+            AdminRequest::Counters => return Ok(self.counters_response()),
+            AdminRequest::Engines => return Ok(self.engines_response()),
+            // The router has already sent the new tenant with the settings.
+            AdminRequest::Tenants | AdminRequest::SetTenant(..) => {
+                return Ok(self.tenants_response());
+            }
+            AdminRequest::SetEngine(target) => {
+                self.update_engine_list(Listing::Changes, vec![target])
+            }
             AdminRequest::RemoveEngine(uid) => {
-                let mut target = self.target(&uid)?;
+                let mut target = self.find_target(&uid)?;
                 target.state = "removed".to_string();
-                self.list(Listing::Changes, vec![target]);
+                self.update_engine_list(Listing::Changes, vec![target]);
             }
             AdminRequest::Drain(uid, drained) => {
-                let target = self.target(&uid)?;
+                let target = self.find_target(&uid)?;
                 if drained {
                     self.drained.insert(uid);
                 } else {
                     self.drained.remove(&uid);
                 }
-                self.list(Listing::Changes, vec![target]);
+                self.update_engine_list(Listing::Changes, vec![target]);
             }
         }
-        Ok(self.engine_rows())
+        Ok(self.engines_response())
     }
 
-    fn target(&self, uid: &str) -> Result<Target, AdminError> {
-        let known = self.engines.values().find(|known| known.target.uid == uid);
-        let known = known.ok_or_else(|| AdminError::NotFound(format!("no engine {uid:?}")))?;
-        Ok(known.target.clone())
+    fn find_target(&self, uid: &str) -> Result<Target, AdminError> {
+        let engine = self
+            .engines
+            .values()
+            .find(|engine| engine.target.uid == uid);
+        let engine = engine.ok_or_else(|| AdminError::NotFound(format!("no engine {uid:?}")))?;
+        Ok(engine.target.clone())
     }
 
-    fn counted(&self) -> AdminResponse {
+    fn counters_response(&self) -> AdminResponse {
         let attempts = self.counters.attempts.iter();
         let (classes, tenants) = (&self.settings.classes, &self.settings.tenants);
         let classes = classes.iter().map(|class| class.name.clone());
         let tenants = tenants.iter().map(|tenant| tenant.name.clone());
         AdminResponse::Counters(Counters {
-            classes: named(classes, &self.counters.classes),
-            tenants: named(tenants, &self.counters.tenants),
+            classes: with_uncounted(classes, &self.counters.classes),
+            tenants: with_uncounted(tenants, &self.counters.tenants),
             attempts: attempts
                 .map(|(name, count)| (name.to_string(), *count))
                 .collect(),
         })
     }
 
-    fn engine_rows(&self) -> AdminResponse {
-        let row = |(id, known): (&sedgebeam_core::EngineId, &super::Known)| EngineRow {
-            uid: known.target.uid.clone(),
-            endpoint: known.target.endpoint.clone(),
-            state: known.target.state.clone(),
-            drained: self.drained.contains(&known.target.uid),
+    fn engines_response(&self) -> AdminResponse {
+        let row = |(id, engine): (&sedgebeam_core::EngineId, &super::KnownEngine)| EngineRow {
+            uid: engine.target.uid.clone(),
+            endpoint: engine.target.endpoint.clone(),
+            state: engine.target.state.clone(),
+            drained: self.drained.contains(&engine.target.uid),
             attempts_in_flight: self
-                .open
+                .open_requests
                 .values()
-                .flat_map(super::Open::all_out)
-                .filter(|(_, out)| out.engine == *id)
+                .flat_map(super::OpenRequest::attempts_in_flight)
+                .filter(|(_, attempt)| attempt.engine == *id)
                 .count(),
         };
         AdminResponse::Engines(self.engines.iter().map(row).collect())
     }
 
-    fn tenant_rows(&self) -> AdminResponse {
+    fn tenants_response(&self) -> AdminResponse {
         let row = |tenant: &Tenant| TenantRow {
             name: tenant.name.clone(),
             share: tenant.share,
--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -1,9 +1,9 @@
-//! The engines of the list, their numbers, and the actors of those that are in use.
+//! The listed engines, their ids, and the actors of those in use.
 //!
-//! A list may hold thousands of engines of which one dispatcher uses a few at a time: an engine's actor is started for the first
-//! attempt or probe, and ends once it has nothing out and no connection left.
+//! A list may contain thousands of engines of which a dispatcher uses a few at a time. An engine's actor is therefore
+//! started for the first attempt or probe, and ends once it has no attempt in flight and no open connection.
 
-use super::{Broker, EngineSender, post};
+use super::{Broker, EngineSender, send_command};
 use sedgebeam_core::{
     AttemptNo, CellId, Engine, EngineId, EngineState, Event, Key, ListKind, Load, Micros, Outcome,
     RequestId,
@@ -15,60 +15,61 @@
 use std::collections::HashSet;
 use tokio::time::Instant;
 
-/// What the change log has to tell counts as told after this time at the latest.
-const CHANGE_LATE_BY: Micros = Micros::from_millis(7_000);
+/// Maximum age of a change when the change log delivers it.
+const MAX_CHANGE_DELAY: Micros = Micros::from_millis(7_000);
 
-/// An engine as the broker knows it.
+/// A listed engine.
 #[derive(Default)]
-pub(super) struct Known {
+pub(super) struct KnownEngine {
     pub target: Target,
-    pub ready: bool,
-    /// Its start as the list tells it, by a clock of its own.
-    pub told_start: Option<f64>,
-    /// When it started, by this process's clock; zero: long ago.
+    pub is_ready: bool,
+    /// Start time as listed, by the engine's clock.
+    pub reported_start_ms: Option<f64>,
+    /// Start time by this process's clock; zero means long ago.
     pub started_at: Micros,
-    /// None while nothing is asked of the engine.
+    /// `None` while the engine is not in use.
     pub actor: Option<Actor>,
 }
 
-/// The actor of an engine, from here.
+/// The broker's handle of an engine's actor.
 pub(super) struct Actor {
     pub mailbox: EngineSender,
-    /// Attempts and probes that it has been told of.
-    pub told: u64,
+    /// Attempts and probes sent to the actor.
+    pub sent_count: u64,
 }
 
-impl Known {
-    /// Tells the engine's actor of an attempt or a probe, and starts it where none runs; `None` where it takes no more.
-    pub fn post(
+impl KnownEngine {
+    /// Sends an attempt or a probe to the engine's actor, which is started if none runs. Returns `None` if the mailbox is
+    /// full or closed.
+    pub fn send_to_actor(
         &mut self,
-        message: EngineCommand,
-        world: &dyn EngineTransport,
-        reports: impl FnOnce() -> EngineReporter,
+        command: EngineCommand,
+        engine_transport: &dyn EngineTransport,
+        reporter: impl FnOnce() -> EngineReporter,
     ) -> Option<EngineSender> {
         let target = &self.target;
         let actor = self.actor.get_or_insert_with(|| Actor {
-            mailbox: world.start(target, reports()),
-            told: 0,
+            mailbox: engine_transport.start(target, reporter()),
+            sent_count: 0,
         });
-        actor.mailbox.try_send(message).ok()?;
-        actor.told += 1;
+        actor.mailbox.try_send(command).ok()?;
+        actor.sent_count += 1;
         Some(actor.mailbox.clone())
     }
 
-    /// The list tells of its start. The clocks of two machines may be apart, and may have been stepped: it can't start later
-    /// than now, and one that a change tells of did not start longer ago than a change may be late. What the first list
-    /// tells of may be of any age. A start that is told again is the same one.
-    fn start_told(&mut self, told: Option<f64>, listing: Listing, now: Micros) {
-        if self.told_start == told {
+    /// Sets the listed start time. The clocks of two machines may differ or be stepped, so the time is limited: it is not
+    /// in the future, and an engine in a change started at most [`MAX_CHANGE_DELAY`] ago. Engines in a full list may be of
+    /// any age. A repeated report of the same start changes nothing.
+    fn set_reported_start(&mut self, start_ms: Option<f64>, listing: Listing, now: Micros) {
+        if self.reported_start_ms == start_ms {
             return;
         }
-        let started_at = micros(told.unwrap_or_default());
+        let started_at = micros(start_ms.unwrap_or_default());
         let earliest = match listing {
-            Listing::Changes => now - CHANGE_LATE_BY,
+            Listing::Changes => now - MAX_CHANGE_DELAY,
             Listing::Saved | Listing::Complete => Micros(0),
         };
-        self.told_start = told;
+        self.reported_start_ms = start_ms;
         self.started_at = if started_at == Micros(0) {
             started_at
         } else {
@@ -76,22 +77,22 @@
         };
     }
 
-    /// Has what is not written yet come back.
-    fn nothing_new(&self) {
+    /// Has the actor return attempts that are not yet written.
+    fn return_unsent(&self) {
         if let Some(actor) = &self.actor {
-            post(&actor.mailbox, EngineCommand::ReturnUnsent);
+            send_command(&actor.mailbox, EngineCommand::ReturnUnsent);
         }
     }
 
-    /// Lets the actor end that reports so, if it has taken all that it was told of. One that was told of more meanwhile
-    /// reports again.
-    fn let_go(&mut self, resting: &IdleEngine) {
-        let done = |actor: &Actor| {
-            let mailbox = resting.mailbox.upgrade();
-            let same = mailbox.is_some_and(|mailbox| mailbox.same_channel(&actor.mailbox));
-            same && actor.told == resting.received_count
+    /// Drops the actor that reports to be idle, if it has received all commands. If more were sent meanwhile, it will
+    /// report again.
+    fn release_idle_actor(&mut self, idle_engine: &IdleEngine) {
+        let is_done = |actor: &Actor| {
+            let mailbox = idle_engine.mailbox.upgrade();
+            let is_same_actor = mailbox.is_some_and(|mailbox| mailbox.same_channel(&actor.mailbox));
+            is_same_actor && actor.sent_count == idle_engine.received_count
         };
-        if self.actor.as_ref().is_some_and(done) {
+        if self.actor.as_ref().is_some_and(is_done) {
             self.actor = None;
         }
     }
@@ -99,30 +100,32 @@
 
 impl Broker {
     pub(super) fn probe(&mut self, engine: EngineId) {
-        let reports = || EngineReporter::new(engine, self.own.clone());
-        let known = self.engines.get_mut(&engine);
-        let asked = known.and_then(|known| known.post(EngineCommand::Probe, &*self.world, reports));
-        if asked.is_none() {
+        let reporter = || EngineReporter::new(engine, self.own_sender.clone());
+        let known_engine = self.engines.get_mut(&engine);
+        let sent = known_engine.and_then(|known_engine| {
+            known_engine.send_to_actor(EngineCommand::Probe, &*self.engine_transport, reporter)
+        });
+        if sent.is_none() {
             self.events
                 .push(Event::Probed(engine, Outcome::ConnectFailed, None));
         }
     }
 
-    pub(super) fn list(&mut self, listing: Listing, targets: Vec<Target>) {
+    pub(super) fn update_engine_list(&mut self, listing: Listing, targets: Vec<Target>) {
         let mut engines = Vec::new();
         for target in &targets {
-            let id = self.identify(&target.uid);
-            let state = self.state(target);
+            let id = self.engine_id(&target.uid);
+            let state = self.engine_state(target);
             match state {
                 EngineState::Gone => {
-                    self.forget(id);
-                    if let Some(part) = &self.part {
-                        part.forget_engine(&target.uid);
+                    self.remove_engine(id);
+                    if let Some(shard) = &self.shard {
+                        shard.forget_engine(&target.uid);
                     }
                 }
-                state => self.know(id, target, state == EngineState::Ready, listing),
+                state => self.update_engine(id, target, state == EngineState::Ready, listing),
             }
-            engines.push(self.entry(id, target, state));
+            engines.push(self.list_entry(id, target, state));
         }
         let kind = match listing {
             Listing::Saved => ListKind::Saved,
@@ -133,13 +136,13 @@
             let listed: HashSet<EngineId> = engines.iter().map(|engine| engine.id).collect();
             let known = self.engines.keys().copied();
             let gone: Vec<EngineId> = known.filter(|id| !listed.contains(id)).collect();
-            gone.into_iter().for_each(|id| self.forget(id));
+            gone.into_iter().for_each(|id| self.remove_engine(id));
         }
         self.events.push(Event::List { kind, engines });
-        self.tell_engines();
+        self.update_engine_metrics();
     }
 
-    fn entry(&self, id: EngineId, target: &Target, state: EngineState) -> Engine {
+    fn list_entry(&self, id: EngineId, target: &Target, state: EngineState) -> Engine {
         Engine {
             id,
             zone: target.az.as_deref().and_then(|zone| self.names.zone(zone)),
@@ -152,11 +155,11 @@
             started_at: self
                 .engines
                 .get(&id)
-                .map_or(Micros(0), |known| known.started_at),
+                .map_or(Micros(0), |engine| engine.started_at),
         }
     }
 
-    fn state(&self, target: &Target) -> EngineState {
+    fn engine_state(&self, target: &Target) -> EngineState {
         match target.state.as_str() {
             "up" if !self.drained.contains(&target.uid) => EngineState::Ready,
             "up" | "draining" => EngineState::Draining,
@@ -164,24 +167,24 @@
         }
     }
 
-    /// The number of an engine: that in its name, so that all dispatchers order engines alike.
-    pub(super) fn identify(&self, uid: &str) -> EngineId {
-        if let Some(id) = self.numbers.get(uid) {
+    /// The id of an engine, taken from its uid, so that all dispatchers order engines alike.
+    pub(super) fn engine_id(&self, uid: &str) -> EngineId {
+        if let Some(id) = self.engine_ids.get(uid) {
             return *id;
         }
-        if let Some(part) = &self.part {
-            return part.engine_id(uid, || number_in(uid));
+        if let Some(shard) = &self.shard {
+            return shard.engine_id(uid, || id_from_uid(uid));
         }
-        let mut number = number_in(uid);
+        let mut number = id_from_uid(uid);
         while self.engines.contains_key(&EngineId(number)) {
             number = number.wrapping_add(1);
         }
         EngineId(number)
     }
 
-    fn know(&mut self, id: EngineId, target: &Target, ready: bool, listing: Listing) {
-        let before = self.engines.get(&id).map(|known| &known.target.state);
-        if before != Some(&target.state) {
+    fn update_engine(&mut self, id: EngineId, target: &Target, is_ready: bool, listing: Listing) {
+        let previous_state = self.engines.get(&id).map(|engine| &engine.target.state);
+        if previous_state != Some(&target.state) {
             log::info!(
                 "engine {} at {}: {}",
                 target.uid,
@@ -189,75 +192,78 @@
                 target.state
             );
         }
-        let moved = self
+        let has_moved = self
             .engines
             .get(&id)
-            .is_some_and(|known| known.target.endpoint != target.endpoint);
-        if moved {
-            self.forget(id);
+            .is_some_and(|engine| engine.target.endpoint != target.endpoint);
+        if has_moved {
+            self.remove_engine(id);
         }
-        if self.numbers.insert(target.uid.clone(), id).is_none() {
-            self.world.engine_listed(target);
+        if self.engine_ids.insert(target.uid.clone(), id).is_none() {
+            self.engine_transport.engine_listed(target);
         }
         let now = self.clock.micros(Instant::now());
-        let known = self.engines.entry(id).or_default();
-        known.start_told(target.boot_ms, listing, now);
-        known.target = target.clone();
-        known.ready = ready;
-        if !ready {
-            known.nothing_new();
+        let engine = self.engines.entry(id).or_default();
+        engine.set_reported_start(target.boot_ms, listing, now);
+        engine.target = target.clone();
+        engine.is_ready = is_ready;
+        if !is_ready {
+            engine.return_unsent();
         }
     }
 
-    /// An engine is gone from the list; its actor ends once nothing of it is out.
-    pub(super) fn forget(&mut self, id: EngineId) {
-        if let Some(known) = self.engines.remove(&id) {
-            log::info!("engine {}: no longer listed", known.target.uid);
-            if let Some(part) = &self.part {
-                part.forget_engine(&known.target.uid);
+    /// Removes an engine that is no longer listed; its actor ends once no attempt is in flight.
+    pub(super) fn remove_engine(&mut self, id: EngineId) {
+        if let Some(engine) = self.engines.remove(&id) {
+            log::info!("engine {}: no longer listed", engine.target.uid);
+            if let Some(shard) = &self.shard {
+                shard.forget_engine(&engine.target.uid);
             }
-            self.numbers.remove(&known.target.uid);
-            known.nothing_new();
+            self.engine_ids.remove(&engine.target.uid);
+            engine.return_unsent();
         }
     }
 
-    /// An engine's actor has nothing to do; it ends, unless it has been told something meanwhile.
-    pub(super) fn rests(&mut self, engine: EngineId, resting: &IdleEngine) {
-        if let Some(known) = self.engines.get_mut(&engine) {
-            known.let_go(resting);
+    /// Handles the report of an idle actor: it ends unless it was sent another command meanwhile.
+    pub(super) fn engine_idle(&mut self, engine: EngineId, idle_engine: &IdleEngine) {
+        if let Some(known_engine) = self.engines.get_mut(&engine) {
+            known_engine.release_idle_actor(idle_engine);
         }
     }
 
-    /// Guards against attempts that wait for an actor that has died.
-    pub(super) fn engine_died(&mut self, engine: EngineId) {
+    /// Ends the attempts of an actor that has died; they may have run.
+    pub(super) fn engine_actor_died(&mut self, engine: EngineId) {
         let now = Instant::now();
-        let out = self.open.iter().flat_map(|(id, open)| {
-            let there = open.all_out().filter(|(_, out)| out.engine == engine);
-            there.map(|(number, _)| (*id, number))
+        let attempts = self.open_requests.iter().flat_map(|(id, request)| {
+            let at_engine = request
+                .attempts_in_flight()
+                .filter(|(_, attempt)| attempt.engine == engine);
+            at_engine.map(|(number, _)| (*id, number))
         });
-        let out: Vec<(RequestId, AttemptNo)> = out.collect();
-        for (id, number) in out {
-            if self.is_given_up(id, number) {
-                self.confirmed(id, number);
-            } else if let Some(out) = self.take_back(id, number) {
-                self.report(id, number, engine, Outcome::Reset, out.sent, now);
+        let attempts: Vec<(RequestId, AttemptNo)> = attempts.collect();
+        for (id, number) in attempts {
+            if self.is_aborting(id, number) {
+                self.abort_confirmed(id, number);
+            } else if let Some(attempt) = self.remove_attempt(id, number) {
+                self.report_outcome(id, number, engine, Outcome::Reset, attempt.sent_at, now);
             }
         }
-        // The next attempt or probe starts another.
-        if let Some(known) = self.engines.get_mut(&engine) {
-            known.actor = None;
+        // The next attempt or probe starts a new actor.
+        if let Some(known_engine) = self.engines.get_mut(&engine) {
+            known_engine.actor = None;
         }
     }
 }
 
-/// The number that an engine's name ends in, or else one made of it.
-fn number_in(uid: &str) -> u64 {
-    let told = uid.rsplit('-').next();
-    let told = told.and_then(|hex| u64::from_str_radix(hex, 16).ok());
-    told.unwrap_or_else(|| Key::of(uid).0)
+/// The hexadecimal number after the last hyphen of the uid, or else a hash of the uid.
+fn id_from_uid(uid: &str) -> u64 {
+    let suffix = uid.rsplit('-').next();
+    let number = suffix.and_then(|hex| u64::from_str_radix(hex, 16).ok());
+    number.unwrap_or_else(|| Key::of(uid).0)
 }
 
-pub(super) fn probed(probe: ProbeResult) -> (Outcome, Option<Load>) {
+/// The outcome and the reported load that the gateway gets for a probe.
+pub(super) fn probe_outcome(probe: ProbeResult) -> (Outcome, Option<Load>) {
     match probe {
         ProbeResult::Up(load) => (Outcome::Ok, load),
         ProbeResult::Down => (Outcome::Error, None),
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -1,7 +1,7 @@
-//! The module's actor: it alone owns the gateway, the open requests, their attempts and all timers.
+//! The broker: the actor that owns a gateway, the open requests, their attempts and all timers.
 //!
-//! It gives the gateway just what the simulator's adapter would: events in the order in which they
-//! came, in batches no closer than a tick, one outcome for each send, and attempts numbered from 0.
+//! The gateway gets the same input as from the simulator's adapter: events in order of arrival, in batches at least a
+//! tick apart, exactly one outcome per send, and attempts numbered from 0.
 
 mod admin;
 mod engines;
@@ -11,8 +11,8 @@
 mod tests;
 
 use admin::Tally;
-use engines::{Known, probed};
-use requests::{GivenUp, Open, Out};
+use engines::{KnownEngine, probe_outcome};
+use requests::{InFlightAttempt, OpenRequest, PendingAbort};
 use sedgebeam_core::{
     Action, AttemptNo, Effect, Ended, EngineId, Event, Gateway, Held, Key, Micros, Outcome,
     Published, Query, RequestId, Settings, TimerId,
@@ -33,59 +33,61 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// Messages that may wait for the broker; their senders wait beyond it.
-const MAILBOX: usize = 4096;
-/// What another process holds counts for so long if nothing more is heard of it; it tells ten times a second.
-const BESIDE_LASTS: Micros = Micros::from_millis(1000);
-/// An attempt that is given up has its outcome after this time, though nothing of its engine's actor confirms it: longer
-/// than the actor needs to close a connection that does not take an abort.
-const GIVEN_UP_WITHIN: Duration = Duration::from_secs(1);
-/// Messages taken before the gateway is asked again.
-const MOST_AT_ONCE: usize = 2048;
-
+/// Capacity of the broker's mailbox; senders wait while it is full.
+const MAILBOX_CAPACITY: usize = 4096;
+/// How long the last usage report of a peer process counts. A peer process reports ten times a second.
+const PEER_USAGE_LIFETIME: Micros = Micros::from_millis(1000);
+/// An aborted attempt gets its outcome after this time even if the engine's actor does not confirm the abort. It is longer
+/// than the actor needs to close a connection on which the abort can't be written.
+const ABORT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of messages handled before the gateway gets the next batch of events.
+const MAX_MESSAGES_PER_BATCH: usize = 2048;
+
+/// What to do when a timer fires. Timers of a request carry its deadline, because its id may have been reused.
 #[derive(Clone, Copy, Debug)]
-enum Due {
-    Module(TimerId),
-    Attempt(RequestId, Instant, AttemptNo),
-    /// The confirmation that an attempt is given up is overdue.
-    GivenUp(RequestId, Instant, AttemptNo),
+enum BrokerTimer {
+    Gateway(TimerId),
+    AttemptTimeout(RequestId, Instant, AttemptNo),
+    /// The confirmation of an abort is overdue.
+    AbortTimeout(RequestId, Instant, AttemptNo),
     /// The final answer is overdue.
-    Answer(RequestId, Instant),
+    AnswerTimeout(RequestId, Instant),
 }
 
+/// The actor's state.
 pub struct Broker {
     gateway: Gateway,
     settings: Settings,
     names: Names,
     class_names: Vec<Arc<str>>,
-    /// The requests that may be open at once.
-    most_open: usize,
-    world: Arc<dyn EngineTransport>,
-    part: Option<Shard>,
-    /// Another shard has let go what this one may be waiting for.
-    woken: bool,
+    /// Maximum number of open requests, updated with each lease if there are several shards.
+    max_open_requests: usize,
+    engine_transport: Arc<dyn EngineTransport>,
+    shard: Option<Shard>,
+    /// Another shard has released capacity that this one may be waiting for.
+    capacity_released: bool,
     clock: Clock,
-    own: BrokerSender,
-    open: HashMap<RequestId, Open>,
-    engines: BTreeMap<EngineId, Known>,
-    /// The numbers of the engines that are known, by their names.
-    numbers: HashMap<String, EngineId>,
-    /// Engines that the administration has drained, whatever the list says.
+    own_sender: BrokerSender,
+    open_requests: HashMap<RequestId, OpenRequest>,
+    engines: BTreeMap<EngineId, KnownEngine>,
+    /// Ids of the known engines by uid.
+    engine_ids: HashMap<String, EngineId>,
+    /// Uids of the engines drained by the administration, regardless of their listed state.
     drained: BTreeSet<String>,
     counters: Tally,
-    figures: Figures,
-    /// What it has last told the figures of its engines.
-    told: figures::Engines,
-    /// Events that the gateway has not been told yet.
+    metrics: Figures,
+    /// The engine metrics as last reported.
+    reported_engines: figures::Engines,
+    /// Events for the gateway's next batch.
     events: Vec<Event>,
-    /// Requests that are over and have nothing out, once the gateway knows.
-    over: Vec<RequestId>,
-    due: BTreeMap<(Instant, u64), Due>,
-    due_count: u64,
-    last_batch: Option<Instant>,
+    /// Requests that are answered and have no attempt in flight, removed after the next batch.
+    finished: Vec<RequestId>,
+    timers: BTreeMap<(Instant, u64), BrokerTimer>,
+    timer_count: u64,
+    last_batch_at: Option<Instant>,
 }
 
-/// What a broker needs to know at its start.
+/// Configuration of a broker.
 #[derive(Clone)]
 pub struct BrokerConfig {
     pub runtime_settings: Arc<Tuning>,
@@ -94,43 +96,43 @@
     pub metrics: Figures,
     /// Starts the actors of engines.
     pub engine_transport: Arc<dyn EngineTransport>,
-    /// Where this is one shard of several.
+    /// Set if this broker is one of several shards.
     pub shard: Option<Shard>,
 }
 
-/// The broker and its mailbox.
-pub fn new(setup: BrokerConfig) -> (Broker, BrokerSender, mpsc::Receiver<BrokerMessage>) {
-    let (own, incoming) = mpsc::channel(MAILBOX);
+/// Creates a broker, with the sender and the receiver of its mailbox.
+pub fn new(config: BrokerConfig) -> (Broker, BrokerSender, mpsc::Receiver<BrokerMessage>) {
+    let (own_sender, incoming) = mpsc::channel(MAILBOX_CAPACITY);
     let Tuning {
         settings,
         names,
         most_open,
-    } = (*setup.runtime_settings).clone();
+    } = (*config.runtime_settings).clone();
     let broker = Broker {
-        gateway: Gateway::new(settings.clone(), setup.seed),
+        gateway: Gateway::new(settings.clone(), config.seed),
         class_names: class_names(&settings),
         settings,
         names,
-        most_open,
-        world: setup.engine_transport,
-        part: setup.shard,
-        woken: false,
-        clock: setup.clock,
-        own: own.clone(),
-        open: HashMap::new(),
+        max_open_requests: most_open,
+        engine_transport: config.engine_transport,
+        shard: config.shard,
+        capacity_released: false,
+        clock: config.clock,
+        own_sender: own_sender.clone(),
+        open_requests: HashMap::new(),
         engines: BTreeMap::new(),
-        numbers: HashMap::new(),
+        engine_ids: HashMap::new(),
         drained: BTreeSet::new(),
         counters: Tally::default(),
-        figures: setup.metrics,
-        told: figures::Engines::default(),
+        metrics: config.metrics,
+        reported_engines: figures::Engines::default(),
         events: Vec::new(),
-        over: Vec::new(),
-        due: BTreeMap::new(),
-        due_count: 0,
-        last_batch: None,
+        finished: Vec::new(),
+        timers: BTreeMap::new(),
+        timer_count: 0,
+        last_batch_at: None,
     };
-    (broker, own, incoming)
+    (broker, own_sender, incoming)
 }
 
 fn class_names(settings: &Settings) -> Vec<Arc<str>> {
@@ -138,288 +140,323 @@
     classes.map(|class| class.name.as_str().into()).collect()
 }
 
-/// What other processes hold, as a shard would tell it: classes by their places here.
-fn abroad(held: &Held, classes: &[Arc<str>], until: Micros) -> Published {
-    let engines = held.engines.iter();
-    let class = |name: &Arc<str>| {
-        let held = held.classes.iter().find(|held| *held.name == **name);
-        held.map(|held| held.out).unwrap_or_default()
+/// Converts the usage of peer processes to that of a shard, with classes in the order of this process's settings.
+fn peer_usage(usage: &Held, classes: &[Arc<str>], until: Micros) -> Published {
+    let engines = usage.engines.iter();
+    let class_usage = |name: &Arc<str>| {
+        let class = usage.classes.iter().find(|class| *class.name == **name);
+        class.map(|class| class.out).unwrap_or_default()
     };
     Published {
         engines: engines
-            .map(|held| (held.engine, held.out.clone()))
+            .map(|engine| (engine.engine, engine.out.clone()))
             .collect(),
-        classes: classes.iter().map(class).collect(),
+        classes: classes.iter().map(class_usage).collect(),
         until,
         ..Published::default()
     }
 }
 
 impl Broker {
-    /// Runs until every sender of its mailbox but its own is gone, which is never.
+    /// Runs the broker. It never returns in practice, because the broker holds a sender of its own mailbox.
     pub async fn run(mut self, mut incoming: mpsc::Receiver<BrokerMessage>) {
         loop {
-            let wake = self.wakes_at();
+            let wakeup_at = self.next_wakeup();
             tokio::select! {
                 biased;
                 message = incoming.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                () = woken(self.part.as_ref()) => self.woken = true,
-                () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => {}
+                () = wait_for_capacity(self.shard.as_ref()) => self.capacity_released = true,
+                () = sleep_until(wakeup_at.unwrap_or_else(Instant::now)), if wakeup_at.is_some() => {}
             }
-            for _ in 0..MOST_AT_ONCE {
+            for _ in 0..MAX_MESSAGES_PER_BATCH {
                 match incoming.try_recv() {
-                    Ok(message) => self.take(message),
+                    Ok(message) => self.handle_message(message),
                     Err(_) => break,
                 }
             }
             let now = Instant::now();
-            if let Some(part) = &self.part {
-                part.heartbeat();
+            if let Some(shard) = &self.shard {
+                shard.heartbeat();
             }
-            self.fall_due(now);
-            if self.has_news() && now >= self.next_batch(now) {
-                self.batch(now);
+            self.fire_timers(now);
+            if self.has_pending_events() && now >= self.next_batch_at(now) {
+                self.process_batch(now);
             }
         }
     }
 
-    fn next_batch(&self, now: Instant) -> Instant {
+    fn next_batch_at(&self, now: Instant) -> Instant {
         let tick = to_duration(self.settings.tick);
-        self.last_batch.map_or(now, |last| last + tick)
+        self.last_batch_at.map_or(now, |last| last + tick)
     }
 
-    fn wakes_at(&self) -> Option<Instant> {
-        let batch = self.has_news().then(|| self.next_batch(Instant::now()));
-        let due = self.due.first_key_value().map(|((at, _), _)| *at);
-        let beat = self
-            .part
+    fn next_wakeup(&self) -> Option<Instant> {
+        let batch_at = self
+            .has_pending_events()
+            .then(|| self.next_batch_at(Instant::now()));
+        let timer_at = self.timers.first_key_value().map(|((at, _), _)| *at);
+        let heartbeat_at = self
+            .shard
             .as_ref()
             .map(|_| Instant::now() + HEARTBEAT_INTERVAL);
-        batch.into_iter().chain(due).chain(beat).min()
+        batch_at
+            .into_iter()
+            .chain(timer_at)
+            .chain(heartbeat_at)
+            .min()
     }
 
-    /// Whether the gateway has something to hear.
-    fn has_news(&self) -> bool {
-        self.woken || !self.events.is_empty()
+    /// Whether there is anything for the gateway to process.
+    fn has_pending_events(&self) -> bool {
+        self.capacity_released || !self.events.is_empty()
     }
 
-    fn at(&mut self, when: Instant, due: Due) {
-        self.due_count += 1;
-        self.due.insert((when, self.due_count), due);
+    fn set_timer(&mut self, at: Instant, timer: BrokerTimer) {
+        self.timer_count += 1;
+        self.timers.insert((at, self.timer_count), timer);
     }
 
-    fn fall_due(&mut self, now: Instant) {
-        while let Some(first) = self.due.first_entry().filter(|first| first.key().0 <= now) {
+    fn fire_timers(&mut self, now: Instant) {
+        while let Some(first) = self
+            .timers
+            .first_entry()
+            .filter(|first| first.key().0 <= now)
+        {
             match first.remove() {
-                Due::Module(timer) => self.events.push(Event::Timer(timer)),
-                // Of a request that is over another may have the name by now, with a time of its own.
-                Due::Attempt(id, deadline, number) if self.is_of(id, deadline) => {
-                    self.timed_out(id, number, now);
+                BrokerTimer::Gateway(timer) => self.events.push(Event::Timer(timer)),
+                // A finished request's id may have been reused by a request with another deadline.
+                BrokerTimer::AttemptTimeout(id, deadline, number)
+                    if self.is_open_with_deadline(id, deadline) =>
+                {
+                    self.attempt_timed_out(id, number, now);
+                }
+                BrokerTimer::AbortTimeout(id, deadline, number)
+                    if self.is_open_with_deadline(id, deadline) =>
+                {
+                    self.abort_timed_out(id, number, now);
                 }
-                Due::GivenUp(id, deadline, number) if self.is_of(id, deadline) => {
-                    self.unconfirmed(id, number, now);
+                BrokerTimer::AnswerTimeout(id, deadline)
+                    if self.is_open_with_deadline(id, deadline) =>
+                {
+                    self.answer_overdue(id)
                 }
-                Due::Answer(id, deadline) if self.is_of(id, deadline) => self.overdue(id),
-                Due::Attempt(..) | Due::GivenUp(..) | Due::Answer(..) => {}
+                BrokerTimer::AttemptTimeout(..)
+                | BrokerTimer::AbortTimeout(..)
+                | BrokerTimer::AnswerTimeout(..) => {}
             }
         }
     }
 
-    /// Whether the request of this name is the one with this deadline.
-    fn is_of(&self, id: RequestId, deadline: Instant) -> bool {
-        let open = self.open.get(&id);
-        open.is_some_and(|open| open.deadline == deadline)
+    /// Whether the open request with this id is the one with this deadline.
+    fn is_open_with_deadline(&self, id: RequestId, deadline: Instant) -> bool {
+        let request = self.open_requests.get(&id);
+        request.is_some_and(|request| request.deadline == deadline)
     }
 
-    /// Tells the gateway what has happened and does what it says.
-    fn batch(&mut self, now: Instant) {
-        self.last_batch = Some(now);
-        self.woken = false;
+    /// Passes the collected events to the gateway and executes its actions.
+    fn process_batch(&mut self, now: Instant) {
+        self.last_batch_at = Some(now);
+        self.capacity_released = false;
         let mut events = std::mem::take(&mut self.events);
         for event in &mut events {
             if let Event::Request(query) = event {
-                let open = self.open.get(&query.id);
-                let left = open.map_or(Micros(0), |open| {
-                    to_micros(open.deadline.saturating_duration_since(now))
+                let request = self.open_requests.get(&query.id);
+                let remaining = request.map_or(Micros(0), |request| {
+                    to_micros(request.deadline.saturating_duration_since(now))
                 });
-                query.remaining = left;
+                query.remaining = remaining;
             }
         }
-        let told = std::mem::take(&mut self.over);
+        let finished = std::mem::take(&mut self.finished);
         events.iter().for_each(|event| log::trace!("{event:?}"));
-        let (actions, stands) = self.decide(now, events);
+        let (actions, is_valid) = self.decide(now, events);
         for action in actions {
             log::trace!("{action:?}");
             match action {
                 Action::Send {
                     request, engine, ..
-                } if !stands => self.not_sent(request, engine, Outcome::Moot, now),
-                action => self.act(action, now),
+                } if !is_valid => self.report_unsent(request, engine, Outcome::Moot, now),
+                action => self.execute(action, now),
             }
         }
-        for id in told {
-            self.open.remove(&id);
-            if let Some(part) = &self.part {
-                part.release_request(id);
+        for id in finished {
+            self.open_requests.remove(&id);
+            if let Some(shard) = &self.shard {
+                shard.release_request(id);
             }
         }
-        self.tell_engines();
+        self.update_engine_metrics();
     }
 
-    /// Tells the figures what is believed of the engines, where that has changed.
-    fn tell_engines(&mut self) {
+    /// Updates the metrics of discovered and ejected engines if they have changed.
+    fn update_engine_metrics(&mut self) {
         let avoided = self.gateway.avoided().into_iter();
         let engines = figures::Engines {
             discovered: self.engines.len(),
             avoided: avoided.map(|(id, until)| (id.0, until.0)).collect(),
         };
-        if engines != self.told {
-            let shard = self.part.as_ref().map_or(0, Shard::index);
-            self.figures.engines(shard, engines.clone());
-            self.told = engines;
+        if engines != self.reported_engines {
+            let shard = self.shard.as_ref().map_or(0, Shard::index);
+            self.metrics.engines(shard, engines.clone());
+            self.reported_engines = engines;
         }
     }
 
-    /// What the gateway says, and whether it may be carried out: as one shard of several it decides on room
-    /// that it has borrowed, and what it decides too late may have been given to others.
+    /// Returns the gateway's actions and whether sends may be executed. With several shards the gateway decides on leased
+    /// capacity: if the decision outlasts the lease, the capacity may already be leased to another shard.
     fn decide(&mut self, now: Instant, events: Vec<Event>) -> (Vec<Action>, bool) {
         let at = self.clock.micros(now);
-        let Some(part) = self.part.clone() else {
+        let Some(shard) = self.shard.clone() else {
             return (self.gateway.handle(at, events), true);
         };
-        let wish = self.gateway.wish(at, &events);
-        let loan = part.acquire(at, &wish, self.open.len());
-        self.most_open = loan.open;
-        self.gateway.hear(loan.siblings);
+        let demand = self.gateway.wish(at, &events);
+        let lease = shard.acquire(at, &demand, self.open_requests.len());
+        self.max_open_requests = lease.open;
+        self.gateway.hear(lease.siblings);
         let actions = self.gateway.handle(at, events);
-        let told = self.gateway.publish();
-        let stands = part.settle(loan.ticket, self.clock.micros(Instant::now()), told);
-        if !stands {
-            log::warn!("a decision took too long: nothing of it is sent");
+        let usage = self.gateway.publish();
+        let is_valid = shard.settle(lease.ticket, self.clock.micros(Instant::now()), usage);
+        if !is_valid {
+            log::warn!("the lease expired before the decision was complete; its sends are dropped");
         }
-        (actions, stands)
+        (actions, is_valid)
     }
 
-    /// A send that is not made: it never ran.
-    fn not_sent(&mut self, id: RequestId, to: EngineId, outcome: Outcome, now: Instant) {
-        if let Some(open) = self.open.get_mut(&id) {
-            let number = AttemptNo(open.attempts.len() as u32);
-            open.attempts.push(None);
-            self.report(id, number, to, outcome, now, now);
+    /// Reports the outcome of a send that was not made.
+    fn report_unsent(
+        &mut self,
+        id: RequestId,
+        engine_id: EngineId,
+        outcome: Outcome,
+        now: Instant,
+    ) {
+        if let Some(request) = self.open_requests.get_mut(&id) {
+            let number = AttemptNo(request.attempts.len() as u32);
+            request.attempts.push(None);
+            self.report_outcome(id, number, engine_id, outcome, now, now);
         }
     }
 
-    fn act(&mut self, action: Action, now: Instant) {
+    fn execute(&mut self, action: Action, now: Instant) {
         match action {
             Action::Terms {
                 request,
                 memory_mb,
                 priority,
-            } => self.terms(request, memory_mb, priority),
+            } => self.update_terms(request, memory_mb, priority),
             Action::Send {
                 request,
                 engine,
                 timeout,
                 starts_by,
             } => self.send(request, engine, timeout, starts_by, now),
-            Action::Cancel { request, attempt } => self.call_off(request, attempt, now),
+            Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt, now),
             Action::Refuse {
                 request,
                 retry_after,
             } => {
                 let retry_after = to_duration(retry_after);
-                self.conclude(request, Answer::Refused { retry_after });
+                self.send_answer(request, Answer::Refused { retry_after });
             }
             Action::Fail { request } => {
-                self.conclude(request, Answer::Failed(Failure::OutcomeUnknown));
+                self.send_answer(request, Answer::Failed(Failure::OutcomeUnknown));
             }
             Action::Timer { timer, at } => {
                 let at = self.clock.instant(at);
-                self.at(at, Due::Module(timer));
+                self.set_timer(at, BrokerTimer::Gateway(timer));
             }
             Action::Probe { engine } => self.probe(engine),
-            // The change log is followed by itself.
+            // The change log is followed by a task of its own.
             Action::Follow => {}
             Action::Log(text) => log::info!("{text}"),
         }
     }
 
-    fn take(&mut self, message: BrokerMessage) {
+    fn handle_message(&mut self, message: BrokerMessage) {
         match message {
             BrokerMessage::Submit(request, reply) => self.submit(request, reply),
             BrokerMessage::ClientLeft(id) => self.client_left(id, Failure::Cancelled),
-            BrokerMessage::EngineReport(engine, EngineReport::AttemptEnded(id, number, end)) => {
-                self.ended(engine, id, number, end);
+            BrokerMessage::EngineReport(engine, EngineReport::AttemptEnded(id, number, result)) => {
+                self.attempt_ended(engine, id, number, result);
             }
             BrokerMessage::EngineReport(engine, EngineReport::AbortConfirmed(id, number)) => {
-                if self.is_out(engine, id, number) {
-                    self.confirmed(id, number);
+                if self.is_in_flight(engine, id, number) {
+                    self.abort_confirmed(id, number);
                 }
             }
             BrokerMessage::EngineReport(engine, EngineReport::Note(id, number, note)) => {
-                if self.is_out(engine, id, number) && !self.is_given_up(id, number) {
+                if self.is_in_flight(engine, id, number) && !self.is_aborting(id, number) {
                     self.events.push(Event::Note(id, number, note));
                 }
             }
             BrokerMessage::EngineReport(engine, EngineReport::Probed(probe)) => {
-                let (outcome, load) = probed(probe);
+                let (outcome, load) = probe_outcome(probe);
                 self.events.push(Event::Probed(engine, outcome, load));
             }
-            BrokerMessage::EngineReport(engine, EngineReport::Idle(resting)) => {
-                self.rests(engine, &resting)
+            BrokerMessage::EngineReport(engine, EngineReport::Idle(idle_engine)) => {
+                self.engine_idle(engine, &idle_engine)
+            }
+            BrokerMessage::EngineActorDied(engine) => self.engine_actor_died(engine),
+            BrokerMessage::EngineList(listing, targets) => {
+                self.update_engine_list(listing, targets)
             }
-            BrokerMessage::EngineActorDied(engine) => self.engine_died(engine),
-            BrokerMessage::EngineList(listing, targets) => self.list(listing, targets),
             BrokerMessage::GetHandoverState(reply) => {
-                // Whoever asked may have gone.
+                // The requester may have stopped waiting.
                 let _ = reply.send(self.gateway.held_over());
             }
-            BrokerMessage::RestoreHandoverState(held) => {
-                // The gateway must know of the engines first.
-                self.batch(Instant::now());
-                self.gateway.take_over(&held);
+            BrokerMessage::RestoreHandoverState(state) => {
+                // The gateway must have the engine list first.
+                self.process_batch(Instant::now());
+                self.gateway.take_over(&state);
+            }
+            BrokerMessage::SetPeerProcessUsage(usage, may_use_cold_engines) => {
+                self.set_peer_process_usage(&usage, may_use_cold_engines)
             }
-            BrokerMessage::SetPeerProcessUsage(held, may_warm) => self.beside(&held, may_warm),
             BrokerMessage::Shutdown => self.events.push(Event::LastCall),
-            // Whoever told of them waits for the sender to be dropped.
-            BrokerMessage::Reconfigure(tuning, _held) => self.retune(&tuning),
-            BrokerMessage::Admin(asked, reply) => {
-                // A client that has gone needs no answer.
-                let _ = reply.send(self.administer(asked));
+            // The sender is dropped after the call, which the requester waits for.
+            BrokerMessage::Reconfigure(runtime_settings, _applied) => {
+                self.reconfigure(&runtime_settings)
+            }
+            BrokerMessage::Admin(request, reply) => {
+                // The requester may have stopped waiting.
+                let _ = reply.send(self.administer(request));
             }
         }
     }
 
-    /// Takes new settings: what came before was told under the old ones, and the gateway hears it first.
-    fn retune(&mut self, tuning: &Tuning) {
+    /// Applies new settings. Earlier events refer to the old settings, so the gateway processes them first.
+    fn reconfigure(&mut self, runtime_settings: &Tuning) {
         if !self.events.is_empty() {
-            self.batch(Instant::now());
+            self.process_batch(Instant::now());
         }
-        self.settings = tuning.settings.clone();
-        self.names = tuning.names.clone();
-        self.most_open = tuning.most_open;
+        self.settings = runtime_settings.settings.clone();
+        self.names = runtime_settings.names.clone();
+        self.max_open_requests = runtime_settings.most_open;
         self.class_names = class_names(&self.settings);
-        if let Some(part) = &self.part {
-            part.reconfigure(&self.settings, self.most_open);
+        if let Some(shard) = &self.shard {
+            shard.reconfigure(&self.settings, self.max_open_requests);
         }
-        self.gateway.retune(tuning.settings.clone());
-        // Kinds and zones may stand at other places now.
-        let targets = self.engines.values().map(|known| known.target.clone());
-        self.list(Listing::Complete, targets.collect());
-    }
-
-    /// Other processes of this dispatcher hold so much. Of several shards the ledger tells each what the others
-    /// hold, and what other processes do; each shard hears of those and tells it the same.
-    fn beside(&mut self, held: &Held, may_warm: bool) {
-        let (now, nothing) = (self.clock.micros(Instant::now()), Held::default());
-        if let Some(part) = &self.part {
-            part.set_peer_process_usage(now, abroad(held, &self.class_names, now + BESIDE_LASTS));
-            self.gateway.beside(now, &nothing, may_warm);
+        self.gateway.retune(runtime_settings.settings.clone());
+        // Kinds and zones may be numbered differently now.
+        let targets = self.engines.values().map(|engine| engine.target.clone());
+        self.update_engine_list(Listing::Complete, targets.collect());
+    }
+
+    /// Sets the usage by other processes of this dispatcher. With several shards every shard passes it to the lease table,
+    /// which adds it to the usage of siblings in each lease; the gateway itself then gets none, so it is not counted twice.
+    fn set_peer_process_usage(&mut self, usage: &Held, may_use_cold_engines: bool) {
+        let (now, no_usage) = (self.clock.micros(Instant::now()), Held::default());
+        if let Some(shard) = &self.shard {
+            shard.set_peer_process_usage(
+                now,
+                peer_usage(usage, &self.class_names, now + PEER_USAGE_LIFETIME),
+            );
+            self.gateway.beside(now, &no_usage, may_use_cold_engines);
         } else {
-            self.gateway.beside(now, held, may_warm);
+            self.gateway.beside(now, usage, may_use_cold_engines);
         }
     }
 
@@ -429,45 +466,45 @@
         let refused = Answer::Refused {
             retry_after: to_duration(self.settings.max_retry_after),
         };
-        // An answer that nobody waits for any more is no loss.
+        // Errors of `send` are ignored: nobody waits for the answer any more.
         if request.cancel_token.is_cancelled() {
             let _ = reply.send(Answer::Failed(Failure::Cancelled));
             return;
         }
-        if self.open.contains_key(&request.id) {
+        if self.open_requests.contains_key(&request.id) {
             let _ = reply.send(Answer::Failed(Failure::DuplicateId));
             return;
         }
-        // A class that is not known would never have an answer.
-        let unknown = request.class.0 >= self.class_names.len();
-        if self.open.len() >= self.most_open || unknown {
+        // The gateway would never answer a request of an unknown class.
+        let is_unknown_class = request.class.0 >= self.class_names.len();
+        if self.open_requests.len() >= self.max_open_requests || is_unknown_class {
             let _ = reply.send(refused);
             return;
         }
         let id = request.id;
-        let named = request.tenant.as_deref();
-        let tenant = named.and_then(|name| self.names.tenant(name));
-        // One that names a tenant that there is not must not be served as if it named none.
-        if named.is_some() && tenant.is_none() {
+        let tenant_name = request.tenant.as_deref();
+        let tenant = tenant_name.and_then(|name| self.names.tenant(name));
+        // A request of an unknown tenant must not be served as one without a tenant.
+        if tenant_name.is_some() && tenant.is_none() {
             let _ = reply.send(Answer::Failed(Failure::UnknownTenant));
             return;
         }
         if self
-            .part
+            .shard
             .as_ref()
-            .is_some_and(|part| !part.claim_request(id))
+            .is_some_and(|shard| !shard.claim_request(id))
         {
             let _ = reply.send(Answer::Failed(Failure::DuplicateId));
             return;
         }
         let class = &self.class_names[request.class.0];
-        self.counters.taken(class, named);
+        self.counters.count_accepted(class, tenant_name);
         self.events.push(Event::Request(Query {
             id,
             class: request.class,
             tenant,
             key: request.order_key.as_deref().map(Key::of),
-            // Set when the gateway is told.
+            // Set when the batch is processed.
             remaining: Micros(0),
             work: request.work,
             memory_mb: request.memory_mb,
@@ -475,73 +512,89 @@
             is_retry: request.is_retry,
         }));
         let slack = to_duration(self.settings.answer_slack);
-        self.at(request.deadline + slack, Due::Answer(id, request.deadline));
-        self.open.insert(id, Open::new(request, tenant, reply));
+        self.set_timer(
+            request.deadline + slack,
+            BrokerTimer::AnswerTimeout(id, request.deadline),
+        );
+        self.open_requests
+            .insert(id, OpenRequest::new(request, tenant, reply));
     }
 
-    /// Gives the final answer, unless it has been given.
-    fn conclude(&mut self, id: RequestId, answer: Answer) {
-        let Some(open) = self.open.get_mut(&id) else {
+    /// Sends the final answer, unless the request has been answered.
+    fn send_answer(&mut self, id: RequestId, answer: Answer) {
+        let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
-        let Some(reply) = open.reply.take() else {
+        let Some(reply) = request.reply.take() else {
             return;
         };
-        let class = &self.class_names[open.class.0];
-        let tenant = open
+        let class = &self.class_names[request.class.0];
+        let tenant = request
             .tenant
             .and_then(|tenant| self.settings.tenants.get(tenant.0));
         let tenant = tenant.map(|tenant| tenant.name.as_str());
-        self.counters.answered(class, tenant, &answer);
-        // The client may have gone in this moment; then its result is dropped, and so let go.
+        self.counters.count_answer(class, tenant, &answer);
+        // If the client has just disconnected, the result is dropped, which releases it at the engine.
         let _ = reply.send(answer);
-        self.settle(id);
+        self.note_if_finished(id);
     }
 
-    /// Notes a request that is over and has nothing out, once: noted again it would take one of the same name with it
-    /// that has come since.
-    fn settle(&mut self, id: RequestId) {
-        if let Some(open) = self.open.get_mut(&id)
-            && open.is_settled()
-            && !std::mem::replace(&mut open.noted, true)
+    /// Schedules the removal of a request that is answered and has no attempt in flight. This happens once: a second
+    /// removal could hit a later request with the same id.
+    fn note_if_finished(&mut self, id: RequestId) {
+        if let Some(request) = self.open_requests.get_mut(&id)
+            && request.is_finished()
+            && !std::mem::replace(&mut request.is_noted_as_finished, true)
         {
-            self.over.push(id);
+            self.finished.push(id);
         }
     }
 
-    fn client_left(&mut self, id: RequestId, why: Failure) {
-        if self.open.get(&id).is_some_and(|open| open.reply.is_some()) {
+    fn client_left(&mut self, id: RequestId, failure: Failure) {
+        if self
+            .open_requests
+            .get(&id)
+            .is_some_and(|request| request.reply.is_some())
+        {
             self.events.push(Event::ClientLeft(id));
-            self.conclude(id, Answer::Failed(why));
+            self.send_answer(id, Answer::Failed(failure));
         }
     }
 
-    /// Guards against a request that the gateway leaves without an answer.
-    fn overdue(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|open| open.reply.is_some()) {
-            log::error!("request {:016x} is overdue", id.0);
+    /// Answers a request that the gateway has left without an answer.
+    fn answer_overdue(&mut self, id: RequestId) {
+        if self
+            .open_requests
+            .get(&id)
+            .is_some_and(|request| request.reply.is_some())
+        {
+            log::error!("request {:016x} has no answer after its deadline", id.0);
             self.client_left(id, Failure::OutcomeUnknown);
         }
     }
 
     // ---- Attempts ----
 
-    /// Whether it is out there: of an earlier request of this name the same attempt may have been elsewhere.
-    fn is_out(&self, engine: EngineId, id: RequestId, number: AttemptNo) -> bool {
-        let out = self.open.get(&id).and_then(|open| open.out(number));
-        out.is_some_and(|out| out.engine == engine)
+    /// Whether the attempt is in flight at this engine. An attempt with the same number of an earlier request with the
+    /// same id may have been sent to another engine.
+    fn is_in_flight(&self, engine: EngineId, id: RequestId, number: AttemptNo) -> bool {
+        let attempt = self
+            .open_requests
+            .get(&id)
+            .and_then(|request| request.attempt_in_flight(number));
+        attempt.is_some_and(|attempt| attempt.engine == engine)
     }
 
-    /// Memory for what is sent next; the priority holds at once for what is out as well.
-    fn terms(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
-        let Some(open) = self.open.get_mut(&id) else {
+    /// Sets the memory grant of the next attempt, and the priority, which also applies to attempts in flight.
+    fn update_terms(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
+        let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
-        open.memory_grant_mb = memory_grant(memory_mb);
-        let changed = std::mem::replace(&mut open.rank, priority) != priority;
-        for (number, out) in open.all_out().filter(|_| changed) {
-            post(
-                &out.mailbox,
+        request.memory_grant_mb = memory_grant(memory_mb);
+        let changed = std::mem::replace(&mut request.priority, priority) != priority;
+        for (number, attempt) in request.attempts_in_flight().filter(|_| changed) {
+            send_command(
+                &attempt.mailbox,
                 EngineCommand::Reprioritize(id, number, priority),
             );
         }
@@ -550,187 +603,229 @@
     fn send(
         &mut self,
         id: RequestId,
-        to: EngineId,
+        engine_id: EngineId,
         timeout: Micros,
         starts_by: Option<Micros>,
         now: Instant,
     ) {
-        // Its client has gone, and the word of that waits behind other messages.
+        // The client has left, but `ClientLeft` is still waiting behind other messages.
         if self
-            .open
+            .open_requests
             .get(&id)
-            .is_some_and(|open| open.cancelled.is_cancelled())
+            .is_some_and(|request| request.cancel_token.is_cancelled())
         {
             self.client_left(id, Failure::Cancelled);
         }
-        let Some(open) = self.open.get_mut(&id) else {
-            log::error!("a send for request {:016x}, which is not open", id.0);
+        let Some(request) = self.open_requests.get_mut(&id) else {
+            log::error!("the gateway sent request {:016x}, which is not open", id.0);
             return;
         };
-        let known = self.engines.get_mut(&to).filter(|known| known.ready);
-        let number = AttemptNo(open.attempts.len() as u32);
-        let most = self.settings.max_attempts;
-        let spent = most > 0 && number.0 >= most;
-        let doubled = !self.settings.second_copies && open.all_out().next().is_some();
-        let moot = open.reply.is_none() || now >= open.deadline || spent || doubled;
-        let Some(known) = known.filter(|_| !moot) else {
-            let outcome = if moot {
+        let engine = self
+            .engines
+            .get_mut(&engine_id)
+            .filter(|engine| engine.is_ready);
+        let number = AttemptNo(request.attempts.len() as u32);
+        let max_attempts = self.settings.max_attempts;
+        let attempts_exhausted = max_attempts > 0 && number.0 >= max_attempts;
+        let has_attempt_in_flight =
+            !self.settings.second_copies && request.attempts_in_flight().next().is_some();
+        let is_obsolete = request.reply.is_none()
+            || now >= request.deadline
+            || attempts_exhausted
+            || has_attempt_in_flight;
+        let Some(engine) = engine.filter(|_| !is_obsolete) else {
+            let outcome = if is_obsolete {
                 Outcome::Moot
             } else {
                 Outcome::ConnectFailed
             };
-            return self.not_sent(id, to, outcome, now);
+            return self.report_unsent(id, engine_id, outcome, now);
         };
-        let left = open.deadline - now;
+        let remaining = request.deadline - now;
         let timeout = match timeout {
-            Micros(0) => left,
-            timeout => to_duration(timeout).min(left),
+            Micros(0) => remaining,
+            timeout => to_duration(timeout).min(remaining),
         };
         let attempt = Attempt {
             request: id,
             number,
-            class: self.class_names[open.class.0].clone(),
+            class: self.class_names[request.class.0].clone(),
             deadline: now + timeout,
-            priority: open.rank,
-            // Settings that came since the terms may heed none.
-            memory_grant_mb: open.memory_grant_mb.filter(|_| self.settings.takes_grants),
-            statement: open.statement.clone(),
-            idempotency_token: open.token.clone(),
-            order_key: open.order_key.clone(),
-            cancel_token: open.cancelled.child_token(),
-            starts_by: starts_by.map_or(now + timeout, |by| {
-                self.clock.instant(by).min(now + timeout)
+            priority: request.priority,
+            // Grants may have been disabled by new settings since the grant was set.
+            memory_grant_mb: request
+                .memory_grant_mb
+                .filter(|_| self.settings.takes_grants),
+            statement: request.statement.clone(),
+            idempotency_token: request.idempotency_token.clone(),
+            order_key: request.order_key.clone(),
+            cancel_token: request.cancel_token.child_token(),
+            starts_by: starts_by.map_or(now + timeout, |starts_by| {
+                self.clock.instant(starts_by).min(now + timeout)
             }),
         };
-        let cancelled = attempt.cancel_token.clone();
-        let reports = || EngineReporter::new(to, self.own.clone());
-        let Some(mailbox) = known.post(EngineCommand::Send(attempt), &*self.world, reports) else {
-            return self.not_sent(id, to, Outcome::ConnectFailed, now);
+        let cancel_token = attempt.cancel_token.clone();
+        let reporter = || EngineReporter::new(engine_id, self.own_sender.clone());
+        let Some(mailbox) = engine.send_to_actor(
+            EngineCommand::Send(attempt),
+            &*self.engine_transport,
+            reporter,
+        ) else {
+            return self.report_unsent(id, engine_id, Outcome::ConnectFailed, now);
         };
-        open.attempts.push(Some(Out {
-            engine: to,
+        request.attempts.push(Some(InFlightAttempt {
+            engine: engine_id,
             mailbox,
-            sent: now,
-            cancelled,
-            given_up: None,
+            sent_at: now,
+            cancel_token,
+            abort: None,
         }));
-        let deadline = open.deadline;
-        self.at(now + timeout, Due::Attempt(id, deadline, number));
+        let deadline = request.deadline;
+        self.set_timer(
+            now + timeout,
+            BrokerTimer::AttemptTimeout(id, deadline, number),
+        );
     }
 
-    /// Tells the gateway how an attempt ended.
-    fn report(
+    /// Reports the outcome of an attempt to the gateway.
+    fn report_outcome(
         &mut self,
         id: RequestId,
         number: AttemptNo,
         engine: EngineId,
         outcome: Outcome,
-        sent: Instant,
-        now: Instant,
+        sent_at: Instant,
+        ended_at: Instant,
     ) {
-        self.counters.ended(outcome);
-        let open = self.open.get(&id);
+        self.counters.count_attempt(outcome);
+        let request = self.open_requests.get(&id);
         self.events.push(Event::Ended(Ended {
             request: id,
             attempt: number,
             engine,
             outcome,
-            took: to_micros(now - sent),
-            finished: open.is_none_or(|open| open.reply.is_none()),
+            took: to_micros(ended_at - sent_at),
+            finished: request.is_none_or(|request| request.reply.is_none()),
             work: None,
             load: None,
         }));
-        self.settle(id);
+        self.note_if_finished(id);
     }
 
-    /// Takes an attempt back, if it is out; what is still unwritten of it stays so.
-    fn take_back(&mut self, id: RequestId, number: AttemptNo) -> Option<Out> {
-        let open = self.open.get_mut(&id)?;
-        let out = open.attempts.get_mut(number.0 as usize)?.take()?;
-        out.cancelled.cancel();
-        Some(out)
+    /// Removes an attempt that is in flight and cancels its token, so that nothing more of it is written.
+    fn remove_attempt(&mut self, id: RequestId, number: AttemptNo) -> Option<InFlightAttempt> {
+        let request = self.open_requests.get_mut(&id)?;
+        let attempt = request.attempts.get_mut(number.0 as usize)?.take()?;
+        attempt.cancel_token.cancel();
+        Some(attempt)
     }
 
-    fn call_off(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        self.give_up(id, number, Outcome::Cancelled, now);
+    fn cancel_attempt(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
+        self.abort_attempt(id, number, Outcome::Cancelled, now);
     }
 
-    fn timed_out(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        self.give_up(id, number, Outcome::TimedOut, now);
+    fn attempt_timed_out(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
+        self.abort_attempt(id, number, Outcome::TimedOut, now);
     }
 
-    /// Gives an attempt up, if it is out. Where another may follow, the gateway hears of it only once its engine's actor
-    /// has confirmed that it is out no longer: two attempts of one request must not be out together.
-    fn give_up(&mut self, id: RequestId, number: AttemptNo, outcome: Outcome, now: Instant) {
-        let Some(open) = self.open.get_mut(&id) else {
+    /// Aborts an attempt that is in flight. If another attempt may follow, the outcome is reported only after the engine's
+    /// actor has confirmed the abort, because two attempts of one request must not be in flight together.
+    fn abort_attempt(&mut self, id: RequestId, number: AttemptNo, outcome: Outcome, now: Instant) {
+        let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
-        let effect = self.settings.classes[open.class.0].effect;
-        let final_attempt = open.reply.is_none() || now >= open.deadline || effect == Effect::Once;
-        let deadline = open.deadline;
-        let out = open.attempts.get_mut(number.0 as usize);
-        let Some(out) = out.and_then(Option::as_mut) else {
+        let effect = self.settings.classes[request.class.0].effect;
+        let is_final_attempt =
+            request.reply.is_none() || now >= request.deadline || effect == Effect::Once;
+        let deadline = request.deadline;
+        let attempt = request.attempts.get_mut(number.0 as usize);
+        let Some(attempt) = attempt.and_then(Option::as_mut) else {
             return;
         };
-        if out.given_up.is_some() {
+        if attempt.abort.is_some() {
             return;
         }
-        out.cancelled.cancel();
-        out.given_up = Some(GivenUp { outcome, at: now });
-        post(&out.mailbox, EngineCommand::Abort(id, number));
-        if final_attempt {
-            self.confirmed(id, number);
+        attempt.cancel_token.cancel();
+        attempt.abort = Some(PendingAbort {
+            outcome,
+            aborted_at: now,
+        });
+        send_command(&attempt.mailbox, EngineCommand::Abort(id, number));
+        if is_final_attempt {
+            self.abort_confirmed(id, number);
         } else {
-            // From the deadline on nothing follows.
-            let latest = deadline.min(now + GIVEN_UP_WITHIN);
-            self.at(latest, Due::GivenUp(id, deadline, number));
+            // No attempt follows after the deadline.
+            let expires_at = deadline.min(now + ABORT_TIMEOUT);
+            self.set_timer(expires_at, BrokerTimer::AbortTimeout(id, deadline, number));
         }
     }
 
-    fn is_given_up(&self, id: RequestId, number: AttemptNo) -> bool {
-        let out = self.open.get(&id).and_then(|open| open.out(number));
-        out.is_some_and(|out| out.given_up.is_some())
+    fn is_aborting(&self, id: RequestId, number: AttemptNo) -> bool {
+        let attempt = self
+            .open_requests
+            .get(&id)
+            .and_then(|request| request.attempt_in_flight(number));
+        attempt.is_some_and(|attempt| attempt.abort.is_some())
     }
 
-    /// An attempt that was given up is out no longer.
-    fn confirmed(&mut self, id: RequestId, number: AttemptNo) {
-        if !self.is_given_up(id, number) {
+    /// Removes an aborted attempt and reports its outcome.
+    fn abort_confirmed(&mut self, id: RequestId, number: AttemptNo) {
+        if !self.is_aborting(id, number) {
             return;
         }
-        if let Some(out) = self.take_back(id, number)
-            && let Some(GivenUp { outcome, at }) = out.given_up
+        if let Some(attempt) = self.remove_attempt(id, number)
+            && let Some(PendingAbort {
+                outcome,
+                aborted_at,
+            }) = attempt.abort
         {
-            self.report(id, number, out.engine, outcome, out.sent, at);
+            self.report_outcome(
+                id,
+                number,
+                attempt.engine,
+                outcome,
+                attempt.sent_at,
+                aborted_at,
+            );
         }
     }
 
-    /// Guards against an attempt that is given up without a confirmation: its request goes on.
-    fn unconfirmed(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        if !self.is_given_up(id, number) {
+    /// Ends an aborted attempt whose abort is not confirmed in time, so that its request can go on.
+    fn abort_timed_out(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
+        if !self.is_aborting(id, number) {
             return;
         }
-        let over = self.open.get(&id).is_none_or(|open| now >= open.deadline);
-        if !over {
-            log::warn!("request {:016x}: no word that an attempt is given up", id.0);
+        let deadline_passed = self
+            .open_requests
+            .get(&id)
+            .is_none_or(|request| now >= request.deadline);
+        if !deadline_passed {
+            log::warn!("request {:016x}: an abort is not confirmed", id.0);
         }
-        self.confirmed(id, number);
+        self.abort_confirmed(id, number);
     }
 
-    fn ended(&mut self, engine: EngineId, id: RequestId, number: AttemptNo, end: AttemptResult) {
+    fn attempt_ended(
+        &mut self,
+        engine: EngineId,
+        id: RequestId,
+        number: AttemptNo,
+        result: AttemptResult,
+    ) {
         let now = Instant::now();
-        // What was called off or timed out has its outcome, whatever crosses that.
-        if !self.is_out(engine, id, number) {
+        // Results that cross a cancellation or timeout are ignored: the attempt has its outcome.
+        if !self.is_in_flight(engine, id, number) {
             return;
         }
-        if self.is_given_up(id, number) {
-            return self.confirmed(id, number);
+        if self.is_aborting(id, number) {
+            return self.abort_confirmed(id, number);
         }
-        let Some(out) = self.take_back(id, number) else {
+        let Some(attempt) = self.remove_attempt(id, number) else {
             return;
         };
-        let outcome = match end {
+        let outcome = match result {
             AttemptResult::Ok { page, work, load } => {
-                return self.served(id, number, out, page, work, load);
+                return self.attempt_succeeded(id, number, attempt, page, work, load);
             }
             AttemptResult::Busy => Outcome::Full,
             AttemptResult::Error => Outcome::Error,
@@ -738,31 +833,31 @@
             AttemptResult::ConnectFailed => Outcome::ConnectFailed,
             AttemptResult::Reset => Outcome::Reset,
         };
-        self.report(id, number, engine, outcome, out.sent, now);
+        self.report_outcome(id, number, engine, outcome, attempt.sent_at, now);
     }
 
-    /// The first good end reaches the client and concludes the request.
-    fn served(
+    /// Answers the request with the result of its first successful attempt.
+    fn attempt_succeeded(
         &mut self,
         id: RequestId,
         number: AttemptNo,
-        out: Out,
+        attempt: InFlightAttempt,
         page: Page,
         work: Option<Micros>,
         load: Option<sedgebeam_core::Load>,
     ) {
-        let Some(open) = self.open.get(&id) else {
+        let Some(request) = self.open_requests.get(&id) else {
             return;
         };
-        let delivery = ResultPages::new(page, open.deadline, out.mailbox, id, number);
-        self.conclude(id, Answer::Rows(delivery));
-        self.counters.ended(Outcome::Ok);
+        let pages = ResultPages::new(page, request.deadline, attempt.mailbox, id, number);
+        self.send_answer(id, Answer::Rows(pages));
+        self.counters.count_attempt(Outcome::Ok);
         self.events.push(Event::Ended(Ended {
             request: id,
             attempt: number,
-            engine: out.engine,
+            engine: attempt.engine,
             outcome: Outcome::Ok,
-            took: to_micros(out.sent.elapsed()),
+            took: to_micros(attempt.sent_at.elapsed()),
             finished: true,
             work: work.filter(|_| self.names.tells_cost),
             load,
@@ -770,17 +865,17 @@
     }
 }
 
-/// Waits until another shard has let something go; for ever, where there is none.
-async fn woken(part: Option<&Shard>) {
-    match part {
-        Some(part) => part.capacity_released().await,
+/// Waits until another shard has released capacity; forever if there is only one.
+async fn wait_for_capacity(shard: Option<&Shard>) {
+    match shard {
+        Some(shard) => shard.capacity_released().await,
         None => std::future::pending().await,
     }
 }
 
-/// Tells an engine's actor what needs no answer.
-fn post(mailbox: &EngineSender, message: EngineCommand) {
-    if let Err(error) = mailbox.try_send(message) {
-        log::warn!("an engine's mailbox: {error}");
+/// Sends a command to an engine's actor; if its mailbox is full or closed, logs that and drops the command.
+fn send_command(mailbox: &EngineSender, command: EngineCommand) {
+    if let Err(error) = mailbox.try_send(command) {
+        log::warn!("dropped a command to an engine's actor: {error}");
     }
 }
--- a/broker/src/requests.rs
+++ b/broker/src/requests.rs
@@ -9,78 +9,79 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// An attempt that is out.
-pub struct Out {
+/// An attempt in flight.
+pub struct InFlightAttempt {
     pub engine: EngineId,
     pub mailbox: EngineSender,
-    pub sent: Instant,
-    /// Cancelled once it is over: what of it is unwritten must stay so.
-    pub cancelled: CancellationToken,
-    /// Set where it is given up, and its engine's actor has not confirmed that yet.
-    pub given_up: Option<GivenUp>,
+    pub sent_at: Instant,
+    /// Cancelled once the attempt has ended, so that nothing more of it is written.
+    pub cancel_token: CancellationToken,
+    /// Set if the attempt is aborted and its engine's actor has not confirmed that yet.
+    pub abort: Option<PendingAbort>,
 }
 
-/// How an attempt that was given up ends, once that is confirmed.
+/// The outcome of an aborted attempt, reported once the abort is confirmed.
 #[derive(Clone, Copy)]
-pub struct GivenUp {
+pub struct PendingAbort {
     pub outcome: Outcome,
-    pub at: Instant,
+    pub aborted_at: Instant,
 }
 
-/// A request from its start until it is over and nothing of it is out.
-pub struct Open {
-    /// Taken when the final answer is given: there is no second one to give.
+/// A request that is not answered yet or still has an attempt in flight.
+pub struct OpenRequest {
+    /// Taken when the final answer is sent, so that there is only one.
     pub reply: Option<oneshot::Sender<Answer>>,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub deadline: Instant,
     pub statement: Bytes,
-    pub token: Option<Arc<str>>,
+    pub idempotency_token: Option<Arc<str>>,
     pub order_key: Option<Arc<str>>,
-    /// Cancelled once its client has gone or called it off.
-    pub cancelled: CancellationToken,
-    pub rank: u8,
-    /// The memory that its next attempt is granted.
+    /// Cancelled when the client disconnects or cancels the request.
+    pub cancel_token: CancellationToken,
+    pub priority: u8,
+    /// Memory granted to the next attempt.
     pub memory_grant_mb: Option<NonZeroU32>,
-    /// By number; `None` once it has had its outcome.
-    pub attempts: Vec<Option<Out>>,
-    /// It is noted as over, with nothing out.
-    pub noted: bool,
+    /// Attempts by number; `None` once an attempt has its outcome.
+    pub attempts: Vec<Option<InFlightAttempt>>,
+    /// The request is scheduled for removal.
+    pub is_noted_as_finished: bool,
 }
 
-impl Open {
+impl OpenRequest {
     pub fn new(
         request: NewRequest,
         tenant: Option<TenantId>,
         reply: oneshot::Sender<Answer>,
-    ) -> Open {
-        Open {
+    ) -> OpenRequest {
+        OpenRequest {
             reply: Some(reply),
             class: request.class,
             tenant,
             deadline: request.deadline,
             statement: request.statement,
-            token: request.idempotency_token,
+            idempotency_token: request.idempotency_token,
             order_key: request.order_key,
-            cancelled: request.cancel_token,
-            // The priority of what has none set.
-            rank: 1,
+            cancel_token: request.cancel_token,
+            // The priority of requests for which the gateway sets none.
+            priority: 1,
             memory_grant_mb: None,
             attempts: Vec::new(),
-            noted: false,
+            is_noted_as_finished: false,
         }
     }
 
-    pub fn out(&self, number: AttemptNo) -> Option<&Out> {
+    pub fn attempt_in_flight(&self, number: AttemptNo) -> Option<&InFlightAttempt> {
         self.attempts.get(number.0 as usize)?.as_ref()
     }
 
-    pub fn all_out(&self) -> impl Iterator<Item = (AttemptNo, &Out)> {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (AttemptNo, &InFlightAttempt)> {
         let numbered = self.attempts.iter().enumerate();
-        numbered.filter_map(|(number, out)| Some((AttemptNo(number as u32), out.as_ref()?)))
+        numbered.filter_map(|(number, attempt)| Some((AttemptNo(number as u32), attempt.as_ref()?)))
     }
 
-    pub fn is_settled(&self) -> bool {
-        self.reply.is_none() && self.all_out().next().is_none()
+    /// Whether the request is answered and has no attempt in flight.
+    pub fn is_finished(&self) -> bool {
+        self.reply.is_none() && self.attempts_in_flight().next().is_none()
     }
 }
--- a/broker/src/shards.rs
+++ b/broker/src/shards.rs
@@ -1,4 +1,4 @@
-//! A broker as one shard of several: what it shares with its siblings.
+//! State shared by the brokers of several shards: the lease table, claims of request ids, and engine ids.
 
 use sedgebeam_core::{EngineId, Micros, Published, RequestId, Settings, Wish};
 use sedgebeam_leases::{Ledger, Loan, Settled, ShardId, Terms, Ticket};
@@ -7,149 +7,156 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// Maps of open requests: as many, so that shards seldom meet at one.
+/// Number of maps that the open requests are split into, to keep lock contention between shards low.
 const STRIPES: usize = 64;
-/// A decision that takes longer than this is not carried out: others may have been given its room.
-const LEASE: Micros = Micros::from_millis(250);
+/// A decision that takes longer than this is discarded: its capacity may already be leased to another shard.
+const LEASE_DURATION: Micros = Micros::from_millis(250);
 
-/// An engine's number, and the shards that know it: without the latter, names of engines that have long
-/// gone would be kept for ever.
+/// An engine's id and the shards that know the engine. The entry is removed with the last of them; otherwise uids of
+/// removed engines would be kept forever.
 #[derive(Default)]
-struct Numbered {
+struct NumberedEngine {
     id: EngineId,
-    known_at: BTreeSet<ShardId>,
+    known_by: BTreeSet<ShardId>,
 }
 
 type Stripe = Mutex<HashMap<RequestId, ShardId>>;
 
-/// What the shards of one dispatcher share.
+/// State shared by the shards of one dispatcher.
 pub struct ShardLeases {
-    ledger: Mutex<Ledger>,
-    /// Wakes a shard that waits for what another has let go.
-    wakes: Vec<Notify>,
-    /// Which shard has a request: one name is open once, whichever shard is asked.
-    open: Vec<Stripe>,
-    /// The numbers of engines, the same at all shards.
-    engines: Mutex<HashMap<String, Numbered>>,
+    lease_table: Mutex<Ledger>,
+    /// Per shard: notified when another shard has released capacity that it waits for.
+    capacity_released: Vec<Notify>,
+    /// The shard of each open request; an id is open at most once over all shards.
+    open_requests: Vec<Stripe>,
+    /// Engine ids by uid, the same at all shards.
+    engine_ids: Mutex<HashMap<String, NumberedEngine>>,
     pub router: RequestRouter,
 }
 
-/// Nothing panics while these are held; what they hold would be whole all the same.
+/// Locks a mutex. No code panics while holding these locks, and their data would be consistent even then.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn terms(shards: usize, open: usize, settings: &Settings) -> Terms {
+fn lease_terms(shards: usize, max_open_requests: usize, settings: &Settings) -> Terms {
     Terms {
         shards,
-        lease: LEASE,
+        lease: LEASE_DURATION,
         tick: settings.tick,
         cold_window: settings.overload_for,
         credit_cap: sedgebeam_core::CREDIT_CAP,
-        open,
+        open: max_open_requests,
     }
 }
 
 impl ShardLeases {
     pub fn new(
         shards: usize,
-        open: usize,
+        max_open_requests: usize,
         settings: &Settings,
-        desk: RequestRouter,
+        router: RequestRouter,
     ) -> Arc<ShardLeases> {
-        let terms = terms(shards, open, settings);
+        let terms = lease_terms(shards, max_open_requests, settings);
         Arc::new(ShardLeases {
-            ledger: Mutex::new(Ledger::new(terms)),
-            wakes: (0..shards).map(|_| Notify::new()).collect(),
-            open: (0..STRIPES).map(|_| Mutex::default()).collect(),
-            engines: Mutex::default(),
-            router: desk,
+            lease_table: Mutex::new(Ledger::new(terms)),
+            capacity_released: (0..shards).map(|_| Notify::new()).collect(),
+            open_requests: (0..STRIPES).map(|_| Mutex::default()).collect(),
+            engine_ids: Mutex::default(),
+            router,
         })
     }
 
-    fn wake(&self, shards: &[ShardId]) {
-        let wakes = shards.iter().filter_map(|shard| self.wakes.get(shard.0));
-        wakes.for_each(Notify::notify_one);
+    fn notify(&self, shards: &[ShardId]) {
+        let notifiers = shards
+            .iter()
+            .filter_map(|shard| self.capacity_released.get(shard.0));
+        notifiers.for_each(Notify::notify_one);
     }
 
-    /// A shard's broker has died, and with it the actors of its engines and their connections.
+    /// Releases everything of a shard whose broker has died, and with it the actors and connections of its engines.
     pub fn shard_crashed(&self, shard: usize) {
-        let waiters = lock(&self.ledger).crash(ShardId(shard));
-        for stripe in &self.open {
-            lock(stripe).retain(|_, at| *at != ShardId(shard));
+        let waiters = lock(&self.lease_table).crash(ShardId(shard));
+        for stripe in &self.open_requests {
+            lock(stripe).retain(|_, owner| *owner != ShardId(shard));
         }
-        let mut engines = lock(&self.engines);
+        let mut engines = lock(&self.engine_ids);
         engines.retain(|_, engine| {
-            engine.known_at.remove(&ShardId(shard));
-            !engine.known_at.is_empty()
+            engine.known_by.remove(&ShardId(shard));
+            !engine.known_by.is_empty()
         });
         drop(engines);
-        self.wake(&waiters);
+        self.notify(&waiters);
     }
 }
 
-/// One shard's hold on what is shared.
+/// One shard's handle of the shared state.
 #[derive(Clone)]
 pub struct Shard {
     shared: Arc<ShardLeases>,
-    shard: ShardId,
+    id: ShardId,
 }
 
 impl Shard {
     pub fn new(shared: Arc<ShardLeases>, shard: usize) -> Shard {
         Shard {
             shared,
-            shard: ShardId(shard),
+            id: ShardId(shard),
         }
     }
 
     pub fn index(&self) -> usize {
-        self.shard.0
+        self.id.0
     }
 
-    /// New settings; each shard tells of them.
-    pub fn reconfigure(&self, settings: &Settings, open: usize) {
-        let terms = terms(self.shared.wakes.len(), open, settings);
-        lock(&self.shared.ledger).retune(terms);
+    /// Applies new settings to the lease table; each shard calls this with the same settings.
+    pub fn reconfigure(&self, settings: &Settings, max_open_requests: usize) {
+        let terms = lease_terms(
+            self.shared.capacity_released.len(),
+            max_open_requests,
+            settings,
+        );
+        lock(&self.shared.lease_table).retune(terms);
     }
 
-    /// What other processes of this dispatcher hold.
-    pub fn set_peer_process_usage(&self, now: Micros, told: Published) {
-        lock(&self.shared.ledger).beside(now, told);
+    /// Sets the usage by other processes of this dispatcher.
+    pub fn set_peer_process_usage(&self, now: Micros, usage: Published) {
+        lock(&self.shared.lease_table).beside(now, usage);
     }
 
-    pub fn acquire(&self, now: Micros, wish: &Wish, open: usize) -> Loan {
-        lock(&self.shared.ledger).borrow(self.shard, now, wish, open)
+    /// Leases capacity for one decision; `open_requests` is the number of requests that the shard has open.
+    pub fn acquire(&self, now: Micros, demand: &Wish, open_requests: usize) -> Loan {
+        lock(&self.shared.lease_table).borrow(self.id, now, demand, open_requests)
     }
 
-    /// Whether what was decided may be carried out.
-    pub fn settle(&self, ticket: Ticket, now: Micros, told: Published) -> bool {
-        let settled = lock(&self.shared.ledger).settle(self.shard, ticket, now, told);
+    /// Settles a lease and returns whether its decision may be executed.
+    pub fn settle(&self, ticket: Ticket, now: Micros, usage: Published) -> bool {
+        let settled = lock(&self.shared.lease_table).settle(self.id, ticket, now, usage);
         let Settled { stands, wake } = settled;
-        self.shared.wake(&wake);
+        self.shared.notify(&wake);
         stands
     }
 
-    /// Becomes ready when another shard has let go what this one may be waiting for.
+    /// Waits until another shard has released capacity that this one may be waiting for.
     pub async fn capacity_released(&self) {
-        self.shared.wakes[self.shard.0].notified().await;
+        self.shared.capacity_released[self.id.0].notified().await;
     }
 
     pub fn heartbeat(&self) {
-        self.shared.router.heartbeat(self.shard.0);
+        self.shared.router.heartbeat(self.id.0);
     }
 
     fn stripe(&self, id: RequestId) -> &Stripe {
-        &self.shared.open[(id.0 % STRIPES as u64) as usize]
+        &self.shared.open_requests[(id.0 % STRIPES as u64) as usize]
     }
 
-    /// Takes the name of a request; false where it is open, here or elsewhere.
+    /// Claims a request id for this shard; returns false if the id is open at any shard.
     pub fn claim_request(&self, id: RequestId) -> bool {
-        let mut open = lock(self.stripe(id));
-        if open.contains_key(&id) {
+        let mut open_requests = lock(self.stripe(id));
+        if open_requests.contains_key(&id) {
             return false;
         }
-        open.insert(id, self.shard);
+        open_requests.insert(id, self.id);
         true
     }
 
@@ -157,28 +164,28 @@
         lock(self.stripe(id)).remove(&id);
     }
 
-    /// The number of an engine: that which the first shard gave it that heard of it.
-    pub fn engine_id(&self, uid: &str, first: impl FnOnce() -> u64) -> EngineId {
-        let mut engines = lock(&self.shared.engines);
+    /// The id of an engine. The first shard that asks sets it, starting from `preferred_id` until a free one is found.
+    pub fn engine_id(&self, uid: &str, preferred_id: impl FnOnce() -> u64) -> EngineId {
+        let mut engines = lock(&self.shared.engine_ids);
         if let Some(engine) = engines.get_mut(uid) {
-            engine.known_at.insert(self.shard);
+            engine.known_by.insert(self.id);
             return engine.id;
         }
-        let mut id = EngineId(first());
-        while engines.values().any(|known| known.id == id) {
+        let mut id = EngineId(preferred_id());
+        while engines.values().any(|engine| engine.id == id) {
             id = EngineId(id.0.wrapping_add(1));
         }
-        let known_at = BTreeSet::from([self.shard]);
-        engines.insert(uid.to_string(), Numbered { id, known_at });
+        let known_by = BTreeSet::from([self.id]);
+        engines.insert(uid.to_string(), NumberedEngine { id, known_by });
         id
     }
 
-    /// This shard knows the engine no longer.
+    /// Records that this shard no longer knows the engine.
     pub fn forget_engine(&self, uid: &str) {
-        let mut engines = lock(&self.shared.engines);
+        let mut engines = lock(&self.shared.engine_ids);
         if let Some(engine) = engines.get_mut(uid) {
-            engine.known_at.remove(&self.shard);
-            if engine.known_at.is_empty() {
+            engine.known_by.remove(&self.id);
+            if engine.known_by.is_empty() {
                 engines.remove(uid);
             }
         }
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -1,4 +1,4 @@
-//! The broker beside the simulator's adapter: for everything that can happen, the one event that follows.
+//! The events that the broker gives the gateway: like the simulator's adapter, exactly one outcome per attempt.
 
 use super::*;
 use bytes::Bytes;
@@ -11,63 +11,66 @@
 const ENGINE: EngineId = EngineId(1);
 const FIRST: AttemptNo = AttemptNo(0);
 
-struct Bench {
+struct Fixture {
     broker: Broker,
-    sent: mpsc::Receiver<EngineCommand>,
+    commands: mpsc::Receiver<EngineCommand>,
     answer: oneshot::Receiver<Answer>,
 }
 
-/// No engine is started in these tests: the bench holds the mailbox of its only one.
-struct NoWorld;
+/// Starts no engines: the fixture holds the mailbox of its only one.
+struct UnusedTransport;
 
-impl EngineTransport for NoWorld {
+impl EngineTransport for UnusedTransport {
     fn start(&self, _: &Target, _: EngineReporter) -> EngineSender {
         mpsc::channel(1).0
     }
 }
 
-fn setup() -> BrokerConfig {
-    setup_with(r#"{"tells_cost": true}"#)
+fn config() -> BrokerConfig {
+    config_with(r#"{"tells_cost": true}"#)
 }
 
-/// The settings of these tests, with this for the particulars of the engines.
-fn setup_with(domain: &str) -> BrokerConfig {
+/// A configuration with this `domain` section in its settings.
+fn config_with(domain: &str) -> BrokerConfig {
     let facts = r#"{"balancers": 1, "tick": 5, "domain": DOMAIN, "kinds": ["std"], "tenants": [{"name": "acme"}],
         "limits": {"cancel": true, "max_attempts": 3}, "services": [{"name": "load", "on_time": 9000, "give_up": 9000}]}"#;
     let facts = &facts.replace("DOMAIN", domain);
     let facts: sedgebeam_settings::Facts = miniserde::json::from_str(facts).expect("settings");
-    let tuning = Tuning {
+    let runtime_settings = Tuning {
         settings: facts.settings(),
         names: facts.names(),
         most_open: 100,
     };
     BrokerConfig {
-        runtime_settings: Arc::new(tuning),
+        runtime_settings: Arc::new(runtime_settings),
         seed: 1,
         clock: Clock::start(),
         metrics: Figures::default(),
-        engine_transport: Arc::new(NoWorld),
+        engine_transport: Arc::new(UnusedTransport),
         shard: None,
     }
 }
 
-/// A broker that has taken one request and knows one engine.
-fn bench() -> Bench {
-    let (mut broker, _, _) = new(setup());
-    let (mailbox, sent) = mpsc::channel(16);
-    let known = Known {
+/// A broker with one open request and one engine.
+fn fixture() -> Fixture {
+    let (mut broker, _, _) = new(config());
+    let (mailbox, commands) = mpsc::channel(16);
+    let known = KnownEngine {
         target: <Target as Default>::default(),
-        ready: true,
-        actor: Some(engines::Actor { mailbox, told: 0 }),
-        ..Known::default()
+        is_ready: true,
+        actor: Some(engines::Actor {
+            mailbox,
+            sent_count: 0,
+        }),
+        ..KnownEngine::default()
     };
     broker.engines.insert(ENGINE, known);
     let (reply, answer) = oneshot::channel();
     broker.submit(request(), reply);
     broker.events.clear();
-    Bench {
+    Fixture {
         broker,
-        sent,
+        commands,
         answer,
     }
 }
@@ -90,7 +93,7 @@
     }
 }
 
-fn ok() -> AttemptResult {
+fn success() -> AttemptResult {
     let page = Page {
         rows: Bytes::new(),
         is_last: true,
@@ -102,17 +105,17 @@
     }
 }
 
-impl Bench {
+impl Fixture {
     fn send(&mut self) {
         self.broker
             .send(ID, ENGINE, Micros(0), None, Instant::now());
     }
 
-    fn end(&mut self, end: AttemptResult) {
-        self.broker.ended(ENGINE, ID, FIRST, end);
+    fn end(&mut self, result: AttemptResult) {
+        self.broker.attempt_ended(ENGINE, ID, FIRST, result);
     }
 
-    /// The outcomes that the gateway will be told: of which attempt, how, and whether that is the end.
+    /// The outcomes in the gateway's next batch: attempt number, outcome, and whether the request is finished.
     fn outcomes(&mut self) -> Vec<(u32, Outcome, bool)> {
         let ended = std::mem::take(&mut self.broker.events).into_iter();
         let ended = ended.filter_map(|event| match event {
@@ -122,21 +125,22 @@
         ended.collect()
     }
 
-    fn asked(&mut self) -> Vec<String> {
-        let asked = std::iter::from_fn(|| self.sent.try_recv().ok());
-        let name = |asked: EngineCommand| {
-            format!("{asked:?}")
+    /// The names of the commands sent to the engine since the last call.
+    fn command_names(&mut self) -> Vec<String> {
+        let commands = std::iter::from_fn(|| self.commands.try_recv().ok());
+        let name = |command: EngineCommand| {
+            format!("{command:?}")
                 .split(['(', ' '])
                 .next()
                 .unwrap_or("")
                 .to_string()
         };
-        asked.map(name).collect()
+        commands.map(name).collect()
     }
 }
 
 /// Runs a test inside a runtime.
-fn inside(test: impl FnOnce()) {
+fn run_in_runtime(test: impl FnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -144,190 +148,198 @@
 }
 
 #[test]
-fn each_end_of_an_attempt_is_one_outcome() {
+fn each_result_of_an_attempt_is_reported_as_one_outcome() {
     let cases = [
-        (ok(), Outcome::Ok, true),
+        (success(), Outcome::Ok, true),
         (AttemptResult::Busy, Outcome::Full, false),
         (AttemptResult::Error, Outcome::Error, false),
         (AttemptResult::NotRun, Outcome::Moot, false),
         (AttemptResult::ConnectFailed, Outcome::ConnectFailed, false),
         (AttemptResult::Reset, Outcome::Reset, false),
     ];
-    inside(|| {
-        for (end, outcome, finished) in cases {
-            let mut bench = bench();
-            bench.send();
-            bench.end(end.clone());
-            assert_eq!(bench.outcomes(), [(0, outcome, finished)]);
-            // Whatever else comes of it is no second outcome.
-            bench.end(end);
-            bench.broker.timed_out(ID, FIRST, Instant::now());
-            bench.broker.call_off(ID, FIRST, Instant::now());
-            assert_eq!(bench.outcomes(), []);
-            assert_eq!(bench.answer.try_recv().is_ok(), finished);
+    run_in_runtime(|| {
+        for (result, outcome, is_finished) in cases {
+            let mut fixture = fixture();
+            fixture.send();
+            fixture.end(result.clone());
+            assert_eq!(fixture.outcomes(), [(0, outcome, is_finished)]);
+            // Later events of the same attempt are no second outcome.
+            fixture.end(result);
+            fixture.broker.attempt_timed_out(ID, FIRST, Instant::now());
+            fixture.broker.cancel_attempt(ID, FIRST, Instant::now());
+            assert_eq!(fixture.outcomes(), []);
+            assert_eq!(fixture.answer.try_recv().is_ok(), is_finished);
         }
     });
 }
 
 #[test]
-fn what_is_called_off_or_times_out_is_aborted_once_and_a_late_end_is_dropped() {
-    type Deed = fn(&mut Broker, RequestId, AttemptNo, Instant);
-    let cases: [(Deed, Outcome); 2] = [
-        (Broker::call_off, Outcome::Cancelled),
-        (Broker::timed_out, Outcome::TimedOut),
+fn a_cancelled_or_timed_out_attempt_is_aborted_once_and_a_late_result_is_dropped() {
+    type AbortMethod = fn(&mut Broker, RequestId, AttemptNo, Instant);
+    let cases: [(AbortMethod, Outcome); 2] = [
+        (Broker::cancel_attempt, Outcome::Cancelled),
+        (Broker::attempt_timed_out, Outcome::TimedOut),
     ];
-    inside(|| {
-        for (deed, outcome) in cases {
-            let mut bench = bench();
-            bench.send();
-            deed(&mut bench.broker, ID, FIRST, Instant::now());
-            deed(&mut bench.broker, ID, FIRST, Instant::now());
-            bench.end(ok());
-            // The request still owes its answer, and the late result did not reach the client.
-            assert_eq!(bench.outcomes(), [(0, outcome, false)]);
-            assert_eq!(bench.asked(), ["Send", "Abort"]);
-            assert!(bench.answer.try_recv().is_err());
+    run_in_runtime(|| {
+        for (abort_method, outcome) in cases {
+            let mut fixture = fixture();
+            fixture.send();
+            abort_method(&mut fixture.broker, ID, FIRST, Instant::now());
+            abort_method(&mut fixture.broker, ID, FIRST, Instant::now());
+            fixture.end(success());
+            // The request is still unanswered, and the late result did not reach the client.
+            assert_eq!(fixture.outcomes(), [(0, outcome, false)]);
+            assert_eq!(fixture.command_names(), ["Send", "Abort"]);
+            assert!(fixture.answer.try_recv().is_err());
         }
     });
 }
 
 #[test]
-fn a_send_that_can_not_be_is_moot_and_counts_as_an_attempt() {
-    inside(|| {
-        let mut twice = bench();
-        twice.send();
-        twice.send();
+fn an_impossible_send_is_reported_as_not_sent_and_counts_as_an_attempt() {
+    run_in_runtime(|| {
+        let mut with_attempt_in_flight = fixture();
+        with_attempt_in_flight.send();
+        with_attempt_in_flight.send();
         assert_eq!(
-            twice.outcomes(),
+            with_attempt_in_flight.outcomes(),
             [(1, Outcome::Moot, false)],
-            "one is out already"
+            "an attempt is in flight already"
         );
 
-        let mut spent = bench();
+        let mut with_attempts_exhausted = fixture();
         for _ in 0..4 {
-            spent.send();
-            spent.broker.ended(
+            with_attempts_exhausted.send();
+            with_attempts_exhausted.broker.attempt_ended(
                 ENGINE,
                 ID,
-                AttemptNo(spent.broker.open[&ID].attempts.len() as u32 - 1),
+                AttemptNo(
+                    with_attempts_exhausted.broker.open_requests[&ID]
+                        .attempts
+                        .len() as u32
+                        - 1,
+                ),
                 AttemptResult::Busy,
             );
         }
         let full = |number| (number, Outcome::Full, false);
         assert_eq!(
-            spent.outcomes(),
+            with_attempts_exhausted.outcomes(),
             [full(0), full(1), full(2), (3, Outcome::Moot, false)]
         );
 
-        let mut over = bench();
-        over.broker.client_left(ID, Failure::Cancelled);
-        over.send();
-        assert_eq!(over.outcomes(), [(0, Outcome::Moot, true)]);
-        assert!(over.asked().is_empty());
+        let mut after_disconnect = fixture();
+        after_disconnect.broker.client_left(ID, Failure::Cancelled);
+        after_disconnect.send();
+        assert_eq!(after_disconnect.outcomes(), [(0, Outcome::Moot, true)]);
+        assert!(after_disconnect.command_names().is_empty());
 
-        let mut late = bench();
-        late.broker.send(
+        let mut after_deadline = fixture();
+        after_deadline.broker.send(
             ID,
             ENGINE,
             Micros(0),
             None,
             Instant::now() + Duration::from_secs(10),
         );
-        assert_eq!(late.outcomes(), [(0, Outcome::Moot, false)]);
+        assert_eq!(after_deadline.outcomes(), [(0, Outcome::Moot, false)]);
     });
 }
 
 #[test]
-fn an_engine_that_drains_or_is_gone_gets_nothing_new() {
-    inside(|| {
-        let mut draining = bench();
+fn a_draining_or_removed_engine_gets_no_new_attempts() {
+    run_in_runtime(|| {
+        let mut draining = fixture();
         draining
             .broker
             .engines
             .get_mut(&ENGINE)
             .expect("known")
-            .ready = false;
-        let mut gone = bench();
-        gone.broker.forget(ENGINE);
-        for mut bench in [draining, gone] {
-            bench.asked();
-            bench.send();
-            assert_eq!(bench.outcomes(), [(0, Outcome::ConnectFailed, false)]);
-            assert!(bench.asked().is_empty());
+            .is_ready = false;
+        let mut removed = fixture();
+        removed.broker.remove_engine(ENGINE);
+        for mut fixture in [draining, removed] {
+            fixture.command_names();
+            fixture.send();
+            assert_eq!(fixture.outcomes(), [(0, Outcome::ConnectFailed, false)]);
+            assert!(fixture.command_names().is_empty());
         }
     });
 }
 
 #[test]
-fn a_client_that_leaves_is_told_of_once_and_its_attempt_still_ends() {
-    inside(|| {
-        let mut bench = bench();
-        bench.send();
-        bench.broker.take(BrokerMessage::ClientLeft(ID));
-        bench.broker.take(BrokerMessage::ClientLeft(ID));
-        let left = bench
+fn a_client_disconnect_is_reported_once_and_the_attempt_still_ends() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        fixture.send();
+        fixture.broker.handle_message(BrokerMessage::ClientLeft(ID));
+        fixture.broker.handle_message(BrokerMessage::ClientLeft(ID));
+        let client_left_events = fixture
             .broker
             .events
             .iter()
             .filter(|event| matches!(event, Event::ClientLeft(_)));
-        assert_eq!(left.count(), 1);
-        bench.end(ok());
-        assert_eq!(bench.outcomes(), [(0, Outcome::Ok, true)]);
-        let answer = bench.answer.try_recv().expect("an answer");
+        assert_eq!(client_left_events.count(), 1);
+        fixture.end(success());
+        assert_eq!(fixture.outcomes(), [(0, Outcome::Ok, true)]);
+        let answer = fixture.answer.try_recv().expect("an answer");
         assert!(matches!(answer, Answer::Failed(Failure::Cancelled)));
     });
 }
 
 #[test]
-fn an_answer_is_given_once_and_an_overdue_one_is_given_here() {
-    inside(|| {
-        let mut bench = bench();
-        bench.broker.overdue(ID);
-        bench.broker.conclude(
+fn an_answer_is_sent_once_and_an_overdue_one_is_sent_by_the_broker() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        fixture.broker.answer_overdue(ID);
+        fixture.broker.send_answer(
             ID,
             Answer::Refused {
                 retry_after: Duration::ZERO,
             },
         );
-        let answer = bench.answer.try_recv().expect("an answer");
+        let answer = fixture.answer.try_recv().expect("an answer");
         assert!(matches!(answer, Answer::Failed(Failure::OutcomeUnknown)));
-        bench.broker.batch(Instant::now());
+        fixture.broker.process_batch(Instant::now());
         assert!(
-            bench.broker.open.is_empty(),
-            "what is over is forgotten once the gateway knows"
+            fixture.broker.open_requests.is_empty(),
+            "a finished request is removed after the gateway's batch"
         );
     });
 }
 
 #[test]
-fn a_request_whose_name_is_open_gets_an_error_and_does_not_reach_the_gateway() {
-    inside(|| {
-        let mut bench = bench();
+fn a_request_with_an_open_id_gets_an_error_and_does_not_reach_the_gateway() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
         let (reply, mut second) = oneshot::channel();
-        bench.broker.submit(request(), reply);
+        fixture.broker.submit(request(), reply);
         let answer = second.try_recv().expect("an answer");
         assert!(matches!(answer, Answer::Failed(Failure::DuplicateId)));
-        assert!(bench.broker.events.is_empty());
+        assert!(fixture.broker.events.is_empty());
         assert!(
-            bench.answer.try_recv().is_err(),
-            "the first one is still under way"
+            fixture.answer.try_recv().is_err(),
+            "the first request is still open"
         );
     });
 }
 
 #[test]
-fn batches_are_a_tick_apart_and_tell_the_time_that_is_left() {
-    inside(|| {
-        let mut bench = bench();
+fn batches_are_a_tick_apart_and_timeouts_end_at_the_deadline() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
         let now = Instant::now();
-        assert_eq!(bench.broker.next_batch(now), now);
-        bench.broker.batch(now);
-        assert_eq!(bench.broker.next_batch(now), now + Duration::from_millis(5));
-        // A time-out is cut to the client's deadline, and the engine is told as much.
-        bench
+        assert_eq!(fixture.broker.next_batch_at(now), now);
+        fixture.broker.process_batch(now);
+        assert_eq!(
+            fixture.broker.next_batch_at(now),
+            now + Duration::from_millis(5)
+        );
+        // A timeout is limited to the client's deadline, also in what the engine is sent.
+        fixture
             .broker
             .send(ID, ENGINE, Micros::from_millis(60_000), None, now);
-        let Ok(EngineCommand::Send(attempt)) = bench.sent.try_recv() else {
+        let Ok(EngineCommand::Send(attempt)) = fixture.commands.try_recv() else {
             panic!("no send")
         };
         assert!(attempt.deadline - Instant::now() <= Duration::from_secs(9));
@@ -336,179 +348,187 @@
 }
 
 #[test]
-fn a_new_priority_goes_to_what_is_out() {
-    inside(|| {
-        let mut bench = bench();
-        bench.send();
-        bench.broker.terms(ID, 0.0, 1);
-        bench.broker.terms(ID, 0.0, 3);
-        assert_eq!(bench.asked(), ["Send", "Reprioritize"]);
+fn a_new_priority_is_sent_for_attempts_in_flight() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        fixture.send();
+        fixture.broker.update_terms(ID, 0.0, 1);
+        fixture.broker.update_terms(ID, 0.0, 3);
+        assert_eq!(fixture.command_names(), ["Send", "Reprioritize"]);
     });
 }
 
 #[test]
-fn what_is_out_at_an_actor_that_died_may_have_run() {
-    inside(|| {
-        let mut bench = bench();
-        bench.send();
-        bench.broker.take(BrokerMessage::EngineActorDied(ENGINE));
-        assert_eq!(bench.outcomes(), [(0, Outcome::Reset, false)]);
+fn attempts_in_flight_at_a_dead_actor_may_have_run() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        fixture.send();
+        fixture
+            .broker
+            .handle_message(BrokerMessage::EngineActorDied(ENGINE));
+        assert_eq!(fixture.outcomes(), [(0, Outcome::Reset, false)]);
     });
 }
 
 #[test]
-fn engines_are_numbered_by_their_names() {
-    inside(|| {
-        let broker = bench().broker;
-        assert_eq!(broker.identify("s-00c41f7a"), EngineId(0x00c4_1f7a));
-        // A number that is taken goes to no second engine.
-        assert_eq!(broker.identify("s-00000001"), EngineId(2));
+fn engine_ids_are_taken_from_uids() {
+    run_in_runtime(|| {
+        let broker = fixture().broker;
+        assert_eq!(broker.engine_id("s-00c41f7a"), EngineId(0x00c4_1f7a));
+        // An id that is in use is not assigned again.
+        assert_eq!(broker.engine_id("s-00000001"), EngineId(2));
     });
 }
 
-/// The word that a client has gone waits behind thousands of others; what the gateway decides meanwhile is not sent.
+/// `ClientLeft` may wait behind thousands of other messages; what the gateway decides meanwhile must not be sent.
 #[test]
-fn nothing_is_sent_for_a_client_that_has_gone_though_its_word_is_still_to_come() {
-    inside(|| {
-        let mut bench = bench();
-        bench.asked();
-        bench.broker.open[&ID].cancelled.cancel();
-        bench.send();
-        assert!(bench.asked().is_empty());
-        assert_eq!(bench.outcomes(), [(0, Outcome::Moot, true)]);
-        let answer = bench.answer.try_recv().expect("an answer");
+fn nothing_is_sent_after_a_client_disconnects_even_before_the_broker_is_notified() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        fixture.command_names();
+        fixture.broker.open_requests[&ID].cancel_token.cancel();
+        fixture.send();
+        assert!(fixture.command_names().is_empty());
+        assert_eq!(fixture.outcomes(), [(0, Outcome::Moot, true)]);
+        let answer = fixture.answer.try_recv().expect("an answer");
         assert!(matches!(answer, Answer::Failed(Failure::Cancelled)));
-        bench.broker.take(BrokerMessage::ClientLeft(ID));
-        assert!(bench.broker.events.is_empty(), "it is told of once");
-        // One that has gone before the broker takes it is not opened at all.
+        fixture.broker.handle_message(BrokerMessage::ClientLeft(ID));
+        assert!(
+            fixture.broker.events.is_empty(),
+            "the disconnect is reported once"
+        );
+        // A request whose client disconnects before the broker receives it is not opened.
         let (reply, _answer) = oneshot::channel();
-        let gone = NewRequest {
+        let cancelled = NewRequest {
             id: RequestId(8),
             ..request()
         };
-        gone.cancel_token.cancel();
-        bench.broker.submit(gone, reply);
-        assert!(bench.broker.events.is_empty() && !bench.broker.open.contains_key(&RequestId(8)));
+        cancelled.cancel_token.cancel();
+        fixture.broker.submit(cancelled, reply);
+        assert!(
+            fixture.broker.events.is_empty()
+                && !fixture.broker.open_requests.contains_key(&RequestId(8))
+        );
     });
 }
 
-/// An attempt that is over in any way must not be written any more, wherever it waits.
+/// An attempt that has ended in any way must not be written any more, wherever it is queued.
 #[test]
-fn what_is_over_is_called_off_where_it_waits_to_be_written() {
-    let ends: [fn(&mut Bench); 4] = [
-        |bench| bench.broker.call_off(ID, FIRST, Instant::now()),
-        |bench| bench.broker.timed_out(ID, FIRST, Instant::now()),
-        |bench| bench.end(AttemptResult::Reset),
-        |bench| bench.broker.open[&ID].cancelled.cancel(),
+fn an_ended_attempt_that_waits_to_be_written_becomes_stale() {
+    let endings: [fn(&mut Fixture); 4] = [
+        |fixture| fixture.broker.cancel_attempt(ID, FIRST, Instant::now()),
+        |fixture| fixture.broker.attempt_timed_out(ID, FIRST, Instant::now()),
+        |fixture| fixture.end(AttemptResult::Reset),
+        |fixture| fixture.broker.open_requests[&ID].cancel_token.cancel(),
     ];
-    for end in ends {
-        inside(|| {
-            let mut bench = bench();
-            bench.send();
-            let Ok(EngineCommand::Send(attempt)) = bench.sent.try_recv() else {
+    for end in endings {
+        run_in_runtime(|| {
+            let mut fixture = fixture();
+            fixture.send();
+            let Ok(EngineCommand::Send(attempt)) = fixture.commands.try_recv() else {
                 panic!("no attempt")
             };
             assert!(!attempt.is_stale());
-            end(&mut bench);
+            end(&mut fixture);
             assert!(attempt.is_stale());
         });
     }
 }
 
-/// A client that has gone comes again under the name of its request: what is left of the first one, to be told, to fall due or
-/// to be reported, must not touch the second.
+/// A client disconnects and submits a request with the same id again: events, timers and reports that remain of the first
+/// request must not affect the second.
 #[test]
-fn a_request_that_comes_again_under_its_name_has_nothing_of_the_first() {
-    inside(|| {
-        let mut bench = bench();
-        bench.send();
-        bench.broker.client_left(ID, Failure::Cancelled);
-        bench.broker.call_off(ID, FIRST, Instant::now());
-        bench.broker.batch(Instant::now());
+fn a_request_with_a_reused_id_is_not_affected_by_the_first() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        fixture.send();
+        fixture.broker.client_left(ID, Failure::Cancelled);
+        fixture.broker.cancel_attempt(ID, FIRST, Instant::now());
+        fixture.broker.process_batch(Instant::now());
         let (reply, mut answer) = oneshot::channel();
-        let again = NewRequest {
+        let second_request = NewRequest {
             deadline: Instant::now() + Duration::from_secs(90),
             ..request()
         };
-        bench.broker.submit(again, reply);
-        bench.send();
-        bench.broker.batch(Instant::now());
-        bench.broker.batch(Instant::now());
-        // All that the first had to fall due does, and another engine ends an attempt of the same number.
-        bench
+        fixture.broker.submit(second_request, reply);
+        fixture.send();
+        fixture.broker.process_batch(Instant::now());
+        fixture.broker.process_batch(Instant::now());
+        // All timers of the first request fire, and another engine ends an attempt with the same number.
+        fixture
             .broker
-            .fall_due(Instant::now() + Duration::from_secs(30));
-        bench
+            .fire_timers(Instant::now() + Duration::from_secs(30));
+        fixture
             .broker
-            .ended(EngineId(2), ID, FIRST, AttemptResult::NotRun);
+            .attempt_ended(EngineId(2), ID, FIRST, AttemptResult::NotRun);
         let unanswered = oneshot::error::TryRecvError::Empty;
         assert_eq!(answer.try_recv().err(), Some(unanswered));
-        assert!(bench.broker.is_out(ENGINE, ID, FIRST));
+        assert!(fixture.broker.is_in_flight(ENGINE, ID, FIRST));
     });
 }
 
-/// The gateway sends in the batch in which it also hears that the client has left: that notes the request as over once more,
-/// after those that were over have been taken out.
+/// The gateway sends a request in the same batch in which it learns that the client has left. The failed send schedules
+/// the removal of the request again, after the list of removals was taken; it must not remove a later request with that id.
 #[test]
-fn a_request_is_noted_as_over_once() {
-    inside(|| {
-        let (mut broker, _own, _incoming) = new(setup());
-        let up = Target {
+fn a_request_is_removed_once() {
+    run_in_runtime(|| {
+        let (mut broker, _own, _incoming) = new(config());
+        let target = Target {
             uid: "s-1".to_string(),
             endpoint: "127.0.0.1:1".to_string(),
             state: "up".to_string(),
             ..Target::default()
         };
-        broker.take(BrokerMessage::EngineList(Listing::Complete, vec![up]));
+        broker.handle_message(BrokerMessage::EngineList(Listing::Complete, vec![target]));
         let (reply, _gone) = oneshot::channel();
         broker.submit(request(), reply);
         broker.client_left(ID, Failure::Cancelled);
-        broker.batch(Instant::now());
-        let (reply, mut again) = oneshot::channel();
+        broker.process_batch(Instant::now());
+        let (reply, mut second_request) = oneshot::channel();
         broker.submit(request(), reply);
-        broker.batch(Instant::now());
+        broker.process_batch(Instant::now());
         assert_eq!(
-            again.try_recv().err(),
+            second_request.try_recv().err(),
             Some(oneshot::error::TryRecvError::Empty)
         );
     });
 }
 
-/// All engines have one mailbox, which the test holds.
-struct OneMailbox(EngineSender);
+/// All engines share one mailbox, whose receiver the test holds.
+struct SingleMailboxTransport(EngineSender);
 
-impl EngineTransport for OneMailbox {
+impl EngineTransport for SingleMailboxTransport {
     fn start(&self, _: &Target, _: EngineReporter) -> EngineSender {
         self.0.clone()
     }
 }
 
-/// What the gateway has an engine of 1,001 MB grant a request of this estimate, where one query gets 0.4 of it at most.
-fn granted(takes_grants: bool, memory_mb: f64) -> Option<u32> {
+/// The memory granted to a request with this estimate at an engine of 1,001 MB, of which one query gets at most 0.4.
+fn granted_mb(takes_grants: bool, memory_mb: f64) -> Option<u32> {
     let (mailbox, mut sent) = mpsc::channel(16);
     let domain = format!(
         r#"{{"takes_grants": {takes_grants}, "priorities": true, "max_grant_share": 0.4, "size_cores": [8], "size_mb": [1001.0]}}"#
     );
-    let setup = BrokerConfig {
-        engine_transport: Arc::new(OneMailbox(mailbox)),
-        ..setup_with(&domain)
+    let config = BrokerConfig {
+        engine_transport: Arc::new(SingleMailboxTransport(mailbox)),
+        ..config_with(&domain)
     };
-    let (mut broker, _own, _incoming) = new(setup);
-    let up = Target {
+    let (mut broker, _own, _incoming) = new(config);
+    let target = Target {
         uid: "s-1".to_string(),
         endpoint: "127.0.0.1:1".to_string(),
         state: "up".to_string(),
         model: Some("std".to_string()),
         ..Target::default()
     };
-    broker.take(BrokerMessage::EngineList(Listing::Complete, vec![up]));
+    broker.handle_message(BrokerMessage::EngineList(Listing::Complete, vec![target]));
     let (reply, _answer) = oneshot::channel();
-    let asked = NewRequest {
+    let new_request = NewRequest {
         memory_mb,
         ..request()
     };
-    broker.submit(asked, reply);
-    broker.batch(Instant::now());
+    broker.submit(new_request, reply);
+    broker.process_batch(Instant::now());
     match sent.try_recv() {
         Ok(EngineCommand::Send(attempt)) => attempt.memory_grant_mb.map(u32::from),
         other => panic!("no attempt, but {other:?}"),
@@ -516,210 +536,220 @@
 }
 
 #[test]
-fn the_grant_of_the_terms_goes_with_the_attempt_and_never_beyond_one_query_s_share() {
-    inside(|| {
+fn an_attempt_gets_its_memory_grant_up_to_the_share_of_one_query() {
+    run_in_runtime(|| {
         // A quarter more than the estimate, in whole megabytes.
-        assert_eq!(granted(true, 96.0), Some(120));
-        assert_eq!(granted(true, 96.2), Some(121));
-        assert_eq!(granted(true, 0.1), Some(1));
-        assert_eq!(granted(true, 900.0), Some(400), "the share is 400.4 MB");
-        assert_eq!(granted(true, 1e6), Some(400));
-        assert_eq!(granted(true, 0.0), None, "nothing was estimated");
-        assert_eq!(granted(false, 96.0), None, "grants are not heeded");
+        assert_eq!(granted_mb(true, 96.0), Some(120));
+        assert_eq!(granted_mb(true, 96.2), Some(121));
+        assert_eq!(granted_mb(true, 0.1), Some(1));
+        assert_eq!(granted_mb(true, 900.0), Some(400), "the share is 400.4 MB");
+        assert_eq!(granted_mb(true, 1e6), Some(400));
+        assert_eq!(granted_mb(true, 0.0), None, "nothing was estimated");
+        assert_eq!(granted_mb(false, 96.0), None, "grants are disabled");
     });
 }
 
 #[test]
-fn a_new_grant_is_for_the_next_attempt_and_not_for_the_one_that_is_out() {
-    inside(|| {
-        let mut bench = bench();
-        bench.broker.settings.takes_grants = true;
-        let grant_of = |bench: &mut Bench| match bench.sent.try_recv() {
+fn a_new_grant_applies_to_the_next_attempt_and_not_to_the_one_in_flight() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        fixture.broker.settings.takes_grants = true;
+        let grant_of = |fixture: &mut Fixture| match fixture.commands.try_recv() {
             Ok(EngineCommand::Send(attempt)) => attempt.memory_grant_mb.map(u32::from),
             other => panic!("no attempt, but {other:?}"),
         };
-        let act = |bench: &mut Bench, memory_mb| {
+        let set_memory_grant = |fixture: &mut Fixture, memory_mb| {
             let terms = Action::terms(ID, memory_mb, 1);
-            bench.broker.act(terms, Instant::now());
+            fixture.broker.execute(terms, Instant::now());
         };
-        act(&mut bench, 96.0);
-        bench.send();
-        act(&mut bench, 128.0);
-        assert_eq!(grant_of(&mut bench), Some(96));
-        assert!(bench.asked().is_empty(), "it is told nothing more");
-        bench.end(AttemptResult::Busy);
-        bench.send();
-        assert_eq!(grant_of(&mut bench), Some(128));
-        bench
+        set_memory_grant(&mut fixture, 96.0);
+        fixture.send();
+        set_memory_grant(&mut fixture, 128.0);
+        assert_eq!(grant_of(&mut fixture), Some(96));
+        assert!(
+            fixture.command_names().is_empty(),
+            "nothing more is sent to the engine"
+        );
+        fixture.end(AttemptResult::Busy);
+        fixture.send();
+        assert_eq!(grant_of(&mut fixture), Some(128));
+        fixture
             .broker
-            .ended(ENGINE, ID, AttemptNo(1), AttemptResult::Busy);
-        // New settings heed no grants: the gateway may have no terms to tell under them.
-        bench.broker.settings.takes_grants = false;
-        bench.send();
-        assert_eq!(grant_of(&mut bench), None);
+            .attempt_ended(ENGINE, ID, AttemptNo(1), AttemptResult::Busy);
+        // New settings disable grants; the gateway may set no new terms under them.
+        fixture.broker.settings.takes_grants = false;
+        fixture.send();
+        assert_eq!(grant_of(&mut fixture), None);
     });
 }
 
 #[test]
-fn what_is_no_amount_of_memory_is_no_grant() {
-    inside(|| {
-        let mut bench = bench();
-        for nothing in [0.0, 0.4, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-            bench.broker.terms(ID, nothing, 1);
-            assert_eq!(bench.broker.open[&ID].memory_grant_mb, None, "{nothing}");
+fn an_invalid_amount_of_memory_is_no_grant() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        for invalid_mb in [0.0, 0.4, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
+            fixture.broker.update_terms(ID, invalid_mb, 1);
+            assert_eq!(
+                fixture.broker.open_requests[&ID].memory_grant_mb, None,
+                "{invalid_mb}"
+            );
         }
-        bench.broker.terms(ID, 96.0, 1);
-        let granted = bench.broker.open[&ID].memory_grant_mb;
-        assert_eq!(granted.map(u32::from), Some(96));
+        fixture.broker.update_terms(ID, 96.0, 1);
+        let granted_mb = fixture.broker.open_requests[&ID].memory_grant_mb;
+        assert_eq!(granted_mb.map(u32::from), Some(96));
     });
 }
 
 #[test]
-fn the_gateway_is_told_of_a_client_s_retry() {
-    inside(|| {
+fn the_gateway_learns_whether_a_request_is_a_retry() {
+    run_in_runtime(|| {
         for is_retry in [false, true] {
-            let (mut broker, _own, _incoming) = new(setup());
+            let (mut broker, _own, _incoming) = new(config());
             let (reply, _answer) = oneshot::channel();
-            let asked = NewRequest {
+            let new_request = NewRequest {
                 is_retry,
                 ..request()
             };
-            broker.submit(asked, reply);
-            let told = broker.events.first();
-            assert!(matches!(told, Some(Event::Request(query)) if query.is_retry == is_retry));
+            broker.submit(new_request, reply);
+            let event = broker.events.first();
+            assert!(matches!(event, Some(Event::Request(query)) if query.is_retry == is_retry));
         }
     });
 }
 
-fn given_up(number: u32) -> BrokerMessage {
+fn abort_confirmation(number: u32) -> BrokerMessage {
     BrokerMessage::EngineReport(ENGINE, EngineReport::AbortConfirmed(ID, AttemptNo(number)))
 }
 
-/// A broker whose only class may be repeated: another attempt may follow one that is given up.
-fn repeatable() -> Bench {
-    let mut bench = bench();
-    bench.broker.settings.classes[0].effect = Effect::Repeatable;
-    bench
+/// A broker whose only class is repeatable: another attempt may follow an aborted one.
+fn repeatable_fixture() -> Fixture {
+    let mut fixture = fixture();
+    fixture.broker.settings.classes[0].effect = Effect::Repeatable;
+    fixture
 }
 
-/// Two attempts of one request must not be out together: what the gateway hears of has left its engine.
+/// Two attempts of one request must not be in flight together: an outcome is reported only after the abort is confirmed.
 #[test]
-fn an_attempt_that_is_given_up_is_out_until_that_is_confirmed() {
-    type Deed = fn(&mut Broker, RequestId, AttemptNo, Instant);
-    let cases: [(Deed, Outcome); 2] = [
-        (Broker::call_off, Outcome::Cancelled),
-        (Broker::timed_out, Outcome::TimedOut),
+fn an_aborted_attempt_is_in_flight_until_the_abort_is_confirmed() {
+    type AbortMethod = fn(&mut Broker, RequestId, AttemptNo, Instant);
+    let cases: [(AbortMethod, Outcome); 2] = [
+        (Broker::cancel_attempt, Outcome::Cancelled),
+        (Broker::attempt_timed_out, Outcome::TimedOut),
     ];
-    inside(|| {
-        for (deed, outcome) in cases {
-            let mut bench = repeatable();
-            bench.send();
-            deed(&mut bench.broker, ID, FIRST, Instant::now());
-            assert_eq!(bench.asked(), ["Send", "Abort"]);
-            assert_eq!(bench.outcomes(), []);
-            bench.send();
-            assert_eq!(bench.outcomes(), [(1, Outcome::Moot, false)]);
-            assert!(bench.asked().is_empty());
-            bench.broker.take(given_up(0));
-            bench.broker.take(given_up(0));
-            bench.end(AttemptResult::Reset);
-            assert_eq!(bench.outcomes(), [(0, outcome, false)]);
-            bench.send();
-            assert_eq!(bench.asked(), ["Send"]);
-            // A confirmation is none of an attempt that was not given up.
-            bench.broker.take(given_up(2));
-            assert_eq!(bench.outcomes(), []);
+    run_in_runtime(|| {
+        for (abort_method, outcome) in cases {
+            let mut fixture = repeatable_fixture();
+            fixture.send();
+            abort_method(&mut fixture.broker, ID, FIRST, Instant::now());
+            assert_eq!(fixture.command_names(), ["Send", "Abort"]);
+            assert_eq!(fixture.outcomes(), []);
+            fixture.send();
+            assert_eq!(fixture.outcomes(), [(1, Outcome::Moot, false)]);
+            assert!(fixture.command_names().is_empty());
+            fixture.broker.handle_message(abort_confirmation(0));
+            fixture.broker.handle_message(abort_confirmation(0));
+            fixture.end(AttemptResult::Reset);
+            assert_eq!(fixture.outcomes(), [(0, outcome, false)]);
+            fixture.send();
+            assert_eq!(fixture.command_names(), ["Send"]);
+            // A confirmation is ignored for an attempt that was not aborted.
+            fixture.broker.handle_message(abort_confirmation(2));
+            assert_eq!(fixture.outcomes(), []);
         }
     });
 }
 
 #[test]
-fn an_attempt_that_none_may_follow_has_its_outcome_at_once() {
-    inside(|| {
+fn the_last_attempt_of_a_request_has_its_outcome_at_once() {
+    run_in_runtime(|| {
         let now = Instant::now();
-        let mut gone = repeatable();
-        gone.send();
-        gone.broker.client_left(ID, Failure::Cancelled);
-        gone.broker.call_off(ID, FIRST, now);
-        assert_eq!(gone.outcomes(), [(0, Outcome::Cancelled, true)]);
-
-        let mut late = repeatable();
-        late.send();
-        let deadline = late.broker.open[&ID].deadline;
-        late.broker.timed_out(ID, FIRST, deadline);
-        assert_eq!(late.outcomes(), [(0, Outcome::TimedOut, false)]);
-
-        let mut once = bench();
-        once.broker.settings.classes[0].effect = Effect::Once;
-        once.send();
-        once.broker.call_off(ID, FIRST, now);
-        assert_eq!(once.outcomes(), [(0, Outcome::Cancelled, false)]);
+        let mut after_disconnect = repeatable_fixture();
+        after_disconnect.send();
+        after_disconnect.broker.client_left(ID, Failure::Cancelled);
+        after_disconnect.broker.cancel_attempt(ID, FIRST, now);
+        assert_eq!(after_disconnect.outcomes(), [(0, Outcome::Cancelled, true)]);
+
+        let mut at_deadline = repeatable_fixture();
+        at_deadline.send();
+        let deadline = at_deadline.broker.open_requests[&ID].deadline;
+        at_deadline.broker.attempt_timed_out(ID, FIRST, deadline);
+        assert_eq!(at_deadline.outcomes(), [(0, Outcome::TimedOut, false)]);
+
+        let mut not_repeatable = fixture();
+        not_repeatable.broker.settings.classes[0].effect = Effect::Once;
+        not_repeatable.send();
+        not_repeatable.broker.cancel_attempt(ID, FIRST, now);
+        assert_eq!(not_repeatable.outcomes(), [(0, Outcome::Cancelled, false)]);
     });
 }
 
 #[test]
-fn a_request_goes_on_though_nothing_confirms_that_its_attempt_is_given_up() {
-    inside(|| {
-        let mut silent = repeatable();
-        silent.send();
+fn a_request_goes_on_if_an_abort_is_not_confirmed() {
+    run_in_runtime(|| {
+        let mut unconfirmed = repeatable_fixture();
+        unconfirmed.send();
         let now = Instant::now();
-        silent.broker.call_off(ID, FIRST, now);
-        silent.broker.fall_due(now + GIVEN_UP_WITHIN / 2);
-        assert_eq!(silent.outcomes(), []);
-        silent.broker.fall_due(now + GIVEN_UP_WITHIN);
-        silent.broker.take(given_up(0));
-        assert_eq!(silent.outcomes(), [(0, Outcome::Cancelled, false)]);
-
-        let mut at_deadline = repeatable();
+        unconfirmed.broker.cancel_attempt(ID, FIRST, now);
+        unconfirmed.broker.fire_timers(now + ABORT_TIMEOUT / 2);
+        assert_eq!(unconfirmed.outcomes(), []);
+        unconfirmed.broker.fire_timers(now + ABORT_TIMEOUT);
+        unconfirmed.broker.handle_message(abort_confirmation(0));
+        assert_eq!(unconfirmed.outcomes(), [(0, Outcome::Cancelled, false)]);
+
+        let mut at_deadline = repeatable_fixture();
         at_deadline.send();
-        let deadline = at_deadline.broker.open[&ID].deadline;
-        let shortly_before = deadline - GIVEN_UP_WITHIN / 2;
-        at_deadline.broker.call_off(ID, FIRST, shortly_before);
-        at_deadline.broker.fall_due(deadline);
-        // These settings allow no time beyond the deadline: its final answer is due first.
+        let deadline = at_deadline.broker.open_requests[&ID].deadline;
+        let shortly_before = deadline - ABORT_TIMEOUT / 2;
+        at_deadline.broker.cancel_attempt(ID, FIRST, shortly_before);
+        at_deadline.broker.fire_timers(deadline);
+        // These settings have no answer slack, so the final answer is due at the deadline.
         assert_eq!(at_deadline.outcomes(), [(0, Outcome::Cancelled, true)]);
 
-        let mut died = repeatable();
-        died.send();
-        died.broker.call_off(ID, FIRST, now);
-        died.broker.take(BrokerMessage::EngineActorDied(ENGINE));
-        assert_eq!(died.outcomes(), [(0, Outcome::Cancelled, false)]);
+        let mut with_dead_actor = repeatable_fixture();
+        with_dead_actor.send();
+        with_dead_actor.broker.cancel_attempt(ID, FIRST, now);
+        with_dead_actor
+            .broker
+            .handle_message(BrokerMessage::EngineActorDied(ENGINE));
+        assert_eq!(with_dead_actor.outcomes(), [(0, Outcome::Cancelled, false)]);
     });
 }
 
-/// An engine's actor lets go, and an attempt crosses its word: it must not be left with an actor that ends.
+/// An actor reports to be idle while an attempt is on its way to it: the attempt must not be lost with the actor.
 #[test]
-fn an_actor_that_rests_ends_unless_it_was_told_of_more_meanwhile() {
-    inside(|| {
-        let mut bench = bench();
-        let mailbox = bench.broker.engines[&ENGINE].actor.as_ref();
+fn an_idle_actor_ends_unless_it_was_sent_another_command_meanwhile() {
+    run_in_runtime(|| {
+        let mut fixture = fixture();
+        let mailbox = fixture.broker.engines[&ENGINE].actor.as_ref();
         let mailbox = mailbox.expect("an actor").mailbox.downgrade();
-        let resting = |taken| IdleEngine {
+        let idle_engine = |taken| IdleEngine {
             mailbox: mailbox.clone(),
             received_count: taken,
         };
-        let runs = |bench: &Bench| bench.broker.engines[&ENGINE].actor.is_some();
-        bench.broker.probe(ENGINE);
-        bench.broker.rests(ENGINE, &resting(0));
-        assert!(runs(&bench), "it has not taken the probe yet");
+        let has_actor = |fixture: &Fixture| fixture.broker.engines[&ENGINE].actor.is_some();
+        fixture.broker.probe(ENGINE);
+        fixture.broker.engine_idle(ENGINE, &idle_engine(0));
+        assert!(
+            has_actor(&fixture),
+            "the actor has not received the probe yet"
+        );
         let (other, _kept) = mpsc::channel(1);
-        let foreign = IdleEngine {
+        let from_earlier_actor = IdleEngine {
             mailbox: other.downgrade(),
             received_count: 1,
         };
-        bench.broker.rests(ENGINE, &foreign);
-        assert!(runs(&bench), "the word of an earlier actor");
-        bench.broker.rests(ENGINE, &resting(1));
-        assert!(!runs(&bench));
+        fixture.broker.engine_idle(ENGINE, &from_earlier_actor);
+        assert!(has_actor(&fixture), "the report is of an earlier actor");
+        fixture.broker.engine_idle(ENGINE, &idle_engine(1));
+        assert!(!has_actor(&fixture));
     });
 }
 
-/// The start of an engine by its own clock is so far from now, and it is told of in this way: how long ago it started, as the
-/// gateway hears it.
-fn told_age(listing: Listing, from_now_ms: f64) -> Micros {
-    let setup = setup();
-    let clock = setup.clock;
-    let (mut broker, _, _) = new(setup);
+/// The age of an engine as the gateway gets it, for an engine whose clock gives a start `from_now_ms` from now.
+fn listed_age(listing: Listing, from_now_ms: f64) -> Micros {
+    let config = config();
+    let clock = config.clock;
+    let (mut broker, _, _) = new(config);
     let now = clock.micros(Instant::now()).0 as f64 / 1000.0;
     let target = Target {
         uid: "s-00000001".to_string(),
@@ -727,39 +757,43 @@
         boot_ms: Some(now + from_now_ms),
         ..Target::default()
     };
-    broker.list(listing, vec![target]);
+    broker.update_engine_list(listing, vec![target]);
     let started_at = broker.events.iter().find_map(|event| match event {
         Event::List { engines, .. } => Some(engines[0].started_at),
         _ => None,
     });
     let started_at = started_at.expect("a list");
     let now = clock.micros(Instant::now());
-    assert!(started_at <= now, "it starts in {:?}", started_at - now);
+    assert!(
+        started_at <= now,
+        "the engine starts in {:?}",
+        started_at - now
+    );
     now - started_at
 }
 
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// Clocks of machines are apart, and are stepped: the age of an engine is bounded by what this process knows itself.
+/// Clocks of machines differ and are stepped, so the age of an engine is limited by this process's clock.
 #[test]
-fn an_engine_whose_clock_is_ahead_has_started_when_it_is_told_of() {
-    inside(|| {
+fn an_engine_whose_clock_is_ahead_counts_as_started_when_listed() {
+    run_in_runtime(|| {
         for listing in [Listing::Saved, Listing::Complete, Listing::Changes] {
-            let age = told_age(listing, HOUR_MS);
+            let age = listed_age(listing, HOUR_MS);
             assert!(age < Micros::from_millis(1_000), "{listing:?}: {age:?}");
         }
     });
 }
 
 #[test]
-fn an_engine_that_a_change_tells_of_is_no_older_than_a_change_may_be_late() {
-    inside(|| {
-        let age = told_age(Listing::Changes, -HOUR_MS);
+fn an_engine_in_a_change_is_no_older_than_the_maximum_change_delay() {
+    run_in_runtime(|| {
+        let age = listed_age(Listing::Changes, -HOUR_MS);
         assert!(age <= Micros::from_millis(8_000), "{age:?}");
-        let age = told_age(Listing::Changes, -3_000.0);
+        let age = listed_age(Listing::Changes, -3_000.0);
         assert!(age >= Micros::from_millis(3_000), "{age:?}");
-        // The first list may tell of one that has long been there.
-        let age = told_age(Listing::Saved, -HOUR_MS);
+        // The first list may contain engines that started long ago.
+        let age = listed_age(Listing::Saved, -HOUR_MS);
         assert!(age >= Micros::from_millis(3_600_000), "{age:?}");
     });
 }
