--- a/engines/src/connection_slots.rs
+++ b/engines/src/connection_slots.rs
@@ -1,49 +1,51 @@
-//! Connection slots: how many connections there may be to all engines together.
+//! Limits the number of connections that are open to all engines together.
 //!
-//! Each engine may have a few whatever there are, and there may be hundreds of engines: their sum would take the
-//! descriptors that clients, the change log and files need.
+//! The limit per engine does not bound their sum: with hundreds of engines it would use up the file descriptors
+//! that clients, the change log and files need.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::watch;
 
+/// The count of open connections, shared by the actors of all engines.
 #[derive(Clone, Debug)]
 pub struct ConnectionSlots {
-    taken: Arc<AtomicUsize>,
-    wanted: watch::Sender<()>,
+    in_use: Arc<AtomicUsize>,
+    shortage: watch::Sender<()>,
 }
 
 impl Default for ConnectionSlots {
     fn default() -> ConnectionSlots {
         ConnectionSlots {
-            taken: Arc::default(),
-            wanted: watch::Sender::new(()),
+            in_use: Arc::default(),
+            shortage: watch::Sender::new(()),
         }
     }
 }
 
-/// One connection's slot; given back when it is dropped.
+/// The slot of one connection; released when dropped.
 #[derive(Debug)]
 pub struct ConnectionSlot(Arc<AtomicUsize>);
 
 impl ConnectionSlots {
-    /// A slot, where fewer than so many are taken.
-    pub fn try_acquire(&self, most: usize) -> Option<ConnectionSlot> {
-        let more = |taken: usize| (taken < most).then_some(taken + 1);
-        let taken = self
-            .taken
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
-        taken.ok().map(|_| ConnectionSlot(self.taken.clone()))
+    /// Acquires a slot if fewer than `max_connections` are in use.
+    pub fn try_acquire(&self, max_connections: usize) -> Option<ConnectionSlot> {
+        let increment = |in_use: usize| (in_use < max_connections).then_some(in_use + 1);
+        let acquired = self
+            .in_use
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment);
+        acquired.ok().map(|_| ConnectionSlot(self.in_use.clone()))
     }
 
-    /// An engine has no connection at all and found no slot: all that keep an idle one hear of it.
+    /// Tells all engine actors that an engine without any connection found no free slot, so that they close idle
+    /// connections.
     pub fn signal_shortage(&self) {
-        self.wanted.send_replace(());
+        self.shortage.send_replace(());
     }
 
-    /// Hears when a slot is wanted.
+    /// A receiver that is notified of each shortage of slots.
     pub fn subscribe_shortage(&self) -> watch::Receiver<()> {
-        self.wanted.subscribe()
+        self.shortage.subscribe()
     }
 }
 
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -1,8 +1,8 @@
 //! The actor of an engine that speaks Arrow Flight SQL.
 //!
-//! An attempt is polled with PollFlightInfo, which tells its progress, until the engine has it ready, or,
-//! where the engine does not poll, asked for with GetFlightInfo; then its ticket is redeemed with DoGet.
-//! That it never ran is believed only of an error that says so in [`NOT_RUN_METADATA`].
+//! An attempt is polled with PollFlightInfo, which reports its progress, until its result is ready; engines without
+//! PollFlightInfo get GetFlightInfo instead. Its ticket is then redeemed with DoGet. A failed attempt counts as
+//! never run only if the error carries [`NOT_RUN_METADATA`].
 
 use crate::NetworkTransport;
 use crate::connection_slots::ConnectionSlot;
@@ -26,93 +26,96 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Request, Status};
 
-/// Metadata of an error: what was asked never ran.
+/// Metadata key of an error: the statement never ran.
 pub const NOT_RUN_METADATA: &str = "sedgebeam-not-run";
-/// Metadata of a result: the work that it took, in milliseconds.
+/// Metadata key of a result: the work that it took, in milliseconds.
 pub const WORK_MS_METADATA: &str = "sedgebeam-work";
-/// Actions of an engine beyond the standard ones: a new priority, a load report, and the end of what
-/// has no flight info yet that CancelFlightInfo could name.
+/// Non-standard action: aborts a request that has no flight info yet, which CancelFlightInfo would need.
 pub const ABORT_ACTION: &str = "sedgebeam.abort";
+/// Non-standard action: changes the priority of a request.
 pub const REPRIORITIZE_ACTION: &str = "sedgebeam.renice";
+/// Non-standard action: asks for a load report.
 pub const LOAD_REPORT_ACTION: &str = "sedgebeam.stats";
 
-/// Time between polls: short at first, as most queries are.
-const FIRST_POLL: Duration = Duration::from_millis(10);
-const LONGEST_POLL: Duration = Duration::from_millis(500);
-/// Pages that may be asked for at once: their reader asks for one at a time.
-const MAILBOX: usize = 4;
-const EVENTS: usize = 1024;
-/// While calls are under way, a connection is pinged so often, and must answer within as long: one that is of
-/// no further use though it stays open would hold its calls, and those that come after them.
-const ALIVE: Duration = Duration::from_millis(700);
-/// The largest message of an engine.
-const MOST_MESSAGE: usize = 256 * 1024;
+/// The delay after the first poll; it doubles with each poll. It starts short because most queries are short.
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(10);
+const MAX_POLL_DELAY: Duration = Duration::from_millis(500);
+/// Page requests of one attempt that may wait; a reader asks for one page at a time.
+const PAGE_REQUEST_CAPACITY: usize = 4;
+/// Finished attempts that may wait for the actor.
+const FINISHED_CAPACITY: usize = 1024;
+/// The interval of HTTP/2 pings while calls are in flight, and the time limit for their acknowledgement. Without
+/// them a connection that is dead but still open would block its calls and all later ones.
+const KEEP_ALIVE: Duration = Duration::from_millis(700);
+/// Bound on one gRPC message from an engine.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
 type Client = FlightServiceClient<Channel>;
 
-/// A connection on its way up, for all attempts that wait for it; `None` where it can't be had.
-type Opening = Shared<BoxFuture<'static, Option<Channel>>>;
+/// A channel that is being connected, shared by all attempts that wait for it; `None` if the connect failed.
+type PendingChannel = Shared<BoxFuture<'static, Option<Channel>>>;
 
-/// A connection, and how many attempts it carries.
-struct Lane {
+/// A connection and the number of attempts on it.
+struct Connection {
     _slot: ConnectionSlot,
-    opening: Opening,
-    out: usize,
-    used: Instant,
+    channel: PendingChannel,
+    attempts_in_flight: usize,
+    last_used_at: Instant,
 }
 
-struct Running {
-    number: AttemptNo,
-    lane: u64,
-    pages: mpsc::Sender<More>,
-    /// Dropped to give the attempt up.
-    kept: oneshot::Sender<()>,
+struct RunningAttempt {
+    attempt_no: AttemptNo,
+    connection_id: u64,
+    page_requests: mpsc::Sender<More>,
+    /// Dropping it cancels the attempt.
+    cancel_on_drop: oneshot::Sender<()>,
 }
 
-/// An attempt is over, and whether its connection is too.
-struct Over {
-    id: RequestId,
-    number: AttemptNo,
-    lane: u64,
-    broken: bool,
+/// The task of an attempt has finished.
+struct AttemptFinished {
+    request_id: RequestId,
+    attempt_no: AttemptNo,
+    connection_id: u64,
+    is_connection_broken: bool,
 }
 
 struct Actor {
     endpoint: String,
     transport: NetworkTransport,
-    reports: Reports,
-    over: mpsc::Sender<Over>,
-    lanes: HashMap<u64, Lane>,
-    next_lane: u64,
-    running: HashMap<RequestId, Running>,
+    reporter: Reports,
+    finished: mpsc::Sender<AttemptFinished>,
+    connections: HashMap<u64, Connection>,
+    last_connection_id: u64,
+    running_attempts: HashMap<RequestId, RunningAttempt>,
 }
 
-/// Runs until its mailbox is closed.
+/// Runs the actor of the engine at `endpoint` until its mailbox is closed.
 pub async fn run(
     endpoint: String,
     transport: NetworkTransport,
     mut mailbox: mpsc::Receiver<ToEngine>,
-    reports: Reports,
+    reporter: Reports,
 ) {
-    let (over, mut incoming) = mpsc::channel(EVENTS);
+    let (finished, mut finished_attempts) = mpsc::channel(FINISHED_CAPACITY);
     let mut actor = Actor {
         endpoint,
         transport,
-        reports,
-        over,
-        lanes: HashMap::new(),
-        next_lane: 0,
-        running: HashMap::new(),
+        reporter,
+        finished,
+        connections: HashMap::new(),
+        last_connection_id: 0,
+        running_attempts: HashMap::new(),
     };
-    let mut wanted = actor.transport.slots.subscribe_shortage();
+    let mut slot_shortage = actor.transport.slots.subscribe_shortage();
     loop {
         tokio::select! {
-            message = mailbox.recv() => match message {
-                Some(message) => actor.take(message).await,
+            command = mailbox.recv() => match command {
+                Some(command) => actor.handle(command).await,
                 None => return,
             },
-            Ok(()) = wanted.changed() => actor.lanes.retain(|_, lane| lane.out > 0),
-            Some(over) = incoming.recv() => actor.over(over),
+            Ok(()) = slot_shortage.changed() =>
+                actor.connections.retain(|_, connection| connection.attempts_in_flight > 0),
+            Some(attempt) = finished_attempts.recv() => actor.attempt_finished(attempt),
         }
     }
 }
@@ -122,243 +125,276 @@
         *self.transport.connections.borrow()
     }
 
-    async fn take(&mut self, message: ToEngine) {
-        match message {
+    async fn handle(&mut self, command: ToEngine) {
+        match command {
             ToEngine::Send(attempt) => self.send(attempt).await,
-            ToEngine::Abort(id, number) | ToEngine::Done(id, number) => self.give_up(id, number),
-            ToEngine::Renice(id, number, rank) => self.renice(id, number, rank),
+            ToEngine::Abort(request_id, attempt_no) | ToEngine::Done(request_id, attempt_no) => {
+                self.cancel(request_id, attempt_no)
+            }
+            ToEngine::Renice(request_id, attempt_no, priority) => {
+                self.reprioritize(request_id, attempt_no, priority)
+            }
             ToEngine::Probe => self.probe(),
             ToEngine::More(more) => {
-                let running = self.running.get(&more.request);
-                let running = running.filter(|running| running.number == more.number);
-                // Without one, or with its mailbox full, the reader sees its channel end.
+                let running = self.running_attempts.get(&more.request);
+                let running = running.filter(|running| running.attempt_no == more.number);
+                // If the attempt is gone or its channel is full, the reader's reply channel is closed.
                 if let Some(running) = running
-                    && running.pages.try_send(more).is_err()
+                    && running.page_requests.try_send(more).is_err()
                 {
-                    log::debug!("{}: a page was asked for twice", self.endpoint);
+                    log::debug!(
+                        "{}: dropped a page request: too many wait, or the result has ended",
+                        self.endpoint
+                    );
                 }
             }
-            ToEngine::NothingNew => self.nothing_new().await,
+            ToEngine::NothingNew => self.return_unsent().await,
         }
     }
 
-    fn over(&mut self, over: Over) {
-        if let Some(lane) = self.lanes.get_mut(&over.lane) {
-            lane.out = lane.out.saturating_sub(1);
-            lane.used = Instant::now();
+    fn attempt_finished(&mut self, finished: AttemptFinished) {
+        if let Some(connection) = self.connections.get_mut(&finished.connection_id) {
+            connection.attempts_in_flight = connection.attempts_in_flight.saturating_sub(1);
+            connection.last_used_at = Instant::now();
         }
-        if over.broken {
-            self.lanes.remove(&over.lane);
+        if finished.is_connection_broken {
+            self.connections.remove(&finished.connection_id);
         }
-        if self.is_running(over.id, over.number) {
-            self.running.remove(&over.id);
+        if self.is_running(finished.request_id, finished.attempt_no) {
+            self.running_attempts.remove(&finished.request_id);
         }
         self.close_idle();
     }
 
-    fn is_running(&self, id: RequestId, number: AttemptNo) -> bool {
-        let running = self.running.get(&id);
-        running.is_some_and(|running| running.number == number)
+    fn is_running(&self, request_id: RequestId, attempt_no: AttemptNo) -> bool {
+        let running = self.running_attempts.get(&request_id);
+        running.is_some_and(|running| running.attempt_no == attempt_no)
     }
 
-    /// What waits for a connection to come up has not been written and is taken back.
-    async fn nothing_new(&mut self) {
-        let lanes = &self.lanes;
-        let opening = |lane: u64| {
-            lanes
-                .get(&lane)
-                .is_some_and(|lane| lane.opening.peek().is_none())
+    /// Ends all attempts that wait for a connection and so have not been sent.
+    async fn return_unsent(&mut self) {
+        let connections = &self.connections;
+        let is_connecting = |connection_id: u64| {
+            connections
+                .get(&connection_id)
+                .is_some_and(|connection| connection.channel.peek().is_none())
         };
-        let waiting = self.running.extract_if(|_, running| opening(running.lane));
-        // All of them end here, before the first is told of: a connection might come up meanwhile.
-        let waiting = waiting.map(|(id, running)| (id, running.number));
-        let waiting: Vec<(RequestId, AttemptNo)> = waiting.collect();
-        for (id, number) in waiting {
-            self.reports.ended(id, number, End::ConnectFailed).await;
+        let unsent = self
+            .running_attempts
+            .extract_if(|_, running| is_connecting(running.connection_id));
+        // All are cancelled before the first is reported: a connection might come up during a report.
+        let unsent = unsent.map(|(request_id, running)| (request_id, running.attempt_no));
+        let unsent: Vec<(RequestId, AttemptNo)> = unsent.collect();
+        for (request_id, attempt_no) in unsent {
+            self.reporter
+                .ended(request_id, attempt_no, End::ConnectFailed)
+                .await;
         }
     }
 
     fn close_idle(&mut self) {
-        let idle = duration(self.settings().idle);
+        let idle_timeout = duration(self.settings().idle);
         let now = Instant::now();
-        self.lanes
-            .retain(|_, lane| lane.out > 0 || now < lane.used + idle);
+        self.connections.retain(|_, connection| {
+            connection.attempts_in_flight > 0 || now < connection.last_used_at + idle_timeout
+        });
     }
 
-    /// The fullest lane with room, or a new one.
-    fn lane(&mut self) -> Option<(u64, Opening)> {
-        let most = self.settings().max_streams;
-        let fit = self.lanes.iter_mut().filter(|(_, lane)| lane.out < most);
-        if let Some((number, lane)) = fit.max_by_key(|(number, lane)| (lane.out, **number)) {
-            lane.out += 1;
-            return Some((*number, lane.opening.clone()));
+    /// Adds an attempt to the connection with the most attempts that has room for one more, or to a new connection.
+    fn reserve_stream(&mut self) -> Option<(u64, PendingChannel)> {
+        let max_streams = self.settings().max_streams;
+        let with_room = self
+            .connections
+            .iter_mut()
+            .filter(|(_, connection)| connection.attempts_in_flight < max_streams);
+        if let Some((connection_id, connection)) =
+            with_room.max_by_key(|(connection_id, connection)| {
+                (connection.attempts_in_flight, **connection_id)
+            })
+        {
+            connection.attempts_in_flight += 1;
+            return Some((*connection_id, connection.channel.clone()));
         }
-        if self.lanes.len() >= self.settings().most {
+        if self.connections.len() >= self.settings().most {
             return None;
         }
         let Some(slot) = self.transport.slots.try_acquire(self.settings().in_all) else {
             self.transport.slots.signal_shortage();
             return None;
         };
-        self.next_lane += 1;
-        let limit = duration(self.settings().connect_timeout);
-        let opening = open(self.endpoint.clone(), limit).boxed().shared();
-        let lane = Lane {
+        self.last_connection_id += 1;
+        let connect_timeout = duration(self.settings().connect_timeout);
+        let channel = open_channel(self.endpoint.clone(), connect_timeout)
+            .boxed()
+            .shared();
+        let connection = Connection {
             _slot: slot,
-            opening: opening.clone(),
-            out: 1,
-            used: Instant::now(),
+            channel: channel.clone(),
+            attempts_in_flight: 1,
+            last_used_at: Instant::now(),
         };
-        self.lanes.insert(self.next_lane, lane);
-        Some((self.next_lane, opening))
+        self.connections.insert(self.last_connection_id, connection);
+        Some((self.last_connection_id, channel))
     }
 
     async fn send(&mut self, attempt: Attempt) {
-        let (id, number) = (attempt.request, attempt.number);
-        // Its name is out here already, for a result that is still being read: that must not be cut off.
-        let lane = if self.running.contains_key(&id) {
+        let (request_id, attempt_no) = (attempt.request, attempt.number);
+        // An earlier attempt of this request may still be serving its result, which must not be cut off.
+        let stream = if self.running_attempts.contains_key(&request_id) {
             None
         } else {
-            self.lane()
+            self.reserve_stream()
         };
-        let Some((lane, opening)) = lane else {
-            // No fault of the engine's.
-            self.reports.ended(id, number, End::Void).await;
+        let Some((connection_id, channel)) = stream else {
+            // `Void` does not count as a failure of the engine.
+            self.reporter.ended(request_id, attempt_no, End::Void).await;
             return;
         };
-        let (pages, asked) = mpsc::channel(MAILBOX);
-        let (kept, dropped) = oneshot::channel();
-        let running = Running {
-            number,
-            lane,
-            pages,
-            kept,
+        let (page_requests, page_receiver) = mpsc::channel(PAGE_REQUEST_CAPACITY);
+        let (cancel_on_drop, cancelled) = oneshot::channel();
+        let running = RunningAttempt {
+            attempt_no,
+            connection_id,
+            page_requests,
+            cancel_on_drop,
         };
-        self.running.insert(id, running);
-        let task = Task {
+        self.running_attempts.insert(request_id, running);
+        let task = AttemptTask {
             attempt,
             endpoint: self.endpoint.clone(),
-            reports: self.reports.clone(),
+            reporter: self.reporter.clone(),
             metrics: self.transport.metrics.clone(),
         };
-        let (over, died) = (self.over.clone(), self.over.clone());
-        let (reports, given_up) = (self.reports.clone(), self.reports.clone());
-        let word = move |broken| Over {
-            id,
-            number,
-            lane,
-            broken,
+        let (finished, finished_by_panic) = (self.finished.clone(), self.finished.clone());
+        let (panic_reporter, cancel_reporter) = (self.reporter.clone(), self.reporter.clone());
+        let to_finished = move |is_connection_broken| AttemptFinished {
+            request_id,
+            attempt_no,
+            connection_id,
+            is_connection_broken,
         };
         let run = async move {
-            let broken = tokio::select! {
+            let is_connection_broken = tokio::select! {
                 biased;
-                _ = dropped => None,
-                broken = task.run(opening, asked) => Some(broken),
+                _ = cancelled => None,
+                is_broken = task.run(channel, page_receiver) => Some(is_broken),
             };
-            if broken.is_none() {
-                given_up.given_up(id, number).await;
+            if is_connection_broken.is_none() {
+                cancel_reporter.given_up(request_id, attempt_no).await;
             }
-            let broken = broken.unwrap_or(false);
-            // An actor that is gone counts no more.
-            let _ = over.send(word(broken)).await;
+            let is_connection_broken = is_connection_broken.unwrap_or(false);
+            // An actor that has ended needs no notice.
+            let _ = finished.send(to_finished(is_connection_broken)).await;
         };
         supervise::watch(format!("attempt at {}", self.endpoint), run, move || {
             tokio::spawn(async move {
-                reports.ended(id, number, End::Reset).await;
-                let _ = died.send(word(true)).await;
+                panic_reporter
+                    .ended(request_id, attempt_no, End::Reset)
+                    .await;
+                let _ = finished_by_panic.send(to_finished(true)).await;
             });
         });
     }
 
-    fn give_up(&mut self, id: RequestId, number: AttemptNo) {
-        if self.is_running(id, number)
-            && let Some(running) = self.running.remove(&id)
+    fn cancel(&mut self, request_id: RequestId, attempt_no: AttemptNo) {
+        if self.is_running(request_id, attempt_no)
+            && let Some(running) = self.running_attempts.remove(&request_id)
         {
-            drop(running.kept);
+            drop(running.cancel_on_drop);
         }
     }
 
-    fn renice(&mut self, id: RequestId, number: AttemptNo, rank: u8) {
+    fn reprioritize(&mut self, request_id: RequestId, attempt_no: AttemptNo, priority: u8) {
         let running = self
-            .running
-            .get(&id)
-            .filter(|running| running.number == number);
-        let lane = running.and_then(|running| self.lanes.get(&running.lane));
-        let Some(channel) = lane.and_then(|lane| lane.opening.peek().cloned().flatten()) else {
+            .running_attempts
+            .get(&request_id)
+            .filter(|running| running.attempt_no == attempt_no);
+        let connection = running.and_then(|running| self.connections.get(&running.connection_id));
+        let Some(channel) =
+            connection.and_then(|connection| connection.channel.peek().cloned().flatten())
+        else {
             return;
         };
-        let action = Action::new(REPRIORITIZE_ACTION, format!("{:016x} {rank}", id.0));
+        let action = Action::new(
+            REPRIORITIZE_ACTION,
+            format!("{:016x} {priority}", request_id.0),
+        );
         tokio::spawn(async move {
-            // An engine that knows no priorities says so; nothing depends on it.
+            // An engine without priorities answers with an error, which does no harm.
             let _ = client(channel).do_action(action).await;
         });
     }
 
     fn probe(&mut self) {
-        let mut up = self
-            .lanes
+        let mut open_channels = self
+            .connections
             .values()
-            .filter_map(|lane| lane.opening.peek().cloned().flatten());
-        let channel = up.next();
-        drop(up);
-        let (endpoint, reports) = (self.endpoint.clone(), self.reports.clone());
-        let limit = duration(self.settings().connect_timeout);
-        let (slots, in_all) = (self.transport.slots.clone(), self.settings().in_all);
+            .filter_map(|connection| connection.channel.peek().cloned().flatten());
+        let channel = open_channels.next();
+        drop(open_channels);
+        let (endpoint, reporter) = (self.endpoint.clone(), self.reporter.clone());
+        let connect_timeout = duration(self.settings().connect_timeout);
+        let (slots, max_connections) = (self.transport.slots.clone(), self.settings().in_all);
         tokio::spawn(async move {
-            // Only a connection of its own takes a slot, for as long as the probe lasts.
-            let slot = channel.is_none().then(|| slots.try_acquire(in_all));
+            // Without an open connection the probe opens one, which holds a slot until the probe ends.
+            let slot = channel
+                .is_none()
+                .then(|| slots.try_acquire(max_connections));
             let channel = match slot {
-                Some(Some(_)) => open(endpoint, limit).await,
+                Some(Some(_)) => open_channel(endpoint, connect_timeout).await,
                 _ => channel,
             };
             let probe = match channel {
-                Some(channel) => stats(channel, limit).await,
+                Some(channel) => request_load_report(channel, connect_timeout).await,
                 None => Probe::ConnectFailed,
             };
             drop(slot);
-            reports.tell(Report::Probed(probe)).await;
+            reporter.tell(Report::Probed(probe)).await;
         });
     }
 }
 
 fn client(channel: Channel) -> Client {
-    FlightServiceClient::new(channel).max_decoding_message_size(MOST_MESSAGE)
+    FlightServiceClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES)
 }
 
-async fn connect(endpoint: &str, limit: Duration) -> Result<Channel, tonic::transport::Error> {
+async fn connect(
+    endpoint: &str,
+    connect_timeout: Duration,
+) -> Result<Channel, tonic::transport::Error> {
     let address = endpoint.trim_start_matches(super::FLIGHT_SCHEME);
     let endpoint = Endpoint::from_shared(format!("http://{address}"))?
-        .connect_timeout(limit)
-        .http2_keep_alive_interval(ALIVE)
-        .keep_alive_timeout(ALIVE)
+        .connect_timeout(connect_timeout)
+        .http2_keep_alive_interval(KEEP_ALIVE)
+        .keep_alive_timeout(KEEP_ALIVE)
         .tcp_nodelay(true);
     endpoint.connect().await
 }
 
-async fn open(endpoint: String, limit: Duration) -> Option<Channel> {
-    let opened = connect(&endpoint, limit).await;
-    opened
-        .inspect_err(|error| log::info!("connecting to {endpoint}: {error}"))
+async fn open_channel(endpoint: String, connect_timeout: Duration) -> Option<Channel> {
+    let connected = connect(&endpoint, connect_timeout).await;
+    connected
+        .inspect_err(|error| log::info!("connecting to {endpoint} failed: {error}"))
         .ok()
 }
 
-async fn stats(channel: Channel, limit: Duration) -> Probe {
-    let asked = async {
+async fn request_load_report(channel: Channel, time_limit: Duration) -> Probe {
+    let call = async {
         let mut results = client(channel)
             .do_action(Action::new(LOAD_REPORT_ACTION, ""))
             .await?;
         results.get_mut().message().await
     };
-    match timeout(limit, asked).await {
+    match timeout(time_limit, call).await {
         Err(_) => Probe::Silent,
-        Ok(Ok(result)) => Probe::Up(result.and_then(|result| load(&result.body))),
-        // It lives, but has no report to give.
+        Ok(Ok(result)) => Probe::Up(result.and_then(|result| parse_load(&result.body))),
+        // The engine is up but does not support load reports.
         Ok(Err(status)) if status.code() == Code::Unimplemented => Probe::Up(None),
         Ok(Err(_)) => Probe::Down,
     }
 }
 
-fn load(body: &[u8]) -> Option<Load> {
+fn parse_load(body: &[u8]) -> Option<Load> {
     let values = std::str::from_utf8(body)
         .ok()?
         .split(';')
@@ -369,12 +405,12 @@
     Some(sedgebeam_settings::load(values))
 }
 
-/// What an error says of an attempt.
-fn end(status: &Status) -> End {
+/// How an attempt ended, according to its error.
+fn end_of_error(status: &Status) -> End {
     let not_run = status.metadata().contains_key(NOT_RUN_METADATA);
     match status.code() {
-        // The connection had broken before, and no new one could be made.
-        Code::Unavailable if never_connected(status) => End::ConnectFailed,
+        // The channel lost its connection earlier and could not reconnect.
+        Code::Unavailable if is_connect_error(status) => End::ConnectFailed,
         Code::ResourceExhausted if not_run => End::Busy,
         _ if not_run => End::Void,
         Code::Unavailable => End::Reset,
@@ -382,53 +418,56 @@
     }
 }
 
-fn never_connected(status: &Status) -> bool {
-    let first = std::error::Error::source(status);
-    let mut causes = std::iter::successors(first, |cause| cause.source());
+fn is_connect_error(status: &Status) -> bool {
+    let first_cause = std::error::Error::source(status);
+    let mut causes = std::iter::successors(first_cause, |cause| cause.source());
     causes.any(|cause| cause.is::<tonic::ConnectError>())
 }
 
-/// One attempt, from its connection to its last page.
-struct Task {
+/// Runs one attempt, from waiting for its connection to serving the last page of its result.
+struct AttemptTask {
     attempt: Attempt,
     endpoint: String,
-    reports: Reports,
+    reporter: Reports,
     metrics: Figures,
 }
 
-impl Task {
-    /// Runs the attempt; whether its connection turned out to be broken.
-    async fn run(self, opening: Opening, asked: mpsc::Receiver<More>) -> bool {
-        let (id, number) = (self.attempt.request, self.attempt.number);
-        let Some(channel) = opening.await else {
-            self.reports.ended(id, number, End::ConnectFailed).await;
+impl AttemptTask {
+    /// Runs the attempt and returns whether its connection is broken.
+    async fn run(self, channel: PendingChannel, page_requests: mpsc::Receiver<More>) -> bool {
+        let (request_id, attempt_no) = (self.attempt.request, self.attempt.number);
+        let Some(channel) = channel.await else {
+            self.reporter
+                .ended(request_id, attempt_no, End::ConnectFailed)
+                .await;
             return true;
         };
-        // Its connection may have taken long.
+        // The request may have ended while the connection was being made.
         if self.attempt.is_void() {
-            self.reports.ended(id, number, End::Void).await;
+            self.reporter.ended(request_id, attempt_no, End::Void).await;
             return false;
         }
-        match self.result(client(channel)).await {
+        match self.execute(client(channel)).await {
             Ok((stream, work)) => {
                 self.metrics.forwarded(1);
-                self.pages(stream, work, asked).await;
+                self.serve_pages(stream, work, page_requests).await;
                 false
             }
             Err(status) => {
-                log::debug!("{}: {status}", self.endpoint);
-                let end = end(&status);
-                let broken = matches!(end, End::Reset | End::ConnectFailed);
+                log::debug!("{}: an attempt failed: {status}", self.endpoint);
+                let end = end_of_error(&status);
+                let is_connection_broken = matches!(end, End::Reset | End::ConnectFailed);
                 if end != End::ConnectFailed {
                     self.metrics.forwarded(1);
                 }
-                self.reports.ended(id, number, end).await;
-                broken
+                self.reporter.ended(request_id, attempt_no, end).await;
+                is_connection_broken
             }
         }
     }
 
-    fn request<T>(&self, message: T) -> Request<T> {
+    /// A call that carries the fields of the attempt as metadata.
+    fn with_metadata<T>(&self, message: T) -> Request<T> {
         let mut request = Request::new(message);
         let fields = [
             ("txn", format!("{:016x}", self.attempt.request.0)),
@@ -438,12 +477,12 @@
         ];
         let grant = self.attempt.memory_grant_mb;
         let grant = grant.map(|memory_mb| ("grant", memory_mb.to_string()));
-        let words = self
+        let client_fields = self
             .attempt
             .words()
-            .map(|(name, word)| (name, word.to_string()));
-        for (name, value) in fields.into_iter().chain(grant).chain(words) {
-            // A class whose name no header can hold goes without it.
+            .map(|(name, value)| (name, value.to_string()));
+        for (name, value) in fields.into_iter().chain(grant).chain(client_fields) {
+            // A value that is not valid in a header, such as the name of a class, is left out.
             if let Ok(value) = value.parse() {
                 request.metadata_mut().insert(name, value);
             }
@@ -452,45 +491,54 @@
     }
 
     /// Runs the statement and opens its result.
-    async fn result(
+    async fn execute(
         &self,
         mut client: Client,
     ) -> Result<(FlightRecordBatchStream, Option<Micros>), Status> {
         let query = String::from_utf8(self.attempt.statement.to_vec())
-            .map_err(|_| Status::invalid_argument("a statement that is not UTF-8"))?;
+            .map_err(|_| Status::invalid_argument("the statement is not valid UTF-8"))?;
         let command = CommandStatementQuery {
             query,
             transaction_id: None,
         };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
-        let info = self.info(&mut client, descriptor).await?;
-        let mut guard = Guard(Some((client.clone(), cancel(info.clone()))));
-        let answer = client.do_get(self.request(ticket(info)?)).await?;
-        let work = answer.metadata().get(WORK_MS_METADATA);
-        let work = work.and_then(|work| work.to_str().ok()?.parse::<f64>().ok());
-        let data = answer.into_inner().map_err(Into::into);
+        let info = self.poll_until_ready(&mut client, descriptor).await?;
+        let mut guard = CancelOnDrop(Some((client.clone(), cancel_action(info.clone()))));
+        let response = client
+            .do_get(self.with_metadata(single_ticket(info)?))
+            .await?;
+        let work_ms = response.metadata().get(WORK_MS_METADATA);
+        let work_ms = work_ms.and_then(|work_ms| work_ms.to_str().ok()?.parse::<f64>().ok());
+        let data = response.into_inner().map_err(Into::into);
         let stream = FlightRecordBatchStream::new_from_flight_data(data);
-        // From here on, dropping the stream tells the engine.
+        // From here on, dropping the stream cancels the call at the engine.
         guard.0 = None;
-        Ok((stream, work.map(|work| Micros::from_millis(work as u64))))
+        Ok((
+            stream,
+            work_ms.map(|work_ms| Micros::from_millis(work_ms as u64)),
+        ))
     }
 
-    /// Polls the statement until it is ready; its progress is reported.
-    async fn info(
+    /// Polls the statement until its result is ready and reports its progress.
+    async fn poll_until_ready(
         &self,
         client: &mut Client,
         descriptor: FlightDescriptor,
     ) -> Result<FlightInfo, Status> {
-        let missing = || Status::internal("an answer without flight info");
-        let (mut next, mut pause) = (descriptor.clone(), FIRST_POLL);
-        // From the first poll on the engine may run it, before any answer tells how to cancel it.
-        let abort = || Action::new(ABORT_ACTION, format!("{:016x}", self.attempt.request.0));
-        let mut guard = Guard(Some((client.clone(), abort())));
+        let missing_info = || Status::internal("the engine answered a poll without flight info");
+        let (mut next_descriptor, mut delay) = (descriptor.clone(), FIRST_POLL_DELAY);
+        // The engine may run the statement from the first poll on, before a response has the flight info that
+        // CancelFlightInfo needs.
+        let abort_action = || Action::new(ABORT_ACTION, format!("{:016x}", self.attempt.request.0));
+        let mut guard = CancelOnDrop(Some((client.clone(), abort_action())));
         loop {
-            let poll = match client.poll_flight_info(self.request(next)).await {
+            let poll = match client
+                .poll_flight_info(self.with_metadata(next_descriptor))
+                .await
+            {
                 Ok(poll) => poll.into_inner(),
                 Err(status) if status.code() == Code::Unimplemented => {
-                    let info = client.get_flight_info(self.request(descriptor)).await;
+                    let info = client.get_flight_info(self.with_metadata(descriptor)).await;
                     guard.0 = None;
                     return Ok(info?.into_inner());
                 }
@@ -499,66 +547,71 @@
                     return Err(status);
                 }
             };
-            let Some(more) = poll.flight_descriptor else {
+            let Some(following_descriptor) = poll.flight_descriptor else {
                 guard.0 = None;
-                return poll.info.ok_or_else(missing);
+                return poll.info.ok_or_else(missing_info);
             };
-            let action = poll.info.map_or_else(abort, cancel);
+            let action = poll.info.map_or_else(abort_action, cancel_action);
             guard.0 = Some((client.clone(), action));
             let note = Note::Progress(poll.progress.unwrap_or_default().clamp(0.0, 1.0));
-            let (id, number) = (self.attempt.request, self.attempt.number);
-            self.reports.tell(Report::Note(id, number, note)).await;
-            sleep(pause).await;
-            (next, pause) = (more, (pause * 2).min(LONGEST_POLL));
+            let (request_id, attempt_no) = (self.attempt.request, self.attempt.number);
+            self.reporter
+                .tell(Report::Note(request_id, attempt_no, note))
+                .await;
+            sleep(delay).await;
+            (next_descriptor, delay) = (following_descriptor, (delay * 2).min(MAX_POLL_DELAY));
         }
     }
 
-    /// Reports the first page, and hands out the others as they are asked for.
-    async fn pages(
+    /// Reports the first page and serves the others on request.
+    async fn serve_pages(
         &self,
         mut stream: FlightRecordBatchStream,
         work: Option<Micros>,
-        mut asked: mpsc::Receiver<More>,
+        mut page_requests: mpsc::Receiver<More>,
     ) {
-        let (id, number) = (self.attempt.request, self.attempt.number);
-        let end = match next(&mut stream).await {
+        let (request_id, attempt_no) = (self.attempt.request, self.attempt.number);
+        let end = match next_page(&mut stream).await {
             Ok(page) => End::Ok {
                 page,
                 work,
                 load: None,
             },
-            Err(status) => end(&status),
+            Err(status) => end_of_error(&status),
         };
-        let more = matches!(&end, End::Ok { page, .. } if !page.last);
-        self.reports.ended(id, number, end).await;
-        while more && let Some(asked) = asked.recv().await {
-            let page = match next(&mut stream).await {
+        let has_more = matches!(&end, End::Ok { page, .. } if !page.last);
+        self.reporter.ended(request_id, attempt_no, end).await;
+        while has_more && let Some(page_request) = page_requests.recv().await {
+            let page = match next_page(&mut stream).await {
                 Ok(page) => page,
                 Err(status) => {
-                    log::info!("{}: the rest of a result: {status}", self.endpoint);
+                    log::info!("{}: reading a further page failed: {status}", self.endpoint);
                     return;
                 }
             };
-            let last = page.last;
-            // A reader that has left asks no more.
-            if asked.reply.send(page).is_err() || last {
+            let is_last = page.last;
+            // A reader that dropped its end of the reply channel asks for no further pages.
+            if page_request.reply.send(page).is_err() || is_last {
                 return;
             }
         }
     }
 }
 
-fn ticket(info: FlightInfo) -> Result<Ticket, Status> {
+/// The ticket of a result, which must have exactly one endpoint.
+fn single_ticket(info: FlightInfo) -> Result<Ticket, Status> {
     let mut endpoints = info.endpoint.into_iter();
     let ticket = endpoints.next().and_then(|endpoint| endpoint.ticket);
     match endpoints.next() {
-        None => ticket.ok_or_else(|| Status::internal("flight info without a ticket")),
-        Some(_) => Err(Status::internal("flight info of more than one endpoint")),
+        None => ticket.ok_or_else(|| Status::internal("the flight info has no ticket")),
+        Some(_) => Err(Status::internal(
+            "the flight info has more than one endpoint",
+        )),
     }
 }
 
-/// The next page. That it was the last is known only behind it: then an empty page follows.
-async fn next(stream: &mut FlightRecordBatchStream) -> Result<Page, Status> {
+/// The next page. The stream shows its end only after the last rows, so an empty last page follows them.
+async fn next_page(stream: &mut FlightRecordBatchStream) -> Result<Page, Status> {
     match stream.next().await {
         None => Ok(Page {
             rows: bytes::Bytes::new(),
@@ -572,21 +625,21 @@
     }
 }
 
-fn cancel(info: FlightInfo) -> Action {
+fn cancel_action(info: FlightInfo) -> Action {
     let request = CancelFlightInfoRequest { info: Some(info) };
     Action::new("CancelFlightInfo", request.encode_to_vec())
 }
 
-/// Cancels at its engine what is dropped while it is being run.
-struct Guard(Option<(Client, Action)>);
+/// Sends the action to the engine when dropped, unless the action has been cleared.
+struct CancelOnDrop(Option<(Client, Action)>);
 
-impl Drop for Guard {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         let Some((mut client, action)) = self.0.take() else {
             return;
         };
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            // Best effort: the engine also learns of the end of the call, or of its time.
+            // Best effort: the engine also sees the call cancelled, or ends the attempt at its time limit.
             runtime.spawn(async move { client.do_action(action).await.map(drop) });
         }
     }
--- a/engines/src/flight/tests.rs
+++ b/engines/src/flight/tests.rs
@@ -1,12 +1,12 @@
-//! What an engine that speaks Flight SQL is sent as metadata.
+//! Tests of the metadata that is sent to Flight SQL engines.
 
 use super::*;
 use sedgebeam_core::EngineId;
 use tokio_util::sync::CancellationToken;
 
-/// The metadata of a call for an attempt that is granted so much memory.
+/// The metadata of a call for an attempt with this memory grant.
 fn metadata(memory_mb: f64) -> tonic::metadata::MetadataMap {
-    let (broker, _mailbox) = mpsc::channel(1);
+    let (broker, _broker_mailbox) = mpsc::channel(1);
     let attempt = Attempt {
         request: RequestId(255),
         number: AttemptNo(0),
@@ -20,27 +20,27 @@
         cancelled: CancellationToken::new(),
         starts_by: Instant::now(),
     };
-    let task = Task {
+    let task = AttemptTask {
         attempt,
         endpoint: String::new(),
-        reports: Reports::new(EngineId(1), broker),
+        reporter: Reports::new(EngineId(1), broker),
         metrics: Figures::default(),
     };
-    task.request(()).metadata().clone()
+    task.with_metadata(()).metadata().clone()
 }
 
-// The clock stands still: what is left is what was given.
+// The paused clock keeps the remaining time at its initial 1500 ms.
 #[tokio::test(start_paused = true)]
-async fn a_call_names_its_grant_beside_its_rank_only_where_there_is_one() {
+async fn metadata_has_the_memory_grant_only_if_it_is_positive_and_always_the_priority() {
     let cases = [(96.0, Some("96")), (0.0, None), (f64::NAN, None)];
     for (memory_mb, grant) in cases {
         let metadata = metadata(memory_mb);
-        let told = |name: &str| metadata.get(name).and_then(|value| value.to_str().ok());
-        assert_eq!(told("grant"), grant, "{memory_mb}");
-        assert_eq!(told("txn"), Some("00000000000000ff"));
-        assert_eq!(told("kind"), Some("report"));
-        assert_eq!(told("rank"), Some("2"));
-        assert_eq!(told("ms"), Some("1500"));
-        assert_eq!(told("token"), Some("5c0f"));
+        let value_of = |name: &str| metadata.get(name).and_then(|value| value.to_str().ok());
+        assert_eq!(value_of("grant"), grant, "{memory_mb}");
+        assert_eq!(value_of("txn"), Some("00000000000000ff"));
+        assert_eq!(value_of("kind"), Some("report"));
+        assert_eq!(value_of("rank"), Some("2"));
+        assert_eq!(value_of("ms"), Some("1500"));
+        assert_eq!(value_of("token"), Some("5c0f"));
     }
 }
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -1,4 +1,4 @@
-//! Ledger engines: one actor each behind one message type, whatever its wire.
+//! Connections to engines over the network: one actor per engine, with the same messages for every protocol.
 
 mod connection_slots;
 pub mod flight;
@@ -11,38 +11,38 @@
 use sedgebeam_settings::Connections;
 use tokio::sync::{mpsc, watch};
 
-/// Requests that may wait in an engine's mailbox: far more than it ever runs.
-const MAILBOX: usize = 4096;
+/// Commands that may wait in the mailbox of an engine's actor: far more than an engine ever runs at once.
+const MAILBOX_CAPACITY: usize = 4096;
 
-/// An endpoint with this ahead of it speaks Arrow Flight SQL; any other speaks RESP.
+/// Prefix of the endpoints that speak Arrow Flight SQL; all others speak RESP.
 pub const FLIGHT_SCHEME: &str = "grpc://";
 
-/// Engines over the network.
+/// Starts the actors that talk to engines over the network.
 #[derive(Clone)]
 pub struct NetworkTransport {
-    /// They may change while engines are served.
+    /// Connection settings, which may change at runtime.
     pub connections: watch::Receiver<Connections>,
-    /// Attempts are counted there once they are written.
+    /// Counts the attempts that were written to an engine.
     pub metrics: Figures,
-    /// Connections to all engines take one each.
+    /// Shared by all engines; each connection holds one slot.
     pub slots: ConnectionSlots,
 }
 
 impl Engines for NetworkTransport {
-    fn start(&self, target: &Target, reports: Reports) -> EngineBox {
-        let (mailbox, incoming) = mpsc::channel(MAILBOX);
+    fn start(&self, target: &Target, reporter: Reports) -> EngineBox {
+        let (mailbox, incoming) = mpsc::channel(MAILBOX_CAPACITY);
         let (name, endpoint) = (format!("engine {}", target.uid), target.endpoint.clone());
-        let last = reports.clone();
-        let died = move || {
-            tokio::spawn(async move { last.died().await });
+        let death_reporter = reporter.clone();
+        let report_death = move || {
+            tokio::spawn(async move { death_reporter.died().await });
         };
         if endpoint.starts_with(FLIGHT_SCHEME) {
-            let actor = flight::run(endpoint, self.clone(), incoming, reports);
-            supervise::watch(name, actor, died);
+            let actor = flight::run(endpoint, self.clone(), incoming, reporter);
+            supervise::watch(name, actor, report_death);
         } else {
-            let own = mailbox.downgrade();
-            let actor = resp::run(endpoint, self.clone(), own, incoming, reports);
-            supervise::watch(name, actor, died);
+            let weak_mailbox = mailbox.downgrade();
+            let actor = resp::run(endpoint, self.clone(), weak_mailbox, incoming, reporter);
+            supervise::watch(name, actor, report_death);
         }
         mailbox
     }
