--- a/engines/src/resp/codec.rs
+++ b/engines/src/resp/codec.rs
@@ -12,7 +12,7 @@
 const MOST_BULK: [usize; 4] = [64, 16, 1024, 6000];
 const MOST_LINE: usize = 16;
 /// Pages of a result at the most: it holds 48,000 bytes, and two pages in a row more than 6,000.
-pub const MOST_PAGES: u32 = 17;
+pub const MAX_PAGES: u32 = 17;
 /// Columns of every row.
 const COLUMNS: usize = 3;
 
@@ -21,17 +21,17 @@
 pub enum Command {
     Fetch(Attempt),
     Abort(RequestId),
-    Renice(RequestId, u8),
+    Reprioritize(RequestId, u8),
     More(RequestId, u32),
     Done(RequestId),
     Stats(u64),
     /// Nothing to the engine: what waits to be written is looked at once more.
-    LookAgain,
+    RecheckQueue,
 }
 
 /// What an answer is about: a request, or a probe's tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum About {
+pub enum ReplySubject {
     Request(RequestId),
     Tag(u64),
     /// A name that was never given: nothing here belongs to it.
@@ -39,7 +39,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum ReplyBody {
     Ok {
         parts: u32,
         work: Option<f64>,
@@ -58,17 +58,17 @@
     Down,
     /// Whole, but nothing that can be used. It is a fault only of what it is about: an answer that belongs to
     /// nobody may come ahead of a good one.
-    Spoilt(String),
+    Malformed(String),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    pub about: About,
-    pub word: Word,
+    pub about: ReplySubject,
+    pub word: ReplyBody,
 }
 
 #[derive(Default)]
-pub struct Resp;
+pub struct RespCodec;
 
 /// Tags of probes start with this letter, which no request's hexadecimal name does.
 const TAG: char = 'p';
@@ -119,7 +119,7 @@
     );
 }
 
-impl Encoder<Command> for Resp {
+impl Encoder<Command> for RespCodec {
     type Error = io::Error;
 
     fn encode(&mut self, command: Command, bytes: &mut BytesMut) -> io::Result<()> {
@@ -127,7 +127,7 @@
         match command {
             Command::Fetch(attempt) => put_fetch(bytes, &attempt),
             Command::Abort(id) => put(bytes, &[b"abort", hex(id).as_bytes()]),
-            Command::Renice(id, rank) => {
+            Command::Reprioritize(id, rank) => {
                 put(
                     bytes,
                     &[b"renice", hex(id).as_bytes(), rank.to_string().as_bytes()],
@@ -140,7 +140,7 @@
                 );
             }
             Command::Done(id) => put(bytes, &[b"done", hex(id).as_bytes()]),
-            Command::LookAgain => {}
+            Command::RecheckQueue => {}
             Command::Stats(number) => put(bytes, &[b"stats", tag(number).as_bytes()]),
         }
         Ok(())
@@ -195,7 +195,7 @@
     Ok(Some((places, at)))
 }
 
-impl Decoder for Resp {
+impl Decoder for RespCodec {
     type Item = Reply;
     type Error = io::Error;
 
@@ -217,24 +217,24 @@
             .and_then(|fields| reply_word(&word, &fields, part(3).unwrap_or_default()));
         Ok(Some(Reply {
             about: about(&id),
-            word: read.unwrap_or_else(|error| Word::Spoilt(error.to_string())),
+            word: read.unwrap_or_else(|error| ReplyBody::Malformed(error.to_string())),
         }))
     }
 }
 
-fn about(id: &[u8]) -> About {
+fn about(id: &[u8]) -> ReplySubject {
     let Ok(id) = std::str::from_utf8(id) else {
-        return About::Nobody;
+        return ReplySubject::Nobody;
     };
     let about = match id.strip_prefix(TAG) {
-        Some(tag) => tag.parse().map(About::Tag),
+        Some(tag) => tag.parse().map(ReplySubject::Tag),
         // A sign would be read as a part of the number.
         None if id.len() == 16 && !id.starts_with('+') => {
-            u64::from_str_radix(id, 16).map(|id| About::Request(RequestId(id)))
+            u64::from_str_radix(id, 16).map(|id| ReplySubject::Request(RequestId(id)))
         }
-        None => return About::Nobody,
+        None => return ReplySubject::Nobody,
     };
-    about.unwrap_or(About::Nobody)
+    about.unwrap_or(ReplySubject::Nobody)
 }
 
 /// Rows as they must be: each ends, and each has its columns. What is spoilt inside a cell can't be told.
@@ -249,24 +249,24 @@
     }
 }
 
-fn reply_word(word: &[u8], fields: &Fields, body: Bytes) -> io::Result<Word> {
+fn reply_word(word: &[u8], fields: &Fields, body: Bytes) -> io::Result<ReplyBody> {
     Ok(match word {
-        b"OK" => Word::Ok {
-            parts: fields.count("parts", 1..=MOST_PAGES)?,
+        b"OK" => ReplyBody::Ok {
+            parts: fields.count("parts", 1..=MAX_PAGES)?,
             work: fields.number("work")?,
             load: fields.load(),
             rows: rows(body)?,
         },
-        b"BUSY" => Word::Busy,
-        b"ERR" => Word::Err,
-        b"VOID" => Word::Void,
-        b"NOTE" => Word::Note(fields.note()),
-        b"ROWS" => Word::Rows {
-            page: fields.count("part_no", 1..=MOST_PAGES - 1)?,
+        b"BUSY" => ReplyBody::Busy,
+        b"ERR" => ReplyBody::Err,
+        b"VOID" => ReplyBody::Void,
+        b"NOTE" => ReplyBody::Note(fields.note()),
+        b"ROWS" => ReplyBody::Rows {
+            page: fields.count("part_no", 1..=MAX_PAGES - 1)?,
             rows: rows(body)?,
         },
-        b"UP" => Word::Up(fields.load()),
-        b"DOWN" => Word::Down,
+        b"UP" => ReplyBody::Up(fields.load()),
+        b"DOWN" => ReplyBody::Down,
         _ => return Err(invalid("an answer of an unknown word")),
     })
 }
--- a/engines/src/resp/codec/tests.rs
+++ b/engines/src/resp/codec/tests.rs
@@ -7,7 +7,7 @@
 const ID: &str = "00000000000000ff";
 
 fn decode(text: &str) -> io::Result<Option<Reply>> {
-    Resp.decode(&mut BytesMut::from(text))
+    RespCodec.decode(&mut BytesMut::from(text))
 }
 
 fn array(parts: &[&str]) -> String {
@@ -24,7 +24,7 @@
         busy: Some(0.5),
         ..Load::default()
     };
-    let ok = Word::Ok {
+    let ok = ReplyBody::Ok {
         parts: 3,
         work: Some(81.5),
         load: Some(busy),
@@ -39,29 +39,29 @@
             ],
             ok,
         ),
-        (["BUSY", "-", ""], Word::Busy),
-        (["ERR", "-", ""], Word::Err),
-        (["VOID", "-", ""], Word::Void),
+        (["BUSY", "-", ""], ReplyBody::Busy),
+        (["ERR", "-", ""], ReplyBody::Err),
+        (["VOID", "-", ""], ReplyBody::Void),
         (
             ["NOTE", "res=p,value=0.25", ""],
-            Word::Note(Some(Note::Progress(0.25))),
+            ReplyBody::Note(Some(Note::Progress(0.25))),
         ),
         (
             ["NOTE", "res=s,value=64", ""],
-            Word::Note(Some(Note::Spills(64.0))),
+            ReplyBody::Note(Some(Note::Spills(64.0))),
         ),
         (
             ["NOTE", "res=w,value=1", ""],
-            Word::Note(Some(Note::WaitsForMemory)),
+            ReplyBody::Note(Some(Note::WaitsForMemory)),
         ),
         (
             ["NOTE", "res=w,value=2", ""],
-            Word::Note(Some(Note::WaitsForLoad)),
+            ReplyBody::Note(Some(Note::WaitsForLoad)),
         ),
-        (["NOTE", "-", ""], Word::Note(None)),
+        (["NOTE", "-", ""], ReplyBody::Note(None)),
         (
             ["ROWS", "part_no=2", "a\tb\tc\n"],
-            Word::Rows { page: 2, rows },
+            ReplyBody::Rows { page: 2, rows },
         ),
     ];
     for ([word, fields, body], expected) in cases {
@@ -70,7 +70,7 @@
         assert_eq!(
             reply,
             Reply {
-                about: About::Request(RequestId(255)),
+                about: ReplySubject::Request(RequestId(255)),
                 word: expected
             }
         );
@@ -83,8 +83,8 @@
     assert_eq!(
         up,
         Some(Reply {
-            about: About::Tag(7),
-            word: Word::Up(Some(busy))
+            about: ReplySubject::Tag(7),
+            word: ReplyBody::Up(Some(busy))
         })
     );
 }
@@ -101,7 +101,7 @@
     ] {
         let reply = decode(&array(&[name, "OK", "parts=1", "a\tb\tc\n"]));
         let reply = reply.expect("is read").expect("is whole");
-        assert_eq!(reply.about, About::Nobody, "{name}");
+        assert_eq!(reply.about, ReplySubject::Nobody, "{name}");
     }
 }
 
@@ -137,7 +137,7 @@
         &array(&[ID, "OK", "parts=1", "a\tb\tc\td\n"]),
     ] {
         let reply = decode(text).expect("is read").expect("is whole");
-        assert!(matches!(reply.word, Word::Spoilt(_)), "{text:?}");
+        assert!(matches!(reply.word, ReplyBody::Malformed(_)), "{text:?}");
     }
 }
 
@@ -172,7 +172,7 @@
     for (memory_mb, fields) in cases {
         let mut bytes = BytesMut::new();
         let fetch = Command::Fetch(attempt(memory_mb));
-        Resp.encode(fetch, &mut bytes).expect("encodes");
+        RespCodec.encode(fetch, &mut bytes).expect("encodes");
         let expected = array(&["fetch", ID, fields, "SELECT 1"]);
         assert_eq!(std::str::from_utf8(&bytes), Ok(&*expected), "{memory_mb}");
     }
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an engine: its task, and what the engine's actor keeps of it.
 
-use super::codec::{Command, Reply, Resp};
-use super::outgoing::{Named, Outgoing, Written};
+use super::codec::{Command, Reply, RespCodec};
+use super::write_queue::{AttemptKey, WriteQueue, Written};
 use crate::connection_slots::ConnectionSlot;
 use futures::StreamExt;
 use sedgebeam_core::RequestId;
@@ -18,15 +18,15 @@
 use tokio_util::codec::FramedRead;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Number(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// What comes from a connection.
 #[derive(Debug)]
-pub enum Came {
+pub enum ConnectionEvent {
     Up,
     Reply(Reply),
     /// This was not written, as it may not begin any more.
-    Withdrawn(Named),
+    Withdrawn(AttemptKey),
     /// The abort of this request is written.
     Aborted(RequestId),
     /// It has ended, or never came up; these were not written to it.
@@ -65,14 +65,14 @@
 }
 
 impl Connection {
-    pub fn open(link: Link, slot: ConnectionSlot, connect: Connect) -> Connection {
+    pub fn open(link: ConnectionTask, slot: ConnectionSlot, connect: Connect) -> Connection {
         let (mailbox, commands) = mpsc::channel(MAILBOX);
         let (kept, dropped) = oneshot::channel();
         let (number, dead) = (link.number, link.came.clone());
         let name = format!("connection to {}", link.endpoint);
         let task = link.run(commands, dropped, slot);
         sedgebeam_port::supervise::watch(name, task, move || {
-            let down = Came::Down {
+            let down = ConnectionEvent::Down {
                 unwritten: Vec::new(),
                 error: None,
             };
@@ -123,12 +123,12 @@
 }
 
 /// What a connection's task needs to know.
-pub struct Link {
-    pub number: Number,
+pub struct ConnectionTask {
+    pub number: ConnectionId,
     pub endpoint: String,
     /// It is up within this time, or never.
     pub limit: Duration,
-    pub came: mpsc::Sender<(Number, Came)>,
+    pub came: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
     pub metrics: Figures,
 }
 
@@ -139,31 +139,31 @@
     }
 }
 
-impl Link {
+impl ConnectionTask {
     async fn run(
         self,
         mut commands: mpsc::Receiver<Command>,
         dropped: oneshot::Receiver<()>,
         slot: ConnectionSlot,
     ) {
-        let mut outgoing = Outgoing::default();
+        let mut write_queue = WriteQueue::default();
         let ended = tokio::select! {
             biased;
             _ = dropped => Ok(()),
-            ended = self.serve(&mut commands, &mut outgoing) => ended,
+            ended = self.serve(&mut commands, &mut write_queue) => ended,
         };
         // Its descriptor is closed by now.
         drop(slot);
-        let mut unwritten: Vec<RequestId> = outgoing.unwritten().collect();
+        let mut unwritten: Vec<RequestId> = write_queue.unwritten().collect();
         commands.close();
         while let Ok(command) = commands.try_recv() {
             unwritten.extend(fetched(&command));
         }
         let error = ended.err();
-        self.tell(Came::Down { unwritten, error }).await;
+        self.tell(ConnectionEvent::Down { unwritten, error }).await;
     }
 
-    async fn tell(&self, came: Came) {
+    async fn tell(&self, came: ConnectionEvent) {
         // An actor that is gone wants no more word.
         let _ = self.came.send((self.number, came)).await;
     }
@@ -171,16 +171,16 @@
     async fn serve(
         &self,
         commands: &mut mpsc::Receiver<Command>,
-        outgoing: &mut Outgoing,
+        write_queue: &mut WriteQueue,
     ) -> io::Result<()> {
         let stream = self.connect().await?;
-        self.tell(Came::Up).await;
+        self.tell(ConnectionEvent::Up).await;
         let (read_half, write_half) = stream.into_split();
         tokio::select! {
             // That the engine has closed an idle connection is seen before anything is written to it.
             biased;
             ended = self.read(read_half) => ended,
-            ended = self.write(write_half, commands, outgoing) => ended,
+            ended = self.write(write_half, commands, write_queue) => ended,
         }
     }
 
@@ -208,52 +208,52 @@
         &self,
         half: OwnedWriteHalf,
         commands: &mut mpsc::Receiver<Command>,
-        outgoing: &mut Outgoing,
+        write_queue: &mut WriteQueue,
     ) -> io::Result<()> {
         loop {
             let writable = tokio::select! {
                 biased;
                 // Also while the engine reads nothing: an abort may take out what still waits.
-                command = commands.recv(), if outgoing.len() < MAILBOX => match command {
+                command = commands.recv(), if write_queue.len() < MAILBOX => match command {
                     Some(command) => {
-                        outgoing.push(command)?;
+                        write_queue.push(command)?;
                         false
                     }
                     None => return Ok(()),
                 },
-                writable = half.writable(), if outgoing.len() > 0 => {
+                writable = half.writable(), if write_queue.len() > 0 => {
                     writable?;
                     true
                 }
             };
-            let withdrawn = outgoing.withdraw();
+            let withdrawn = write_queue.withdraw();
             let mut written = Written::default();
-            if writable && outgoing.len() > 0 {
-                match half.try_write_vectored(&outgoing.slices()) {
-                    Ok(count) => written = outgoing.written(count),
+            if writable && write_queue.len() > 0 {
+                match half.try_write_vectored(&write_queue.slices()) {
+                    Ok(count) => written = write_queue.written(count),
                     Err(error) if is_to_be_repeated(&error) => {}
                     Err(error) => return Err(error),
                 }
             }
             for named in withdrawn {
-                self.tell(Came::Withdrawn(named)).await;
+                self.tell(ConnectionEvent::Withdrawn(named)).await;
             }
             self.metrics.forwarded(written.begun);
             for id in written.aborted {
-                self.tell(Came::Aborted(id)).await;
+                self.tell(ConnectionEvent::Aborted(id)).await;
             }
         }
     }
 
     /// Passes on what comes; what can't be read, or stops in the middle, ends the connection.
     async fn read(&self, half: OwnedReadHalf) -> io::Result<()> {
-        let mut replies = FramedRead::new(Reading(half), Resp);
+        let mut replies = FramedRead::new(Reading(half), RespCodec);
         let mut stopped = false;
         loop {
             match timeout(HALF, replies.next()).await {
                 Ok(Some(reply)) => {
                     stopped = false;
-                    self.tell(Came::Reply(reply?)).await;
+                    self.tell(ConnectionEvent::Reply(reply?)).await;
                 }
                 Ok(None) => {
                     let why = "closed by the engine";
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -7,13 +7,12 @@
 
 mod codec;
 mod connection;
-mod outgoing;
+mod write_queue;
 
 use crate::NetworkTransport;
 use bytes::{Bytes, BytesMut};
-use codec::{About, Command, Reply, Word};
-use connection::{Came, Connection, Link, Number};
-use outgoing::Named;
+use codec::{Command, Reply, ReplyBody, ReplySubject};
+use connection::{Connection, ConnectionEvent, ConnectionId, ConnectionTask};
 use sedgebeam_core::{AttemptNo, Load, Micros, RequestId};
 use sedgebeam_fleet::reconnect::{Backoff, Connect, Ended, Pauses, Permit};
 use sedgebeam_port::clock::{duration, span};
@@ -28,6 +27,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 use tokio_util::sync::CancellationToken;
+use write_queue::AttemptKey;
 
 /// What came from connections and waits for the actor; they wait beyond it.
 const MAILBOX: usize = 1024;
@@ -43,7 +43,7 @@
 /// An attempt that is out.
 struct Out {
     number: AttemptNo,
-    connection: Number,
+    connection: ConnectionId,
     sent: Instant,
     /// What is to be written once the connection is up; none once it has been handed to it.
     waiting: Option<Attempt>,
@@ -101,14 +101,14 @@
     endpoint: String,
     transport: NetworkTransport,
     reports: Reports,
-    came: mpsc::Sender<(Number, Came)>,
-    connections: HashMap<Number, Connection>,
+    came: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
+    connections: HashMap<ConnectionId, Connection>,
     next_connection: u64,
     backoff: Backoff,
     /// The backoff's times count from here.
     started: Instant,
     out: HashMap<RequestId, Out>,
-    aborting: HashMap<(Number, RequestId), Aborting>,
+    aborting: HashMap<(ConnectionId, RequestId), Aborting>,
     probes: HashMap<u64, Instant>,
     next_probe: u64,
     /// Attempts and probes taken.
@@ -163,7 +163,7 @@
         endpoint: String,
         transport: NetworkTransport,
         reports: Reports,
-        came: mpsc::Sender<(Number, Came)>,
+        came: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
     ) -> Actor {
         // Drawn anew in each process, so that dispatchers do not call an engine together.
         let seed = RandomState::new().hash_one(&endpoint);
@@ -220,14 +220,14 @@
     }
 
     /// By when the next page of each result must come, on connections that are not abandoned yet.
-    fn pages_due(&self) -> impl Iterator<Item = (Number, Instant)> {
+    fn pages_due(&self) -> impl Iterator<Item = (ConnectionId, Instant)> {
         let kept = self.out.values();
         let kept = kept.filter(|out| self.connections.contains_key(&out.connection));
         kept.filter_map(|out| Some((out.connection, out.result.as_ref()?.came + PAGE_LIMIT)))
     }
 
     /// By when each abort must be written, on connections that are not abandoned yet.
-    fn aborts_due(&self) -> impl Iterator<Item = (Number, Instant)> {
+    fn aborts_due(&self) -> impl Iterator<Item = (ConnectionId, Instant)> {
         let kept = self.aborting.iter();
         let kept = kept.filter(|((number, _), _)| self.connections.contains_key(number));
         kept.map(|((number, _), aborting)| (*number, aborting.since + ABORT_LIMIT))
@@ -247,7 +247,7 @@
                 if let Some(attempt) = out.and_then(|out| out.waiting.as_mut()) {
                     attempt.rank = rank;
                 } else if let Some(out) = self.out.get(&id).filter(|out| out.number == number) {
-                    self.command(out.connection, Command::Renice(id, rank));
+                    self.command(out.connection, Command::Reprioritize(id, rank));
                 }
             }
             ToEngine::Probe => self.probe().await,
@@ -304,14 +304,14 @@
     }
 
     /// An attempt is on this connection no longer.
-    fn ended_on(&mut self, connection: Number) {
+    fn ended_on(&mut self, connection: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&connection) {
             connection.ended();
         }
     }
 
     /// An attempt was taken out before a byte of it was written.
-    async fn withdrawn(&mut self, connection: Number, (id, number): Named) {
+    async fn withdrawn(&mut self, connection: ConnectionId, (id, number): AttemptKey) {
         if self
             .on(connection, id)
             .is_some_and(|out| out.number == number)
@@ -323,7 +323,7 @@
     }
 
     /// An attempt that was given up is out no longer.
-    async fn aborted(&mut self, connection: Number, id: RequestId) {
+    async fn aborted(&mut self, connection: ConnectionId, id: RequestId) {
         if let Some(aborting) = self.aborting.remove(&(connection, id)) {
             self.reports.given_up(id, aborting.number).await;
         }
@@ -336,9 +336,9 @@
 
     /// The connection that was idle least long, or a new one while there may be more, or the one that carries
     /// least.
-    fn connection_for(&mut self, request: Option<RequestId>) -> Result<Number, Unconnected> {
+    fn connection_for(&mut self, request: Option<RequestId>) -> Result<ConnectionId, Unconnected> {
         let shared = self.least_loaded(request);
-        let idle = |number: Number| self.connections.get(&number).is_some_and(|c| c.out == 0);
+        let idle = |number: ConnectionId| self.connections.get(&number).is_some_and(|c| c.out == 0);
         if let Some(number) = shared
             && (request.is_none() || idle(number))
         {
@@ -357,7 +357,7 @@
     /// The connection that carries least, of those that have room. None that has carried this request before, nor one that
     /// is of no further use. While the engine turns connections away, one that has not proved good carries one attempt at a
     /// time: all that is written to it may be lost.
-    fn least_loaded(&self, request: Option<RequestId>) -> Option<Number> {
+    fn least_loaded(&self, request: Option<RequestId>) -> Option<ConnectionId> {
         let (now, most) = (self.now(), self.settings().max_streams);
         let fit = self.connections.iter().filter(|(_, connection)| {
             let again = request.is_some_and(|id| connection.has_carried(id));
@@ -387,7 +387,7 @@
 
     /// Opens a connection, where there may be one more and a slot is free. Where it is needed, others hear that a slot is
     /// wanted.
-    fn open(&mut self, needed: bool) -> Option<Number> {
+    fn open(&mut self, needed: bool) -> Option<ConnectionId> {
         let settings = self.settings();
         if self.connections.len() >= settings.most {
             return None;
@@ -399,8 +399,8 @@
             return None;
         };
         self.next_connection += 1;
-        let number = Number(self.next_connection);
-        let link = Link {
+        let number = ConnectionId(self.next_connection);
+        let link = ConnectionTask {
             number,
             endpoint: self.endpoint.clone(),
             limit: duration(settings.connect_timeout),
@@ -423,7 +423,7 @@
     }
 
     /// Hands a command to a connection; false where it is full or gone.
-    fn command(&self, number: Number, command: Command) -> bool {
+    fn command(&self, number: ConnectionId, command: Command) -> bool {
         let connection = self.connections.get(&number);
         connection.is_some_and(|connection| connection.mailbox.try_send(command).is_ok())
     }
@@ -462,13 +462,13 @@
 
     /// The attempt that an answer on this connection is about. A late answer on an older one must leave the
     /// attempt that is out now alone.
-    fn on(&mut self, connection: Number, id: RequestId) -> Option<&mut Out> {
+    fn on(&mut self, connection: ConnectionId, id: RequestId) -> Option<&mut Out> {
         let out = self.out.get_mut(&id);
         out.filter(|out| out.connection == connection)
     }
 
     /// Ends an attempt that has had its answer on this connection.
-    async fn end(&mut self, connection: Number, id: RequestId, end: End) {
+    async fn end(&mut self, connection: ConnectionId, id: RequestId, end: End) {
         if self.on(connection, id).is_none() {
             return;
         }
@@ -486,7 +486,7 @@
 
     // ---- Results ----
 
-    async fn ok(&mut self, connection: Number, id: RequestId, mut result: Partial) {
+    async fn ok(&mut self, connection: ConnectionId, id: RequestId, mut result: Partial) {
         let Some(out) = self.on(connection, id) else {
             // Called off meanwhile: nobody wants its pages. What was never asked for here is left alone.
             let here = self.connections.get(&connection);
@@ -510,7 +510,7 @@
         }
     }
 
-    async fn page(&mut self, connection: Number, id: RequestId, number: u32, rows: Bytes) {
+    async fn page(&mut self, connection: ConnectionId, id: RequestId, number: u32, rows: Bytes) {
         let Some(out) = self.on(connection, id) else {
             return;
         };
@@ -529,7 +529,7 @@
     }
 
     /// Reports a result once it is whole.
-    async fn passed_on(&mut self, connection: Number, id: RequestId) {
+    async fn passed_on(&mut self, connection: ConnectionId, id: RequestId) {
         let result = self.on(connection, id).and_then(|out| out.result.as_ref());
         let Some((rows, result)) = result.and_then(|result| Some((result.whole()?, result))) else {
             return;
@@ -546,9 +546,9 @@
 
     // ---- Answers ----
 
-    async fn came(&mut self, number: Number, came: Came) {
+    async fn came(&mut self, number: ConnectionId, came: ConnectionEvent) {
         match came {
-            Came::Up => {
+            ConnectionEvent::Up => {
                 let (now, pauses) = (self.now(), self.pauses());
                 if let Some(connection) = self.connections.get_mut(&number) {
                     connection.up = true;
@@ -560,33 +560,35 @@
                     self.write(id).await;
                 }
             }
-            Came::Reply(reply) => self.reply(number, reply).await,
-            Came::Withdrawn(named) => self.withdrawn(number, named).await,
-            Came::Aborted(id) => self.aborted(number, id).await,
-            Came::Down { unwritten, error } => self.down(number, &unwritten, error).await,
+            ConnectionEvent::Reply(reply) => self.reply(number, reply).await,
+            ConnectionEvent::Withdrawn(named) => self.withdrawn(number, named).await,
+            ConnectionEvent::Aborted(id) => self.aborted(number, id).await,
+            ConnectionEvent::Down { unwritten, error } => {
+                self.down(number, &unwritten, error).await
+            }
         }
     }
 
-    async fn reply(&mut self, connection: Number, reply: Reply) {
+    async fn reply(&mut self, connection: ConnectionId, reply: Reply) {
         self.heard_on(connection);
         let id = match reply.about {
-            About::Request(id) => id,
-            About::Tag(tag) => return self.probed(tag, reply.word).await,
-            About::Nobody => return,
+            ReplySubject::Request(id) => id,
+            ReplySubject::Tag(tag) => return self.probed(tag, reply.word).await,
+            ReplySubject::Nobody => return,
         };
         // Nothing is believed of a connection that is abandoned, though it may not be closed yet.
         if !self.connections.contains_key(&connection) {
             return;
         }
         match reply.word {
-            Word::Note(note) => {
+            ReplyBody::Note(note) => {
                 let out = self.on(connection, id).map(|out| out.number);
                 if let Some((number, note)) = out.zip(note) {
                     self.reports.tell(Report::Note(id, number, note)).await;
                 }
             }
-            Word::Rows { page, rows } => self.page(connection, id, page, rows).await,
-            Word::Ok {
+            ReplyBody::Rows { page, rows } => self.page(connection, id, page, rows).await,
+            ReplyBody::Ok {
                 parts,
                 work,
                 load,
@@ -603,21 +605,21 @@
                 };
                 self.ok(connection, id, result).await;
             }
-            Word::Busy => self.end(connection, id, End::Busy).await,
-            Word::Void => self.end(connection, id, End::Void).await,
+            ReplyBody::Busy => self.end(connection, id, End::Busy).await,
+            ReplyBody::Void => self.end(connection, id, End::Void).await,
             // Also for a page that is lost. A probe's word about a request is no answer to it.
-            Word::Err => self.end(connection, id, End::Error).await,
-            Word::Spoilt(why) if self.on(connection, id).is_some() => {
+            ReplyBody::Err => self.end(connection, id, End::Error).await,
+            ReplyBody::Malformed(why) if self.on(connection, id).is_some() => {
                 self.abandon(connection, &why);
             }
-            Word::Spoilt(_) | Word::Up(_) | Word::Down => {}
+            ReplyBody::Malformed(_) | ReplyBody::Up(_) | ReplyBody::Down => {}
         }
     }
 
     // ---- Connections ----
 
     /// A word came on a connection.
-    fn heard_on(&mut self, number: Number) {
+    fn heard_on(&mut self, number: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
@@ -631,7 +633,12 @@
     }
 
     /// A connection has ended, or did not come up.
-    async fn down(&mut self, number: Number, unwritten: &[RequestId], error: Option<io::Error>) {
+    async fn down(
+        &mut self,
+        number: ConnectionId,
+        unwritten: &[RequestId],
+        error: Option<io::Error>,
+    ) {
         if let Some(connection) = self.connections.remove(&number) {
             self.connect_ended(connection.connect, error);
         }
@@ -654,7 +661,7 @@
     }
 
     /// Ends all attempts that were out on a connection that is closed.
-    async fn lose(&mut self, number: Number, unwritten: &[RequestId]) {
+    async fn lose(&mut self, number: ConnectionId, unwritten: &[RequestId]) {
         let here = self.out.extract_if(|_, out| out.connection == number);
         let lost: Vec<(RequestId, Out)> = here.collect();
         for (id, out) in lost {
@@ -670,7 +677,7 @@
         let here = self
             .aborting
             .extract_if(|(connection, _), _| *connection == number);
-        let given_up: Vec<((Number, RequestId), Aborting)> = here.collect();
+        let given_up: Vec<((ConnectionId, RequestId), Aborting)> = here.collect();
         for ((_, id), aborting) in given_up {
             self.reports.given_up(id, aborting.number).await;
         }
@@ -678,7 +685,7 @@
 
     /// Lets a connection go that is of no further use though it stays open. What is out on it ends once its task has
     /// closed it, and no sooner: its engine runs all of it until then.
-    fn abandon(&mut self, number: Number, why: &str) {
+    fn abandon(&mut self, number: ConnectionId, why: &str) {
         if let Some(connection) = self.connections.remove(&number) {
             log::info!("connection to {}: abandoned: {why}", self.endpoint);
             self.backoff.closed(connection.connect);
@@ -702,7 +709,7 @@
         self.out.values().for_each(|out| out.cancelled.cancel());
         let connections = self.connections.keys().copied();
         for number in connections.collect::<Vec<_>>() {
-            self.command(number, Command::LookAgain);
+            self.command(number, Command::RecheckQueue);
         }
         let waiting = self.out.extract_if(|_, out| out.waiting.is_some());
         let waiting: Vec<(RequestId, Out)> = waiting.collect();
@@ -724,7 +731,7 @@
             open -= usize::from(goes);
             goes
         });
-        let overdue = |due: &(Number, Instant)| now >= due.1;
+        let overdue = |due: &(ConnectionId, Instant)| now >= due.1;
         let stopped: Vec<_> = self.pages_due().filter(overdue).collect();
         for (number, _) in stopped {
             self.abandon(number, "a page never came");
@@ -755,12 +762,12 @@
         }
     }
 
-    async fn probed(&mut self, tag: u64, word: Word) {
+    async fn probed(&mut self, tag: u64, word: ReplyBody) {
         if self.probes.remove(&tag).is_none() {
             return;
         }
         let probe = match word {
-            Word::Up(load) => Probe::Up(load),
+            ReplyBody::Up(load) => Probe::Up(load),
             _ => Probe::Down,
         };
         self.reports.tell(Report::Probed(probe)).await;
--- a/engines/src/resp/outgoing.rs
+++ b/engines/src/resp/write_queue.rs
@@ -4,7 +4,7 @@
 //! Guards against an engine that reads nothing for a while: what waited would be written long after its client had left,
 //! its attempt had been given up, or the engine had been told of as draining.
 
-use super::codec::{Command, Resp, put_fetch};
+use super::codec::{Command, RespCodec, put_fetch};
 use bytes::{Buf, Bytes, BytesMut};
 use sedgebeam_core::{AttemptNo, RequestId};
 use sedgebeam_port::Attempt;
@@ -16,7 +16,7 @@
 const MOST_AT_ONCE: usize = 16;
 
 /// An attempt by its names.
-pub type Named = (RequestId, AttemptNo);
+pub type AttemptKey = (RequestId, AttemptNo);
 
 struct Frame {
     /// What is left to be written; of an attempt that has not begun, as it was last offered to the socket, if it was.
@@ -37,11 +37,11 @@
 }
 
 #[derive(Default)]
-pub struct Outgoing {
+pub struct WriteQueue {
     frames: VecDeque<Frame>,
 }
 
-impl Outgoing {
+impl WriteQueue {
     pub fn len(&self) -> usize {
         self.frames.len()
     }
@@ -60,7 +60,7 @@
                     frame.aborts = Some(*id);
                 }
                 let mut bytes = BytesMut::new();
-                Resp.encode(command, &mut bytes)?;
+                RespCodec.encode(command, &mut bytes)?;
                 if bytes.is_empty() {
                     return Ok(());
                 }
@@ -72,7 +72,7 @@
     }
 
     /// Takes out the attempts that may not begin any more.
-    pub fn withdraw(&mut self) -> Vec<Named> {
+    pub fn withdraw(&mut self) -> Vec<AttemptKey> {
         let mut withdrawn = Vec::new();
         self.frames.retain(|frame| match &frame.begins {
             Some(attempt) if attempt.is_void() => {
