--- a/engines/src/resp/codec.rs
+++ b/engines/src/resp/codec.rs
@@ -1,4 +1,4 @@
-//! RESP arrays of bulk strings, and the commands and answers that they carry.
+//! Codec of the RESP protocol of engines: commands are encoded to, and answers decoded from, arrays of bulk strings.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use sedgebeam_core::{Load, Note, RequestId};
@@ -7,14 +7,15 @@
 use std::ops::RangeInclusive;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest each part of an answer may be: id, word, fields, and a page. What is longer is spoilt, and
-/// is not waited for, however much of it is announced.
-const MOST_BULK: [usize; 4] = [64, 16, 1024, 6000];
-const MOST_LINE: usize = 16;
-/// Pages of a result at the most: it holds 48,000 bytes, and two pages in a row more than 6,000.
+/// Bounds on the parts of an answer: id, status word, fields, and page. A longer part is malformed and is rejected
+/// once its length is announced, before its bytes arrive.
+const MAX_BULK_BYTES: [usize; 4] = [64, 16, 1024, 6000];
+/// Bound on a line that announces the length of an array or of a bulk string.
+const MAX_LENGTH_LINE_BYTES: usize = 16;
+/// Bound on the pages of a result, which has up to 48,000 bytes; two consecutive pages together
+/// have more than 6,000.
 pub const MAX_PAGES: u32 = 17;
-/// Columns of every row.
-const COLUMNS: usize = 3;
+const COLUMNS_PER_ROW: usize = 3;
 
 /// A command to an engine.
 #[derive(Clone, Debug)]
@@ -25,24 +26,24 @@
     More(RequestId, u32),
     Done(RequestId),
     Stats(u64),
-    /// Nothing to the engine: what waits to be written is looked at once more.
+    /// Sends nothing; makes the connection check which queued attempts may no longer start.
     RecheckQueue,
 }
 
-/// What an answer is about: a request, or a probe's tag.
+/// What an answer refers to, according to its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplySubject {
     Request(RequestId),
-    Tag(u64),
-    /// A name that was never given: nothing here belongs to it.
-    Nobody,
+    ProbeTag(u64),
+    /// The id has the form of neither; nothing was ever sent under it.
+    Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplyBody {
     Ok {
-        parts: u32,
-        work: Option<f64>,
+        page_count: u32,
+        work_ms: Option<f64>,
         load: Option<Load>,
         rows: Bytes,
     },
@@ -56,63 +57,66 @@
     },
     Up(Option<Load>),
     Down,
-    /// Whole, but nothing that can be used. It is a fault only of what it is about: an answer that belongs to
-    /// nobody may come ahead of a good one.
+    /// A complete array with invalid content. The connection is abandoned only if the request is in flight on it, since
+    /// a malformed answer to another id may precede a valid answer.
     Malformed(String),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    pub about: ReplySubject,
-    pub word: ReplyBody,
+    pub subject: ReplySubject,
+    pub body: ReplyBody,
 }
 
 #[derive(Default)]
 pub struct RespCodec;
 
-/// Tags of probes start with this letter, which no request's hexadecimal name does.
-const TAG: char = 'p';
+/// The first letter of the id of a probe. It is no hexadecimal digit, so no id of a request starts with it.
+const PROBE_TAG_PREFIX: char = 'p';
 
-fn invalid(why: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why)
+fn invalid(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-fn put(bytes: &mut BytesMut, words: &[&[u8]]) {
-    let mut number = |mark: u8, value: usize| {
-        bytes.put_u8(mark);
-        bytes.put_slice(value.to_string().as_bytes());
+fn put_array(bytes: &mut BytesMut, parts: &[&[u8]]) {
+    let mut put_length_line = |prefix: u8, length: usize| {
+        bytes.put_u8(prefix);
+        bytes.put_slice(length.to_string().as_bytes());
         bytes.put_slice(b"\r\n");
     };
-    number(b'*', words.len());
-    for word in words {
+    put_length_line(b'*', parts.len());
+    for part in parts {
         bytes.put_u8(b'$');
-        bytes.put_slice(word.len().to_string().as_bytes());
+        bytes.put_slice(part.len().to_string().as_bytes());
         bytes.put_slice(b"\r\n");
-        bytes.put_slice(word);
+        bytes.put_slice(part);
         bytes.put_slice(b"\r\n");
     }
 }
 
-fn hex(id: RequestId) -> String {
-    format!("{:016x}", id.0)
+fn hex(request_id: RequestId) -> String {
+    format!("{:016x}", request_id.0)
 }
 
-/// Writes the command that begins an attempt, with the time that is left for it now.
+/// Writes the command that starts an attempt, with the time that remains for the attempt now.
 pub fn put_fetch(bytes: &mut BytesMut, attempt: &Attempt) {
-    let wait = attempt.millis_left();
-    let mut fields = format!("kind={},ms={wait},rank={}", attempt.class, attempt.rank);
+    let remaining_ms = attempt.millis_left();
+    let mut fields = format!(
+        "kind={},ms={remaining_ms},rank={}",
+        attempt.class, attempt.rank
+    );
     if let Some(memory_mb) = attempt.memory_grant_mb {
         fields.push_str(&format!(",grant={memory_mb}"));
     }
-    for (name, word) in attempt.words() {
-        fields.push_str(&format!(",{name}={word}"));
+    for (name, value) in attempt.words() {
+        fields.push_str(&format!(",{name}={value}"));
     }
-    let id = hex(attempt.request);
-    put(
+    let request_id = hex(attempt.request);
+    put_array(
         bytes,
         &[
             b"fetch",
-            id.as_bytes(),
+            request_id.as_bytes(),
             fields.as_bytes(),
             &attempt.statement,
         ],
@@ -123,76 +127,97 @@
     type Error = io::Error;
 
     fn encode(&mut self, command: Command, bytes: &mut BytesMut) -> io::Result<()> {
-        let tag = |tag: u64| format!("{TAG}{tag}");
+        let probe_id = |tag: u64| format!("{PROBE_TAG_PREFIX}{tag}");
         match command {
             Command::Fetch(attempt) => put_fetch(bytes, &attempt),
-            Command::Abort(id) => put(bytes, &[b"abort", hex(id).as_bytes()]),
-            Command::Reprioritize(id, rank) => {
-                put(
+            Command::Abort(request_id) => put_array(bytes, &[b"abort", hex(request_id).as_bytes()]),
+            Command::Reprioritize(request_id, priority) => {
+                put_array(
                     bytes,
-                    &[b"renice", hex(id).as_bytes(), rank.to_string().as_bytes()],
+                    &[
+                        b"renice",
+                        hex(request_id).as_bytes(),
+                        priority.to_string().as_bytes(),
+                    ],
                 );
             }
-            Command::More(id, page) => {
-                put(
+            Command::More(request_id, page) => {
+                put_array(
                     bytes,
-                    &[b"more", hex(id).as_bytes(), page.to_string().as_bytes()],
+                    &[
+                        b"more",
+                        hex(request_id).as_bytes(),
+                        page.to_string().as_bytes(),
+                    ],
                 );
             }
-            Command::Done(id) => put(bytes, &[b"done", hex(id).as_bytes()]),
+            Command::Done(request_id) => put_array(bytes, &[b"done", hex(request_id).as_bytes()]),
             Command::RecheckQueue => {}
-            Command::Stats(number) => put(bytes, &[b"stats", tag(number).as_bytes()]),
+            Command::Stats(tag) => put_array(bytes, &[b"stats", probe_id(tag).as_bytes()]),
         }
         Ok(())
     }
 }
 
-/// A line that holds a count behind its mark: the count, and where the next byte stands.
-fn count(bytes: &[u8], start: usize, mark: u8, most: usize) -> io::Result<Option<(usize, usize)>> {
+/// Parses a line with a prefix and a length; returns the length and the position behind the line, or `None` while the
+/// line is incomplete.
+fn parse_length_line(
+    bytes: &[u8],
+    start: usize,
+    prefix: u8,
+    max_length: usize,
+) -> io::Result<Option<(usize, usize)>> {
     let rest = &bytes[start.min(bytes.len())..];
-    let Some(end) = rest.iter().take(MOST_LINE).position(|byte| *byte == b'\n') else {
-        let endless = rest.len() >= MOST_LINE;
-        return if endless {
-            Err(invalid("an endless count"))
+    let Some(end) = rest
+        .iter()
+        .take(MAX_LENGTH_LINE_BYTES)
+        .position(|byte| *byte == b'\n')
+    else {
+        let is_too_long = rest.len() >= MAX_LENGTH_LINE_BYTES;
+        return if is_too_long {
+            Err(invalid("a length line is too long"))
         } else {
             Ok(None)
         };
     };
     let line = rest[..end].strip_suffix(b"\r").unwrap_or(&rest[..end]);
     let digits = line
-        .strip_prefix(&[mark])
-        .ok_or_else(|| invalid("not an array of bulk strings"))?;
-    let digits = std::str::from_utf8(digits).map_err(|_| invalid("not a count"))?;
-    let count: usize = digits.parse().map_err(|_| invalid("not a count"))?;
-    if count > most {
-        return Err(invalid("a count beyond what an answer may hold"));
+        .strip_prefix(&[prefix])
+        .ok_or_else(|| invalid("an answer is not an array of bulk strings"))?;
+    let digits = std::str::from_utf8(digits).map_err(|_| invalid("a length is not a number"))?;
+    let length: usize = digits
+        .parse()
+        .map_err(|_| invalid("a length is not a number"))?;
+    if length > max_length {
+        return Err(invalid("a length exceeds its limit"));
     }
-    Ok(Some((count, start + end + 1)))
+    Ok(Some((length, start + end + 1)))
 }
 
-/// Where the parts of an array stand, and its whole length.
+/// The byte ranges of the parts of an array, and the length of the encoded array.
 type Frame = (Vec<(usize, usize)>, usize);
 
-/// The next array, if it has come whole.
-fn frame(bytes: &[u8]) -> io::Result<Option<Frame>> {
-    let Some((parts, mut at)) = count(bytes, 0, b'*', MOST_BULK.len())? else {
+/// Parses the next array; `None` while it is incomplete.
+fn parse_frame(bytes: &[u8]) -> io::Result<Option<Frame>> {
+    let Some((part_count, mut position)) = parse_length_line(bytes, 0, b'*', MAX_BULK_BYTES.len())?
+    else {
         return Ok(None);
     };
-    let mut places = Vec::with_capacity(parts);
-    for most in MOST_BULK.into_iter().take(parts) {
-        let Some((length, start)) = count(bytes, at, b'$', most)? else {
+    let mut ranges = Vec::with_capacity(part_count);
+    for max_bytes in MAX_BULK_BYTES.into_iter().take(part_count) {
+        let Some((length, start)) = parse_length_line(bytes, position, b'$', max_bytes)? else {
             return Ok(None);
         };
-        at = start + length + 2;
-        if bytes.len() < at {
+        position = start + length + 2;
+        if bytes.len() < position {
             return Ok(None);
         }
-        if &bytes[at - 2..at] != b"\r\n" {
-            return Err(invalid("a bulk string without its end"));
+        if &bytes[position - 2..position] != b"\r\n" {
+            return Err(invalid("a bulk string does not end in CRLF"));
         }
-        places.push((start, start + length));
+        ranges.push((start, start + length));
     }
-    Ok(Some((places, at)))
+    Ok(Some((ranges, position)))
 }
 
 impl Decoder for RespCodec {
@@ -200,62 +225,63 @@
     type Error = io::Error;
 
     fn decode(&mut self, bytes: &mut BytesMut) -> io::Result<Option<Reply>> {
-        let Some((places, length)) = frame(bytes)? else {
+        let Some((ranges, length)) = parse_frame(bytes)? else {
             return Ok(None);
         };
-        let whole = bytes.split_to(length).freeze();
+        let frame = bytes.split_to(length).freeze();
         let part = |index: usize| {
-            places
+            ranges
                 .get(index)
-                .map(|(start, end)| whole.slice(*start..*end))
+                .map(|(start, end)| frame.slice(*start..*end))
         };
-        let (Some(id), Some(word)) = (part(0), part(1)) else {
-            return Err(invalid("an answer without id or word"));
+        let (Some(id), Some(status_word)) = (part(0), part(1)) else {
+            return Err(invalid("an answer lacks its id or its status word"));
         };
         let fields = part(2).unwrap_or_default();
-        let read = Fields::parse(&fields)
-            .and_then(|fields| reply_word(&word, &fields, part(3).unwrap_or_default()));
+        let body = Fields::parse(&fields)
+            .and_then(|fields| parse_body(&status_word, &fields, part(3).unwrap_or_default()));
         Ok(Some(Reply {
-            about: about(&id),
-            word: read.unwrap_or_else(|error| ReplyBody::Malformed(error.to_string())),
+            subject: parse_subject(&id),
+            body: body.unwrap_or_else(|error| ReplyBody::Malformed(error.to_string())),
         }))
     }
 }
 
-fn about(id: &[u8]) -> ReplySubject {
+fn parse_subject(id: &[u8]) -> ReplySubject {
     let Ok(id) = std::str::from_utf8(id) else {
-        return ReplySubject::Nobody;
+        return ReplySubject::Unknown;
     };
-    let about = match id.strip_prefix(TAG) {
-        Some(tag) => tag.parse().map(ReplySubject::Tag),
-        // A sign would be read as a part of the number.
+    let subject = match id.strip_prefix(PROBE_TAG_PREFIX) {
+        Some(tag) => tag.parse().map(ReplySubject::ProbeTag),
+        // `from_str_radix` accepts a leading sign, which no id has.
         None if id.len() == 16 && !id.starts_with('+') => {
             u64::from_str_radix(id, 16).map(|id| ReplySubject::Request(RequestId(id)))
         }
-        None => return ReplySubject::Nobody,
+        None => return ReplySubject::Unknown,
     };
-    about.unwrap_or(ReplySubject::Nobody)
+    subject.unwrap_or(ReplySubject::Unknown)
 }
 
-/// Rows as they must be: each ends, and each has its columns. What is spoilt inside a cell can't be told.
-fn rows(rows: Bytes) -> io::Result<Bytes> {
-    let whole = rows.is_empty() || rows.ends_with(b"\n");
+/// Checks that each row has its line feed and all its columns. Errors inside a cell can't be detected.
+fn check_rows(rows: Bytes) -> io::Result<Bytes> {
+    let is_complete = rows.is_empty() || rows.ends_with(b"\n");
     let mut lines = rows.split_inclusive(|byte| *byte == b'\n');
-    let shaped = |line: &[u8]| line.iter().filter(|byte| **byte == b'\t').count() + 1 == COLUMNS;
-    if whole && lines.all(shaped) && std::str::from_utf8(&rows).is_ok() {
+    let has_all_columns =
+        |line: &[u8]| line.iter().filter(|byte| **byte == b'\t').count() + 1 == COLUMNS_PER_ROW;
+    if is_complete && lines.all(has_all_columns) && std::str::from_utf8(&rows).is_ok() {
         Ok(rows)
     } else {
-        Err(invalid("rows that are not whole"))
+        Err(invalid("rows are incomplete or malformed"))
     }
 }
 
-fn reply_word(word: &[u8], fields: &Fields, body: Bytes) -> io::Result<ReplyBody> {
-    Ok(match word {
+fn parse_body(status_word: &[u8], fields: &Fields, rows: Bytes) -> io::Result<ReplyBody> {
+    Ok(match status_word {
         b"OK" => ReplyBody::Ok {
-            parts: fields.count("parts", 1..=MAX_PAGES)?,
-            work: fields.number("work")?,
+            page_count: fields.count("parts", 1..=MAX_PAGES)?,
+            work_ms: fields.number("work")?,
             load: fields.load(),
-            rows: rows(body)?,
+            rows: check_rows(rows)?,
         },
         b"BUSY" => ReplyBody::Busy,
         b"ERR" => ReplyBody::Err,
@@ -263,11 +289,11 @@
         b"NOTE" => ReplyBody::Note(fields.note()),
         b"ROWS" => ReplyBody::Rows {
             page: fields.count("part_no", 1..=MAX_PAGES - 1)?,
-            rows: rows(body)?,
+            rows: check_rows(rows)?,
         },
         b"UP" => ReplyBody::Up(fields.load()),
         b"DOWN" => ReplyBody::Down,
-        _ => return Err(invalid("an answer of an unknown word")),
+        _ => return Err(invalid("an answer has an unknown status word")),
     })
 }
 
@@ -276,7 +302,8 @@
 
 impl<'a> Fields<'a> {
     fn parse(bytes: &'a [u8]) -> io::Result<Fields<'a>> {
-        let text = std::str::from_utf8(bytes).map_err(|_| invalid("fields that are not text"))?;
+        let text =
+            std::str::from_utf8(bytes).map_err(|_| invalid("the fields are not valid UTF-8"))?;
         if text.is_empty() || text == "-" {
             return Ok(Fields(Vec::new()));
         }
@@ -284,15 +311,15 @@
         let pairs: Option<Vec<_>> = pairs.collect();
         pairs
             .map(Fields)
-            .ok_or_else(|| invalid("fields that are no pairs"))
+            .ok_or_else(|| invalid("the fields are not name=value pairs"))
     }
 
     fn text(&self, name: &str) -> Option<&'a str> {
-        let found = self.0.iter().find(|(known, _)| *known == name);
-        found.map(|(_, value)| *value)
+        let field = self.0.iter().find(|(field_name, _)| *field_name == name);
+        field.map(|(_, value)| *value)
     }
 
-    /// A figure, where the field is there; it must be one, and not negative.
+    /// An optional field, which must be a finite number and not negative.
     fn number(&self, name: &str) -> io::Result<Option<f64>> {
         let Some(text) = self.text(name) else {
             return Ok(None);
@@ -301,15 +328,15 @@
         let number = number.filter(|number: &f64| number.is_finite() && *number >= 0.0);
         number
             .map(Some)
-            .ok_or_else(|| invalid("a field that is no figure"))
+            .ok_or_else(|| invalid("a field is not a number, or it is negative"))
     }
 
-    /// A count that must be there, within its bounds.
+    /// A required field, which must be an integer within `bounds`.
     fn count(&self, name: &str, bounds: RangeInclusive<u32>) -> io::Result<u32> {
         let count = self.text(name).and_then(|text| text.parse().ok());
         count.filter(|count| bounds.contains(count)).ok_or_else(|| {
-            let told = self.text(name).unwrap_or("nothing");
-            invalid(&format!("a count that can't be: {told:.40} in {name}"))
+            let value = self.text(name).unwrap_or("no value");
+            invalid(&format!("field {name} is out of range: {value:.40}"))
         })
     }
 
--- a/engines/src/resp/codec/tests.rs
+++ b/engines/src/resp/codec/tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of commands and answers.
+//! Tests of the encoding of commands and the decoding of answers.
 
 use super::*;
 use std::time::Duration;
@@ -18,15 +18,15 @@
 }
 
 #[test]
-fn each_answer_becomes_its_word() {
+fn each_answer_is_decoded_once_it_is_complete() {
     let rows = Bytes::from_static(b"a\tb\tc\n");
     let busy = Load {
         busy: Some(0.5),
         ..Load::default()
     };
     let ok = ReplyBody::Ok {
-        parts: 3,
-        work: Some(81.5),
+        page_count: 3,
+        work_ms: Some(81.5),
         load: Some(busy),
         rows: rows.clone(),
     };
@@ -64,17 +64,17 @@
             ReplyBody::Rows { page: 2, rows },
         ),
     ];
-    for ([word, fields, body], expected) in cases {
-        let text = array(&["00000000000000ff", word, fields, body]);
+    for ([status_word, fields, rows], expected) in cases {
+        let text = array(&["00000000000000ff", status_word, fields, rows]);
         let reply = decode(&text).expect("is read").expect("is whole");
         assert_eq!(
             reply,
             Reply {
-                about: ReplySubject::Request(RequestId(255)),
-                word: expected
+                subject: ReplySubject::Request(RequestId(255)),
+                body: expected
             }
         );
-        // However it is cut, it is not read before it is whole.
+        // No prefix of the answer decodes.
         for length in 0..text.len() {
             assert_eq!(decode(&text[..length]).expect("is no error"), None);
         }
@@ -83,14 +83,14 @@
     assert_eq!(
         up,
         Some(Reply {
-            about: ReplySubject::Tag(7),
-            word: ReplyBody::Up(Some(busy))
+            subject: ReplySubject::ProbeTag(7),
+            body: ReplyBody::Up(Some(busy))
         })
     );
 }
 
 #[test]
-fn a_name_never_given_is_nobodys_and_no_fault() {
+fn an_answer_with_an_unknown_id_is_decoded_without_error() {
     for name in [
         "zz",
         "p",
@@ -101,13 +101,13 @@
     ] {
         let reply = decode(&array(&[name, "OK", "parts=1", "a\tb\tc\n"]));
         let reply = reply.expect("is read").expect("is whole");
-        assert_eq!(reply.about, ReplySubject::Nobody, "{name}");
+        assert_eq!(reply.subject, ReplySubject::Unknown, "{name}");
     }
 }
 
 #[test]
-fn what_is_malformed_is_an_error_and_never_a_wait_without_end() {
-    let endless = "9".repeat(40);
+fn a_malformed_frame_is_an_error_and_malformed_content_a_malformed_body() {
+    let endless_line = "9".repeat(40);
     for text in [
         "+OK\r\n",
         "*x\r\n",
@@ -117,7 +117,7 @@
         "*2\r\n$2\r\nab__",
         "*2\r\n$999999999\r\n",
         "*0\r\n",
-        &endless,
+        &endless_line,
         &array(&[ID, "OK", "parts=1", &"a\tb\tc\n".repeat(1001)]),
         "*4\r\n$16\r\n00000000000000ff\r\n$2\r\nOK\r\n$7\r\nparts=1\r\n$3000000000\r\n",
     ] {
@@ -137,11 +137,11 @@
         &array(&[ID, "OK", "parts=1", "a\tb\tc\td\n"]),
     ] {
         let reply = decode(text).expect("is read").expect("is whole");
-        assert!(matches!(reply.word, ReplyBody::Malformed(_)), "{text:?}");
+        assert!(matches!(reply.body, ReplyBody::Malformed(_)), "{text:?}");
     }
 }
 
-/// An attempt at a report that is granted so much memory.
+/// An attempt of class `report` with this memory grant.
 fn attempt(memory_mb: f64) -> Attempt {
     Attempt {
         request: RequestId(255),
@@ -158,9 +158,9 @@
     }
 }
 
-// The clock stands still: what is left is what was given.
+// The paused clock keeps the remaining time at its initial 1500 ms.
 #[tokio::test(start_paused = true)]
-async fn a_fetch_names_its_grant_only_where_there_is_one() {
+async fn a_fetch_has_the_memory_grant_only_if_it_is_positive() {
     let cases = [
         (96.0, "kind=report,ms=1500,rank=2,grant=96,token=5c0f"),
         (0.0, "kind=report,ms=1500,rank=2,token=5c0f"),
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an engine: its task, and what the engine's actor keeps of it.
+//! One connection to an engine: the task that owns the socket, and the state that the engine's actor has of it.
 
 use super::codec::{Command, Reply, RespCodec};
 use super::write_queue::{AttemptKey, WriteQueue, Written};
@@ -20,119 +20,122 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What comes from a connection.
+/// What the task of a connection reports to the actor of the engine.
 #[derive(Debug)]
 pub enum ConnectionEvent {
-    Up,
+    Connected,
     Reply(Reply),
-    /// This was not written, as it may not begin any more.
+    /// The attempt was not written because it may no longer start.
     Withdrawn(AttemptKey),
-    /// The abort of this request is written.
-    Aborted(RequestId),
-    /// It has ended, or never came up; these were not written to it.
-    Down {
+    /// The abort of the request has been written.
+    AbortWritten(RequestId),
+    /// The connection has ended, or the connect failed.
+    Closed {
+        /// Requests of which no byte was written.
         unwritten: Vec<RequestId>,
-        /// None where its task died.
+        /// `None` if the task panicked.
         error: Option<io::Error>,
     },
 }
 
-/// Commands that may wait while a connection comes up or its engine reads nothing.
-const MAILBOX: usize = 256;
-/// Requests that a connection has carried and that may come back: it does not carry them again.
-const REMEMBERED: usize = 128;
-/// An answer that stays half for this long, or up to twice as long, has stopped short: engines write each
-/// whole, and stand still for less.
-const HALF: Duration = Duration::from_millis(250);
-/// A pause after a connect that failed for a lack on this side.
-const LACK_PAUSE: Duration = Duration::from_millis(20);
-/// An attempt given up after this long without a word on its connection says that the connection is dead.
-const DEAF: Duration = Duration::from_millis(300);
+/// Commands that may wait in the channel to the task, and again in its write queue, while the connection is being made
+/// or the engine does not read.
+const COMMAND_CAPACITY: usize = 256;
+/// Bound on the remembered requests that a connection has carried and must not carry again.
+const MAX_REMEMBERED_REQUESTS: usize = 128;
+/// An answer that is incomplete for this long, or for up to twice as long, is taken to be truncated: engines write each
+/// answer in one go, and their stalls are shorter than this.
+const PARTIAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+/// The delay after a connect that failed because this host is short of a resource.
+const LOCAL_SHORTAGE_DELAY: Duration = Duration::from_millis(20);
+/// A connection counts as dead if an attempt on it is cancelled after this time and nothing was received since the
+/// attempt was sent.
+const SILENCE_LIMIT: Duration = Duration::from_millis(300);
 
 pub struct Connection {
-    pub mailbox: mpsc::Sender<Command>,
-    pub up: bool,
-    /// It is of no further use: it carries nothing new, and goes once nothing is out on it.
-    pub spent: bool,
-    pub out: usize,
-    pub used: Instant,
-    pub heard: Instant,
-    /// What the backoff knows it by.
+    pub commands: mpsc::Sender<Command>,
+    pub is_up: bool,
+    /// Takes no new attempts and is closed once none is in flight on it.
+    pub is_retiring: bool,
+    pub attempts_in_flight: usize,
+    pub last_used_at: Instant,
+    pub last_seen_at: Instant,
+    /// Identifies the connection to the backoff.
     pub connect: Connect,
-    carried: VecDeque<RequestId>,
-    /// Dropped with this: the task ends, and what it has not written yet stays unwritten.
-    _kept: oneshot::Sender<()>,
+    carried_requests: VecDeque<RequestId>,
+    /// Dropping it ends the task, which then writes nothing more.
+    _close_on_drop: oneshot::Sender<()>,
 }
 
 impl Connection {
-    pub fn open(link: ConnectionTask, slot: ConnectionSlot, connect: Connect) -> Connection {
-        let (mailbox, commands) = mpsc::channel(MAILBOX);
-        let (kept, dropped) = oneshot::channel();
-        let (number, dead) = (link.number, link.came.clone());
-        let name = format!("connection to {}", link.endpoint);
-        let task = link.run(commands, dropped, slot);
-        sedgebeam_port::supervise::watch(name, task, move || {
-            let down = ConnectionEvent::Down {
+    pub fn open(task: ConnectionTask, slot: ConnectionSlot, connect: Connect) -> Connection {
+        let (commands, command_receiver) = mpsc::channel(COMMAND_CAPACITY);
+        let (close_on_drop, closed) = oneshot::channel();
+        let (id, panic_events) = (task.id, task.events.clone());
+        let name = format!("connection to {}", task.endpoint);
+        let running_task = task.run(command_receiver, closed, slot);
+        sedgebeam_port::supervise::watch(name, running_task, move || {
+            let closed_event = ConnectionEvent::Closed {
                 unwritten: Vec::new(),
                 error: None,
             };
-            tokio::spawn(async move { dead.send((number, down)).await });
+            tokio::spawn(async move { panic_events.send((id, closed_event)).await });
         });
         Connection {
-            mailbox,
-            up: false,
-            spent: false,
-            out: 0,
-            used: Instant::now(),
-            heard: Instant::now(),
+            commands,
+            is_up: false,
+            is_retiring: false,
+            attempts_in_flight: 0,
+            last_used_at: Instant::now(),
+            last_seen_at: Instant::now(),
             connect,
-            carried: VecDeque::new(),
-            _kept: kept,
+            carried_requests: VecDeque::new(),
+            _close_on_drop: close_on_drop,
         }
     }
 
-    /// Whether it can't go: something is out on it, or it is being made.
-    pub fn busy(&self) -> bool {
-        self.out > 0 || !self.up
+    /// Whether it must stay open: it is being made, or attempts are in flight on it.
+    pub fn is_busy(&self) -> bool {
+        self.attempts_in_flight > 0 || !self.is_up
     }
 
-    pub fn ended(&mut self) {
-        self.out = self.out.saturating_sub(1);
-        self.used = Instant::now();
+    pub fn attempt_ended(&mut self) {
+        self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
+        self.last_used_at = Instant::now();
     }
 
-    /// An attempt has ended that another may follow. A second copy of its answer, or a late one, must not be
-    /// taken for one to that, which would then run beside a third.
-    pub fn remember(&mut self, id: RequestId) {
-        if self.carried.len() >= REMEMBERED {
-            self.carried.pop_front();
+    /// Remembers a request of which an attempt has ended here, so that a further attempt is not sent here. A duplicate
+    /// or late answer to the first attempt would be taken for the answer to the further one, and a third would then run
+    /// at the same time as the second.
+    pub fn remember(&mut self, request_id: RequestId) {
+        if self.carried_requests.len() >= MAX_REMEMBERED_REQUESTS {
+            self.carried_requests.pop_front();
         }
-        self.carried.push_back(id);
+        self.carried_requests.push_back(request_id);
     }
 
-    pub fn has_carried(&self, id: RequestId) -> bool {
-        self.carried.contains(&id)
+    pub fn has_carried(&self, request_id: RequestId) -> bool {
+        self.carried_requests.contains(&request_id)
     }
 
-    /// An attempt sent at this time is given up.
-    pub fn give_up(&mut self, id: RequestId, sent: Instant) {
-        self.ended();
-        self.remember(id);
-        self.spent |= self.heard < sent && sent.elapsed() > DEAF;
+    /// Releases an attempt that was sent at `sent_at` and has been cancelled.
+    pub fn attempt_cancelled(&mut self, request_id: RequestId, sent_at: Instant) {
+        self.attempt_ended();
+        self.remember(request_id);
+        self.is_retiring |= self.last_seen_at < sent_at && sent_at.elapsed() > SILENCE_LIMIT;
     }
 }
 
-/// What a connection's task needs to know.
+/// The task that makes a connection and reads and writes on it.
 pub struct ConnectionTask {
-    pub number: ConnectionId,
+    pub id: ConnectionId,
     pub endpoint: String,
-    /// It is up within this time, or never.
-    pub limit: Duration,
-    pub came: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
+    pub connect_timeout: Duration,
+    pub events: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
     pub metrics: Figures,
 }
 
-fn fetched(command: &Command) -> Option<RequestId> {
+fn fetched_request(command: &Command) -> Option<RequestId> {
     match command {
         Command::Fetch(attempt) => Some(attempt.request),
         _ => None,
@@ -143,29 +146,30 @@
     async fn run(
         self,
         mut commands: mpsc::Receiver<Command>,
-        dropped: oneshot::Receiver<()>,
+        closed: oneshot::Receiver<()>,
         slot: ConnectionSlot,
     ) {
         let mut write_queue = WriteQueue::default();
-        let ended = tokio::select! {
+        let result = tokio::select! {
             biased;
-            _ = dropped => Ok(()),
-            ended = self.serve(&mut commands, &mut write_queue) => ended,
+            _ = closed => Ok(()),
+            result = self.serve(&mut commands, &mut write_queue) => result,
         };
-        // Its descriptor is closed by now.
+        // The socket's descriptor is closed by now.
         drop(slot);
-        let mut unwritten: Vec<RequestId> = write_queue.unwritten().collect();
+        let mut unwritten: Vec<RequestId> = write_queue.into_unstarted_requests().collect();
         commands.close();
         while let Ok(command) = commands.try_recv() {
-            unwritten.extend(fetched(&command));
+            unwritten.extend(fetched_request(&command));
         }
-        let error = ended.err();
-        self.tell(ConnectionEvent::Down { unwritten, error }).await;
+        let error = result.err();
+        self.report(ConnectionEvent::Closed { unwritten, error })
+            .await;
     }
 
-    async fn tell(&self, came: ConnectionEvent) {
-        // An actor that is gone wants no more word.
-        let _ = self.came.send((self.number, came)).await;
+    async fn report(&self, event: ConnectionEvent) {
+        // An actor that has ended needs no event.
+        let _ = self.events.send((self.id, event)).await;
     }
 
     async fn serve(
@@ -174,54 +178,54 @@
         write_queue: &mut WriteQueue,
     ) -> io::Result<()> {
         let stream = self.connect().await?;
-        self.tell(ConnectionEvent::Up).await;
+        self.report(ConnectionEvent::Connected).await;
         let (read_half, write_half) = stream.into_split();
         tokio::select! {
-            // That the engine has closed an idle connection is seen before anything is written to it.
+            // Reading first detects an idle connection that the engine has closed before anything is written to it.
             biased;
-            ended = self.read(read_half) => ended,
-            ended = self.write(write_half, commands, write_queue) => ended,
+            result = self.read(read_half) => result,
+            result = self.write(write_half, commands, write_queue) => result,
         }
     }
 
     async fn connect(&self) -> io::Result<TcpStream> {
-        let late = |_| io::Error::new(io::ErrorKind::TimedOut, "not up in time");
-        let stream = timeout(self.limit, self.connect_with_patience()).await;
-        let stream = stream.map_err(late)??;
+        let timed_out = |_| io::Error::new(io::ErrorKind::TimedOut, "the connect timed out");
+        let stream = timeout(self.connect_timeout, self.connect_with_retries()).await;
+        let stream = stream.map_err(timed_out)??;
         without_delay(&stream);
         Ok(stream)
     }
 
-    /// Tries again while it fails for a lack on this side, of which the engine knows nothing.
-    async fn connect_with_patience(&self) -> io::Result<TcpStream> {
+    /// Retries while the connect fails because this host is short of a resource, which is no failure of the engine.
+    async fn connect_with_retries(&self) -> io::Result<TcpStream> {
         loop {
             match TcpStream::connect(&self.endpoint).await {
-                Err(error) if is_local(&error) => sleep(LACK_PAUSE).await,
-                connected => return connected,
+                Err(error) if is_local(&error) => sleep(LOCAL_SHORTAGE_DELAY).await,
+                result => return result,
             }
         }
     }
 
-    /// Writes what is asked for, until nobody can ask any more. What may not begin any more when the socket would take
-    /// it is told of instead. Where the connection turns out to be reset, that of which no byte was written never ran.
+    /// Writes commands until their channel is closed. Attempts that may no longer start when the socket is ready for them
+    /// are reported as withdrawn. If the connection is reset, attempts of which no byte was written have not run.
     async fn write(
         &self,
-        half: OwnedWriteHalf,
+        write_half: OwnedWriteHalf,
         commands: &mut mpsc::Receiver<Command>,
         write_queue: &mut WriteQueue,
     ) -> io::Result<()> {
         loop {
             let writable = tokio::select! {
                 biased;
-                // Also while the engine reads nothing: an abort may take out what still waits.
-                command = commands.recv(), if write_queue.len() < MAILBOX => match command {
+                // Commands are received even while the engine does not read: an abort may withdraw a queued attempt.
+                command = commands.recv(), if write_queue.len() < COMMAND_CAPACITY => match command {
                     Some(command) => {
                         write_queue.push(command)?;
                         false
                     }
                     None => return Ok(()),
                 },
-                writable = half.writable(), if write_queue.len() > 0 => {
+                writable = write_half.writable(), if write_queue.len() > 0 => {
                     writable?;
                     true
                 }
@@ -229,41 +233,41 @@
             let withdrawn = write_queue.withdraw();
             let mut written = Written::default();
             if writable && write_queue.len() > 0 {
-                match half.try_write_vectored(&write_queue.slices()) {
-                    Ok(count) => written = write_queue.written(count),
+                match write_half.try_write_vectored(&write_queue.slices()) {
+                    Ok(count) => written = write_queue.advance(count),
                     Err(error) if is_to_be_repeated(&error) => {}
                     Err(error) => return Err(error),
                 }
             }
-            for named in withdrawn {
-                self.tell(ConnectionEvent::Withdrawn(named)).await;
+            for attempt_key in withdrawn {
+                self.report(ConnectionEvent::Withdrawn(attempt_key)).await;
             }
-            self.metrics.forwarded(written.begun);
-            for id in written.aborted {
-                self.tell(ConnectionEvent::Aborted(id)).await;
+            self.metrics.forwarded(written.started_attempts);
+            for request_id in written.aborted_requests {
+                self.report(ConnectionEvent::AbortWritten(request_id)).await;
             }
         }
     }
 
-    /// Passes on what comes; what can't be read, or stops in the middle, ends the connection.
-    async fn read(&self, half: OwnedReadHalf) -> io::Result<()> {
-        let mut replies = FramedRead::new(Reading(half), RespCodec);
-        let mut stopped = false;
+    /// Reports each answer. An answer that can't be parsed or is incomplete for too long ends the connection.
+    async fn read(&self, read_half: OwnedReadHalf) -> io::Result<()> {
+        let mut replies = FramedRead::new(Reading(read_half), RespCodec);
+        let mut is_partial = false;
         loop {
-            match timeout(HALF, replies.next()).await {
+            match timeout(PARTIAL_ANSWER_TIMEOUT, replies.next()).await {
                 Ok(Some(reply)) => {
-                    stopped = false;
-                    self.tell(ConnectionEvent::Reply(reply?)).await;
+                    is_partial = false;
+                    self.report(ConnectionEvent::Reply(reply?)).await;
                 }
                 Ok(None) => {
-                    let why = "closed by the engine";
-                    return Err(io::Error::new(io::ErrorKind::ConnectionReset, why));
+                    let reason = "closed by the engine";
+                    return Err(io::Error::new(io::ErrorKind::ConnectionReset, reason));
                 }
-                Err(_) if stopped => {
-                    let why = "an answer stopped short";
-                    return Err(io::Error::new(io::ErrorKind::TimedOut, why));
+                Err(_) if is_partial => {
+                    let reason = "an answer is truncated";
+                    return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
                 }
-                Err(_) => stopped = !replies.read_buffer().is_empty(),
+                Err(_) => is_partial = !replies.read_buffer().is_empty(),
             }
         }
     }
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -1,9 +1,9 @@
-//! The actor of an engine that speaks RESP. An answer that is spoilt takes all with it that is out on its
-//! connection, so attempts are spread over as many connections as there may be.
+//! The actor of an engine that speaks RESP. A malformed answer ends all attempts in flight on its connection, so
+//! attempts are spread over as many connections as the settings allow.
 //!
-//! Connects are limited (`sedgebeam_fleet::reconnect`): an engine that turns connections away would else be called again for
-//! each attempt. While they are, attempts share the connections that have proved good. Without one, an attempt ends at once
-//! as one that never ran, and counts as a failed connect, so that the module turns to other engines.
+//! Connects are limited (see `sedgebeam_fleet::reconnect`); otherwise an engine that rejects connections would get a
+//! connect for each attempt. While connects are held back, attempts share the connections that are proven to work. If
+//! there is none, an attempt ends at once as not run and as a failed connect, so that the gateway chooses other engines.
 
 mod codec;
 mod connection;
@@ -29,48 +29,50 @@
 use tokio_util::sync::CancellationToken;
 use write_queue::AttemptKey;
 
-/// What came from connections and waits for the actor; they wait beyond it.
-const MAILBOX: usize = 1024;
-/// An idle connection is closed at this part of the time after which the engine closes it: what crosses
-/// the engine's close would look as if it may have run.
-const IDLE_PART: f64 = 0.7;
-const LOOK_AFTER: Duration = Duration::from_millis(20);
-/// A page that has been asked for comes within this time, or never.
-const PAGE_LIMIT: Duration = Duration::from_millis(500);
-/// An abort is written within this time, or its connection is closed instead. Engines stand still for less.
-const ABORT_LIMIT: Duration = Duration::from_millis(250);
-
-/// An attempt that is out.
-struct Out {
-    number: AttemptNo,
-    connection: ConnectionId,
-    sent: Instant,
-    /// What is to be written once the connection is up; none once it has been handed to it.
-    waiting: Option<Attempt>,
-    /// Cancelled where it may not be written any more.
-    cancelled: CancellationToken,
-    /// The good answer, while pages of it are still to come.
-    result: Option<Partial>,
+/// Events of connections that may wait for the actor; while its channel is full, the tasks of the connections wait.
+const EVENT_CAPACITY: usize = 1024;
+/// An idle connection is closed after this fraction of the time after which the engine closes it. A command that
+/// crosses the engine's close would look as if it may have run.
+const IDLE_FRACTION: f64 = 0.7;
+/// Delay of the check for overdue work after the first deadline, so that one check finds all deadlines that are close
+/// together.
+const CHECK_DELAY: Duration = Duration::from_millis(20);
+/// A requested page that has not arrived within this time counts as lost.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// If an abort is not written within this time, its connection is closed instead. Stalls of engines are shorter.
+const ABORT_WRITE_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// An attempt in flight.
+struct InFlightAttempt {
+    attempt_no: AttemptNo,
+    connection_id: ConnectionId,
+    sent_at: Instant,
+    /// The attempt while its connection is being made; `None` once it is handed to the connection.
+    awaiting_connection: Option<Attempt>,
+    /// Cancelled when the attempt may no longer be written.
+    cancellation: CancellationToken,
+    /// The good answer, while further pages are still to come.
+    partial_result: Option<PartialResult>,
 }
 
-/// An attempt that is given up, until its abort is written or its connection is closed.
-struct Aborting {
-    number: AttemptNo,
-    since: Instant,
+/// A cancelled attempt, until its abort is written or its connection is closed.
+struct PendingAbort {
+    attempt_no: AttemptNo,
+    requested_at: Instant,
 }
 
-/// A result of which pages are still to come. It is passed on only once it is whole: what is lost before can
-/// be had from another engine, where the class allows.
-struct Partial {
+/// A result with pages still to come. It is passed on only when complete: if a page is lost before, another engine can
+/// run the request, where its class allows that.
+struct PartialResult {
     pages: Vec<Option<Bytes>>,
-    work: Option<f64>,
+    work_ms: Option<f64>,
     load: Option<Load>,
-    /// When the last page came.
-    came: Instant,
+    last_page_at: Instant,
 }
 
-impl Partial {
-    fn whole(&self) -> Option<Bytes> {
+impl PartialResult {
+    /// All rows, if every page has arrived.
+    fn complete_rows(&self) -> Option<Bytes> {
         let mut rows = BytesMut::new();
         for page in &self.pages {
             rows.extend_from_slice(page.as_ref()?);
@@ -81,18 +83,18 @@
 
 /// Why there is no connection for an attempt.
 #[derive(Clone, Copy, Debug)]
-enum Unconnected {
-    /// None has room for it, and there may be no other: no fault of the engine's.
-    NoRoom,
-    /// The engine turned away the last connect, and serves on no other connection.
-    TurnedAway,
+enum NoConnection {
+    /// All connections are full and no more may be opened, which is no failure of the engine.
+    AtCapacity,
+    /// The engine rejected the last connect, and no other connection is proven to work.
+    Rejected,
 }
 
-impl Unconnected {
-    fn end(self) -> End {
+impl NoConnection {
+    fn attempt_end(self) -> End {
         match self {
-            Unconnected::NoRoom => End::Void,
-            Unconnected::TurnedAway => End::ConnectFailed,
+            NoConnection::AtCapacity => End::Void,
+            NoConnection::Rejected => End::ConnectFailed,
         }
     }
 }
@@ -100,60 +102,64 @@
 struct Actor {
     endpoint: String,
     transport: NetworkTransport,
-    reports: Reports,
-    came: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
+    reporter: Reports,
+    events: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
     connections: HashMap<ConnectionId, Connection>,
-    next_connection: u64,
+    last_connection_id: u64,
     backoff: Backoff,
-    /// The backoff's times count from here.
-    started: Instant,
-    out: HashMap<RequestId, Out>,
-    aborting: HashMap<(ConnectionId, RequestId), Aborting>,
-    probes: HashMap<u64, Instant>,
-    next_probe: u64,
-    /// Attempts and probes taken.
-    taken: u64,
+    /// The origin of the backoff's timestamps.
+    started_at: Instant,
+    attempts_in_flight: HashMap<RequestId, InFlightAttempt>,
+    pending_aborts: HashMap<(ConnectionId, RequestId), PendingAbort>,
+    /// The send times of unanswered probes by their tags.
+    unanswered_probes: HashMap<u64, Instant>,
+    last_probe_tag: u64,
+    /// Attempts and probes received from the mailbox.
+    received_count: u64,
 }
 
-/// Runs until its mailbox is closed and nothing of it is out. Its own mailbox goes into the report that it rests.
+/// Runs the actor of the engine at `endpoint` until its mailbox is closed and it has nothing in flight. `weak_mailbox` is
+/// a sender of that mailbox, for the report that the actor is idle.
 pub async fn run(
     endpoint: String,
     transport: NetworkTransport,
-    own: mpsc::WeakSender<ToEngine>,
+    weak_mailbox: mpsc::WeakSender<ToEngine>,
     mut mailbox: mpsc::Receiver<ToEngine>,
-    reports: Reports,
+    reporter: Reports,
 ) {
-    let (came, mut incoming) = mpsc::channel(MAILBOX);
-    let (mut limits, mut wanted) = (
+    let (events, mut incoming_events) = mpsc::channel(EVENT_CAPACITY);
+    let (mut settings, mut slot_shortage) = (
         transport.connections.clone(),
         transport.slots.subscribe_shortage(),
     );
-    let mut actor = Actor::new(endpoint, transport, reports, came);
-    let mut reported = 0;
+    let mut actor = Actor::new(endpoint, transport, reporter, events);
+    let mut reported_count = 0;
     loop {
-        if actor.rests() && actor.taken != reported {
-            reported = actor.taken;
-            let (mailbox, taken) = (own.clone(), actor.taken);
-            let resting = Report::Resting(Resting { mailbox, taken });
-            actor.reports.tell(resting).await;
+        if actor.is_idle() && actor.received_count != reported_count {
+            reported_count = actor.received_count;
+            let (mailbox, taken) = (weak_mailbox.clone(), actor.received_count);
+            let idle_report = Report::Resting(Resting { mailbox, taken });
+            actor.reporter.tell(idle_report).await;
         }
-        let look = actor.looks_at();
+        let next_check = actor.next_check_at();
         tokio::select! {
-            message = mailbox.recv() => match message {
-                Some(message) => {
-                    // That a connection is up is known before anything is taken back as unwritten.
-                    while let Ok((number, came)) = incoming.try_recv() {
-                        actor.came(number, came).await;
+            command = mailbox.recv() => match command {
+                Some(command) => {
+                    // Pending events come first: the connection of an attempt may be up, so that it is no longer unsent.
+                    while let Ok((connection_id, event)) = incoming_events.try_recv() {
+                        actor.handle_event(connection_id, event).await;
                     }
-                    actor.take(message).await;
+                    actor.handle_command(command).await;
                 }
-                // Attempts and results hold a sender of the mailbox: none is left.
+                // Attempts and results hold a sender of the mailbox, so none is in flight.
                 None => return,
             },
-            Some((number, came)) = incoming.recv() => actor.came(number, came).await,
-            Ok(()) = limits.changed() => actor.look().await,
-            Ok(()) = wanted.changed() => actor.close_idle(|_| true),
-            () = sleep_until(look.unwrap_or_else(Instant::now)), if look.is_some() => actor.look().await,
+            Some((connection_id, event)) = incoming_events.recv() =>
+                actor.handle_event(connection_id, event).await,
+            Ok(()) = settings.changed() => actor.check_deadlines().await,
+            Ok(()) = slot_shortage.changed() => actor.close_idle(|_| true),
+            () = sleep_until(next_check.unwrap_or_else(Instant::now)), if next_check.is_some() =>
+                actor.check_deadlines().await,
         }
     }
 }
@@ -162,615 +168,735 @@
     fn new(
         endpoint: String,
         transport: NetworkTransport,
-        reports: Reports,
-        came: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
+        reporter: Reports,
+        events: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
     ) -> Actor {
-        // Drawn anew in each process, so that dispatchers do not call an engine together.
+        // Random in each process, so that dispatchers do not connect to an engine at the same times.
         let seed = RandomState::new().hash_one(&endpoint);
         Actor {
             endpoint,
             transport,
-            reports,
-            came,
+            reporter,
+            events,
             connections: HashMap::new(),
-            next_connection: 0,
+            last_connection_id: 0,
             backoff: Backoff::new(seed),
-            started: Instant::now(),
-            out: HashMap::new(),
-            aborting: HashMap::new(),
-            probes: HashMap::new(),
-            next_probe: 0,
-            taken: 0,
+            started_at: Instant::now(),
+            attempts_in_flight: HashMap::new(),
+            pending_aborts: HashMap::new(),
+            unanswered_probes: HashMap::new(),
+            last_probe_tag: 0,
+            received_count: 0,
         }
     }
 
-    /// Whether it may end. Not while its engine turns connections away: the backoff would be forgotten with it.
-    fn rests(&self) -> bool {
-        self.out.is_empty()
-            && self.aborting.is_empty()
-            && self.probes.is_empty()
+    /// Whether the actor may end. It may not while its engine rejects connections, since the state of the backoff would
+    /// be lost.
+    fn is_idle(&self) -> bool {
+        self.attempts_in_flight.is_empty()
+            && self.pending_aborts.is_empty()
+            && self.unanswered_probes.is_empty()
             && self.connections.is_empty()
             && !self.backoff.is_failing()
     }
 
-    /// When something may be overdue next; never, where nothing is out and no connection is kept: a dispatcher has hundreds
-    /// of engines, and most of them rest.
-    fn looks_at(&self) -> Option<Instant> {
+    /// When to check for overdue work next; `None` while nothing is in flight and no connection is open, because a
+    /// dispatcher has hundreds of engines, most of them idle.
+    fn next_check_at(&self) -> Option<Instant> {
         let settings = self.settings();
-        let pages = self.pages_due().map(|(_, due)| due);
-        let aborts = self.aborts_due().map(|(_, due)| due);
-        let limit = duration(settings.connect_timeout);
-        let probes = self.probes.values().map(|asked| *asked + limit);
-        let idle = duration(settings.idle).mul_f64(IDLE_PART);
-        let kept = self.connections.values().filter(|kept| !kept.busy());
-        let goes = kept.map(|kept| {
-            if kept.spent {
+        let pages = self.page_deadlines().map(|(_, due)| due);
+        let aborts = self.abort_deadlines().map(|(_, due)| due);
+        let probe_timeout = duration(settings.connect_timeout);
+        let probes = self
+            .unanswered_probes
+            .values()
+            .map(|sent_at| *sent_at + probe_timeout);
+        let idle_timeout = duration(settings.idle).mul_f64(IDLE_FRACTION);
+        let idle_connections = self
+            .connections
+            .values()
+            .filter(|connection| !connection.is_busy());
+        let closes = idle_connections.map(|connection| {
+            if connection.is_retiring {
                 Instant::now()
             } else {
-                kept.used + idle
+                connection.last_used_at + idle_timeout
             }
         });
-        // A little later, so that one look finds all that is overdue at about one time.
         pages
             .chain(aborts)
             .chain(probes)
-            .chain(goes)
+            .chain(closes)
             .min()
-            .map(|first| first + LOOK_AFTER)
+            .map(|first| first + CHECK_DELAY)
     }
 
-    /// By when the next page of each result must come, on connections that are not abandoned yet.
-    fn pages_due(&self) -> impl Iterator<Item = (ConnectionId, Instant)> {
-        let kept = self.out.values();
-        let kept = kept.filter(|out| self.connections.contains_key(&out.connection));
-        kept.filter_map(|out| Some((out.connection, out.result.as_ref()?.came + PAGE_LIMIT)))
+    /// The deadline for the next page of each partial result on connections that are not abandoned.
+    fn page_deadlines(&self) -> impl Iterator<Item = (ConnectionId, Instant)> {
+        let attempts = self.attempts_in_flight.values();
+        let attempts =
+            attempts.filter(|attempt| self.connections.contains_key(&attempt.connection_id));
+        attempts.filter_map(|attempt| {
+            Some((
+                attempt.connection_id,
+                attempt.partial_result.as_ref()?.last_page_at + PAGE_TIMEOUT,
+            ))
+        })
     }
 
-    /// By when each abort must be written, on connections that are not abandoned yet.
-    fn aborts_due(&self) -> impl Iterator<Item = (ConnectionId, Instant)> {
-        let kept = self.aborting.iter();
-        let kept = kept.filter(|((number, _), _)| self.connections.contains_key(number));
-        kept.map(|((number, _), aborting)| (*number, aborting.since + ABORT_LIMIT))
+    /// The deadline for writing each abort on connections that are not abandoned.
+    fn abort_deadlines(&self) -> impl Iterator<Item = (ConnectionId, Instant)> {
+        let aborts = self.pending_aborts.iter();
+        let aborts =
+            aborts.filter(|((connection_id, _), _)| self.connections.contains_key(connection_id));
+        aborts.map(|((connection_id, _), abort)| {
+            (*connection_id, abort.requested_at + ABORT_WRITE_TIMEOUT)
+        })
     }
 
     fn settings(&self) -> Connections {
         *self.transport.connections.borrow()
     }
 
-    async fn take(&mut self, message: ToEngine) {
-        self.taken += u64::from(matches!(message, ToEngine::Send(_) | ToEngine::Probe));
-        match message {
+    async fn handle_command(&mut self, command: ToEngine) {
+        self.received_count += u64::from(matches!(command, ToEngine::Send(_) | ToEngine::Probe));
+        match command {
             ToEngine::Send(attempt) => self.send(attempt).await,
-            ToEngine::Abort(id, number) => self.abort(id, number).await,
-            ToEngine::Renice(id, number, rank) => {
-                let out = self.out.get_mut(&id).filter(|out| out.number == number);
-                if let Some(attempt) = out.and_then(|out| out.waiting.as_mut()) {
-                    attempt.rank = rank;
-                } else if let Some(out) = self.out.get(&id).filter(|out| out.number == number) {
-                    self.command(out.connection, Command::Reprioritize(id, rank));
+            ToEngine::Abort(request_id, attempt_no) => self.abort(request_id, attempt_no).await,
+            ToEngine::Renice(request_id, attempt_no, priority) => {
+                let in_flight = self
+                    .attempts_in_flight
+                    .get_mut(&request_id)
+                    .filter(|in_flight| in_flight.attempt_no == attempt_no);
+                if let Some(attempt) =
+                    in_flight.and_then(|in_flight| in_flight.awaiting_connection.as_mut())
+                {
+                    attempt.rank = priority;
+                } else if let Some(in_flight) = self
+                    .attempts_in_flight
+                    .get(&request_id)
+                    .filter(|in_flight| in_flight.attempt_no == attempt_no)
+                {
+                    self.send_command(
+                        in_flight.connection_id,
+                        Command::Reprioritize(request_id, priority),
+                    );
                 }
             }
             ToEngine::Probe => self.probe().await,
-            // Results are passed on whole: there is nothing more to ask for.
+            // Results are passed on complete, so there are no further pages to request.
             ToEngine::More(_) | ToEngine::Done(..) => {}
-            ToEngine::NothingNew => self.nothing_new().await,
+            ToEngine::NothingNew => self.return_unsent().await,
         }
     }
 
     // ---- Attempts ----
 
     async fn send(&mut self, attempt: Attempt) {
-        let (id, number) = (attempt.request, attempt.number);
-        let connection = match self.connection_for(Some(id)) {
-            Ok(connection) => connection,
-            Err(why) => return self.reports.ended(id, number, why.end()).await,
+        let (request_id, attempt_no) = (attempt.request, attempt.number);
+        let connection_id = match self.select_connection(Some(request_id)) {
+            Ok(connection_id) => connection_id,
+            Err(reason) => {
+                return self
+                    .reporter
+                    .ended(request_id, attempt_no, reason.attempt_end())
+                    .await;
+            }
         };
-        let up = match self.connections.get_mut(&connection) {
+        let is_up = match self.connections.get_mut(&connection_id) {
             Some(connection) => {
-                connection.out += 1;
-                connection.up
+                connection.attempts_in_flight += 1;
+                connection.is_up
             }
             None => false,
         };
-        let out = Out {
-            number,
-            connection,
-            sent: Instant::now(),
-            cancelled: attempt.cancelled.clone(),
-            waiting: Some(attempt),
-            result: None,
+        let in_flight = InFlightAttempt {
+            attempt_no,
+            connection_id,
+            sent_at: Instant::now(),
+            cancellation: attempt.cancelled.clone(),
+            awaiting_connection: Some(attempt),
+            partial_result: None,
         };
-        self.out.insert(id, out);
-        if up {
-            self.write(id).await;
+        self.attempts_in_flight.insert(request_id, in_flight);
+        if is_up {
+            self.write(request_id).await;
         }
     }
 
-    /// Hands an attempt to its connection, which is up. One that waits for its connection stays here until then: it may
-    /// be given up meanwhile, and must not be written after another attempt has answered its request.
-    async fn write(&mut self, id: RequestId) {
-        let Some(out) = self.out.get_mut(&id) else {
+    /// Hands an attempt to its connection, which is up. Until then the attempt stays here: it may be cancelled, and must
+    /// not be written after another attempt has answered its request.
+    async fn write(&mut self, request_id: RequestId) {
+        let Some(in_flight) = self.attempts_in_flight.get_mut(&request_id) else {
             return;
         };
-        let (connection, number) = (out.connection, out.number);
-        let Some(attempt) = out.waiting.take() else {
+        let (connection_id, attempt_no) = (in_flight.connection_id, in_flight.attempt_no);
+        let Some(attempt) = in_flight.awaiting_connection.take() else {
             return;
         };
-        if !self.command(connection, Command::Fetch(attempt)) {
-            self.out.remove(&id);
-            self.ended_on(connection);
-            self.never(id, number).await;
+        if !self.send_command(connection_id, Command::Fetch(attempt)) {
+            self.attempts_in_flight.remove(&request_id);
+            self.release_from(connection_id);
+            self.report_unsent(request_id, attempt_no).await;
         }
     }
 
-    /// An attempt is on this connection no longer.
-    fn ended_on(&mut self, connection: ConnectionId) {
-        if let Some(connection) = self.connections.get_mut(&connection) {
-            connection.ended();
+    /// An attempt is no longer in flight on the connection.
+    fn release_from(&mut self, connection_id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
+            connection.attempt_ended();
         }
     }
 
-    /// An attempt was taken out before a byte of it was written.
-    async fn withdrawn(&mut self, connection: ConnectionId, (id, number): AttemptKey) {
+    /// An attempt was withdrawn before its first byte was written.
+    async fn attempt_withdrawn(
+        &mut self,
+        connection_id: ConnectionId,
+        (request_id, attempt_no): AttemptKey,
+    ) {
         if self
-            .on(connection, id)
-            .is_some_and(|out| out.number == number)
+            .in_flight_on(connection_id, request_id)
+            .is_some_and(|in_flight| in_flight.attempt_no == attempt_no)
         {
-            self.end(connection, id, End::Void).await;
+            self.end_attempt(connection_id, request_id, End::Void).await;
         } else {
-            self.aborted(connection, id).await;
+            self.abort_written(connection_id, request_id).await;
         }
     }
 
-    /// An attempt that was given up is out no longer.
-    async fn aborted(&mut self, connection: ConnectionId, id: RequestId) {
-        if let Some(aborting) = self.aborting.remove(&(connection, id)) {
-            self.reports.given_up(id, aborting.number).await;
+    /// A cancelled attempt is no longer in flight.
+    async fn abort_written(&mut self, connection_id: ConnectionId, request_id: RequestId) {
+        if let Some(abort) = self.pending_aborts.remove(&(connection_id, request_id)) {
+            self.reporter.given_up(request_id, abort.attempt_no).await;
         }
     }
 
-    /// An attempt was not written to any connection.
-    async fn never(&self, id: RequestId, number: AttemptNo) {
-        self.reports.ended(id, number, End::ConnectFailed).await;
+    /// Reports that an attempt was not written to any connection.
+    async fn report_unsent(&self, request_id: RequestId, attempt_no: AttemptNo) {
+        self.reporter
+            .ended(request_id, attempt_no, End::ConnectFailed)
+            .await;
     }
 
-    /// The connection that was idle least long, or a new one while there may be more, or the one that carries
-    /// least.
-    fn connection_for(&mut self, request: Option<RequestId>) -> Result<ConnectionId, Unconnected> {
-        let shared = self.least_loaded(request);
-        let idle = |number: ConnectionId| self.connections.get(&number).is_some_and(|c| c.out == 0);
-        if let Some(number) = shared
-            && (request.is_none() || idle(number))
+    /// The most recently used idle connection; else a new one, if one may be opened; else the least loaded one.
+    /// A probe (no request) takes the least loaded one even if that is not idle.
+    fn select_connection(
+        &mut self,
+        request_id: Option<RequestId>,
+    ) -> Result<ConnectionId, NoConnection> {
+        let shared = self.least_loaded(request_id);
+        let has_none_in_flight = |connection_id: ConnectionId| {
+            self.connections
+                .get(&connection_id)
+                .is_some_and(|connection| connection.attempts_in_flight == 0)
+        };
+        if let Some(connection_id) = shared
+            && (request_id.is_none() || has_none_in_flight(connection_id))
         {
-            return Ok(number);
+            return Ok(connection_id);
         }
-        match (self.backoff.permit(self.now()), shared) {
-            (Permit::HeldBack, None) => Err(self.why_unconnected()),
-            (Permit::HeldBack | Permit::ShareFirst, Some(number)) => Ok(number),
+        match (self.backoff.permit(self.backoff_now()), shared) {
+            (Permit::HeldBack, None) => Err(self.no_connection_reason()),
+            (Permit::HeldBack | Permit::ShareFirst, Some(connection_id)) => Ok(connection_id),
             (Permit::Granted | Permit::ShareFirst, _) => {
-                let opened = self.open(shared.is_none());
-                opened.or(shared).ok_or(Unconnected::NoRoom)
+                let opened = self.open_connection(shared.is_none());
+                opened.or(shared).ok_or(NoConnection::AtCapacity)
             }
         }
     }
 
-    /// The connection that carries least, of those that have room. None that has carried this request before, nor one that
-    /// is of no further use. While the engine turns connections away, one that has not proved good carries one attempt at a
-    /// time: all that is written to it may be lost.
-    fn least_loaded(&self, request: Option<RequestId>) -> Option<ConnectionId> {
-        let (now, most) = (self.now(), self.settings().max_streams);
-        let fit = self.connections.iter().filter(|(_, connection)| {
-            let again = request.is_some_and(|id| connection.has_carried(id));
-            let alone = self.backoff.is_failing()
-                && connection.out > 0
+    /// The connection with the fewest attempts in flight that has room for one more, is not retiring and has not carried
+    /// this request before. While the engine rejects connections, one that is not proven to work carries one attempt at
+    /// a time, because everything written to it may be lost.
+    fn least_loaded(&self, request_id: Option<RequestId>) -> Option<ConnectionId> {
+        let (now, max_streams) = (self.backoff_now(), self.settings().max_streams);
+        let usable = self.connections.iter().filter(|(_, connection)| {
+            let has_carried =
+                request_id.is_some_and(|request_id| connection.has_carried(request_id));
+            let is_reserved = self.backoff.is_failing()
+                && connection.attempts_in_flight > 0
                 && !self.backoff.is_proven(&connection.connect, now);
-            !connection.spent && connection.out < most && !again && !alone
+            !connection.is_retiring
+                && connection.attempts_in_flight < max_streams
+                && !has_carried
+                && !is_reserved
         });
-        let least =
-            |connection: &Connection| (Reverse(connection.out), connection.up, connection.used);
-        let best = fit.max_by_key(|(number, connection)| (least(connection), number.0));
-        best.map(|(number, _)| *number)
+        let preference = |connection: &Connection| {
+            (
+                Reverse(connection.attempts_in_flight),
+                connection.is_up,
+                connection.last_used_at,
+            )
+        };
+        let best = usable
+            .max_by_key(|(connection_id, connection)| (preference(connection), connection_id.0));
+        best.map(|(connection_id, _)| *connection_id)
     }
 
     /// Why an attempt has no connection while connects are held back.
-    fn why_unconnected(&self) -> Unconnected {
-        let now = self.now();
-        let serves = |connection: &Connection| {
-            !connection.spent && self.backoff.is_proven(&connection.connect, now)
+    fn no_connection_reason(&self) -> NoConnection {
+        let now = self.backoff_now();
+        let is_proven = |connection: &Connection| {
+            !connection.is_retiring && self.backoff.is_proven(&connection.connect, now)
         };
-        if self.connections.values().any(serves) {
-            Unconnected::NoRoom
+        if self.connections.values().any(is_proven) {
+            NoConnection::AtCapacity
         } else {
-            Unconnected::TurnedAway
+            NoConnection::Rejected
         }
     }
 
-    /// Opens a connection, where there may be one more and a slot is free. Where it is needed, others hear that a slot is
-    /// wanted.
-    fn open(&mut self, needed: bool) -> Option<ConnectionId> {
+    /// Opens a connection, if the settings allow one more and a slot is free. If no slot is free and the connection is
+    /// required, other engines are told that slots are short.
+    fn open_connection(&mut self, is_required: bool) -> Option<ConnectionId> {
         let settings = self.settings();
         if self.connections.len() >= settings.most {
             return None;
         }
         let Some(slot) = self.transport.slots.try_acquire(settings.in_all) else {
-            if needed {
+            if is_required {
                 self.transport.slots.signal_shortage();
             }
             return None;
         };
-        self.next_connection += 1;
-        let number = ConnectionId(self.next_connection);
-        let link = ConnectionTask {
-            number,
+        self.last_connection_id += 1;
+        let connection_id = ConnectionId(self.last_connection_id);
+        let task = ConnectionTask {
+            id: connection_id,
             endpoint: self.endpoint.clone(),
-            limit: duration(settings.connect_timeout),
-            came: self.came.clone(),
+            connect_timeout: duration(settings.connect_timeout),
+            events: self.events.clone(),
             metrics: self.transport.metrics.clone(),
         };
-        let connect = self.backoff.begin(self.now());
-        let connection = Connection::open(link, slot, connect);
-        self.connections.insert(number, connection);
-        Some(number)
+        let connect = self.backoff.begin(self.backoff_now());
+        let connection = Connection::open(task, slot, connect);
+        self.connections.insert(connection_id, connection);
+        Some(connection_id)
     }
 
-    /// The time for the backoff.
-    fn now(&self) -> u64 {
-        span(self.started.elapsed()).0
+    /// The time for the backoff, in microseconds.
+    fn backoff_now(&self) -> u64 {
+        span(self.started_at.elapsed()).0
     }
 
-    fn pauses(&self) -> Pauses {
+    fn backoff_pauses(&self) -> Pauses {
         Pauses::new(self.settings().connect_timeout.0)
     }
 
-    /// Hands a command to a connection; false where it is full or gone.
-    fn command(&self, number: ConnectionId, command: Command) -> bool {
-        let connection = self.connections.get(&number);
-        connection.is_some_and(|connection| connection.mailbox.try_send(command).is_ok())
+    /// Hands a command to a connection; returns false if its channel is full or the connection is gone.
+    fn send_command(&self, connection_id: ConnectionId, command: Command) -> bool {
+        let connection = self.connections.get(&connection_id);
+        connection.is_some_and(|connection| connection.commands.try_send(command).is_ok())
     }
 
-    async fn abort(&mut self, id: RequestId, number: AttemptNo) {
-        let out = match self.out.entry(id) {
-            Entry::Occupied(entry) if entry.get().number == number => entry.remove(),
+    async fn abort(&mut self, request_id: RequestId, attempt_no: AttemptNo) {
+        let in_flight = match self.attempts_in_flight.entry(request_id) {
+            Entry::Occupied(entry) if entry.get().attempt_no == attempt_no => entry.remove(),
             // It has ended.
-            _ => return self.reports.given_up(id, number).await,
+            _ => return self.reporter.given_up(request_id, attempt_no).await,
         };
-        if out.waiting.is_some() {
-            self.ended_on(out.connection);
-            return self.reports.given_up(id, number).await;
-        }
-        out.cancelled.cancel();
-        // Of a result that is on its way no more is wanted; all else is called off.
-        let answered = out.result.is_some();
-        let command = if answered {
-            Command::Done(id)
+        if in_flight.awaiting_connection.is_some() {
+            self.release_from(in_flight.connection_id);
+            return self.reporter.given_up(request_id, attempt_no).await;
+        }
+        in_flight.cancellation.cancel();
+        // If the result has begun to arrive, its remaining pages are declined; otherwise the request is aborted.
+        let is_answered = in_flight.partial_result.is_some();
+        let command = if is_answered {
+            Command::Done(request_id)
         } else {
-            Command::Abort(id)
+            Command::Abort(request_id)
         };
-        let told = self.command(out.connection, command);
-        if let Some(connection) = self.connections.get_mut(&out.connection) {
-            connection.give_up(id, out.sent);
-            // Its engine would run on what it is not told of; it gives all up once the connection is closed.
-            connection.spent |= !told;
-        }
-        if answered {
-            return self.reports.given_up(id, number).await;
-        }
-        let since = Instant::now();
-        let aborting = Aborting { number, since };
-        self.aborting.insert((out.connection, id), aborting);
+        let is_queued = self.send_command(in_flight.connection_id, command);
+        if let Some(connection) = self.connections.get_mut(&in_flight.connection_id) {
+            connection.attempt_cancelled(request_id, in_flight.sent_at);
+            // Without the command the engine would continue to run the request; it aborts all of them once the
+            // connection is closed.
+            connection.is_retiring |= !is_queued;
+        }
+        if is_answered {
+            return self.reporter.given_up(request_id, attempt_no).await;
+        }
+        let requested_at = Instant::now();
+        let pending_abort = PendingAbort {
+            attempt_no,
+            requested_at,
+        };
+        self.pending_aborts
+            .insert((in_flight.connection_id, request_id), pending_abort);
     }
 
-    /// The attempt that an answer on this connection is about. A late answer on an older one must leave the
-    /// attempt that is out now alone.
-    fn on(&mut self, connection: ConnectionId, id: RequestId) -> Option<&mut Out> {
-        let out = self.out.get_mut(&id);
-        out.filter(|out| out.connection == connection)
+    /// The attempt that an answer on this connection refers to. A late answer on another connection must not affect the
+    /// attempt that is in flight now.
+    fn in_flight_on(
+        &mut self,
+        connection_id: ConnectionId,
+        request_id: RequestId,
+    ) -> Option<&mut InFlightAttempt> {
+        let in_flight = self.attempts_in_flight.get_mut(&request_id);
+        in_flight.filter(|in_flight| in_flight.connection_id == connection_id)
     }
 
-    /// Ends an attempt that has had its answer on this connection.
-    async fn end(&mut self, connection: ConnectionId, id: RequestId, end: End) {
-        if self.on(connection, id).is_none() {
+    /// Ends an attempt that was answered on this connection.
+    async fn end_attempt(&mut self, connection_id: ConnectionId, request_id: RequestId, end: End) {
+        if self.in_flight_on(connection_id, request_id).is_none() {
             return;
         }
-        let Some(out) = self.out.remove(&id) else {
+        let Some(in_flight) = self.attempts_in_flight.remove(&request_id) else {
             return;
         };
-        if let Some(connection) = self.connections.get_mut(&connection) {
-            connection.ended();
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
+            connection.attempt_ended();
             if !matches!(end, End::Ok { .. }) {
-                connection.remember(id);
+                connection.remember(request_id);
             }
         }
-        self.reports.ended(id, out.number, end).await;
+        self.reporter
+            .ended(request_id, in_flight.attempt_no, end)
+            .await;
     }
 
     // ---- Results ----
 
-    async fn ok(&mut self, connection: ConnectionId, id: RequestId, mut result: Partial) {
-        let Some(out) = self.on(connection, id) else {
-            // Called off meanwhile: nobody wants its pages. What was never asked for here is left alone.
-            let here = self.connections.get(&connection);
-            if here.is_some_and(|connection| connection.has_carried(id)) {
-                self.command(connection, Command::Done(id));
+    async fn begin_result(
+        &mut self,
+        connection_id: ConnectionId,
+        request_id: RequestId,
+        mut result: PartialResult,
+    ) {
+        let Some(in_flight) = self.in_flight_on(connection_id, request_id) else {
+            // A cancelled attempt needs no pages. Requests that were never sent on this connection are ignored.
+            let connection = self.connections.get(&connection_id);
+            if connection.is_some_and(|connection| connection.has_carried(request_id)) {
+                self.send_command(connection_id, Command::Done(request_id));
             }
             return;
         };
-        // A second copy must not begin the result anew.
-        if out.result.is_some() {
+        // A duplicate of the answer must not start the result again.
+        if in_flight.partial_result.is_some() {
             return;
         }
-        let parts = result.pages.len() as u32;
-        result.came = Instant::now();
-        out.result = Some(result);
-        let asked = (1..parts).all(|page| self.command(connection, Command::More(id, page)));
-        if asked {
-            self.passed_on(connection, id).await;
+        let page_count = result.pages.len() as u32;
+        result.last_page_at = Instant::now();
+        in_flight.partial_result = Some(result);
+        let are_requested = (1..page_count)
+            .all(|page| self.send_command(connection_id, Command::More(request_id, page)));
+        if are_requested {
+            self.report_if_complete(connection_id, request_id).await;
         } else {
-            self.abandon(connection, "it takes no more commands");
+            self.abandon(connection_id, "it takes no more commands");
         }
     }
 
-    async fn page(&mut self, connection: ConnectionId, id: RequestId, number: u32, rows: Bytes) {
-        let Some(out) = self.on(connection, id) else {
+    async fn add_page(
+        &mut self,
+        connection_id: ConnectionId,
+        request_id: RequestId,
+        page_index: u32,
+        rows: Bytes,
+    ) {
+        let Some(in_flight) = self.in_flight_on(connection_id, request_id) else {
             return;
         };
-        let place = out.result.as_mut().and_then(|result| {
-            result.came = Instant::now();
-            result.pages.get_mut(number as usize)
+        let page = in_flight.partial_result.as_mut().and_then(|result| {
+            result.last_page_at = Instant::now();
+            result.pages.get_mut(page_index as usize)
         });
-        let Some(place) = place else {
-            // No such page was asked for: the answer is spoilt, and what follows it would be.
-            return self.abandon(connection, "a page that can't be");
+        let Some(page) = page else {
+            // The page was never requested, so this answer and those that follow can't be trusted.
+            return self.abandon(connection_id, "a page that was not requested");
         };
-        if place.is_none() {
-            *place = Some(rows);
-            self.passed_on(connection, id).await;
+        if page.is_none() {
+            *page = Some(rows);
+            self.report_if_complete(connection_id, request_id).await;
         }
     }
 
-    /// Reports a result once it is whole.
-    async fn passed_on(&mut self, connection: ConnectionId, id: RequestId) {
-        let result = self.on(connection, id).and_then(|out| out.result.as_ref());
-        let Some((rows, result)) = result.and_then(|result| Some((result.whole()?, result))) else {
+    /// Reports a result once all its pages have arrived.
+    async fn report_if_complete(&mut self, connection_id: ConnectionId, request_id: RequestId) {
+        let result = self
+            .in_flight_on(connection_id, request_id)
+            .and_then(|in_flight| in_flight.partial_result.as_ref());
+        let Some((rows, result)) =
+            result.and_then(|result| Some((result.complete_rows()?, result)))
+        else {
             return;
         };
-        // Whole milliseconds, as the simulator's bill has them.
-        let work = result.work.map(|work| Micros::from_millis(work as u64));
-        let (load, paged) = (result.load, result.pages.len() > 1);
-        if paged {
-            self.command(connection, Command::Done(id));
+        // Truncated to whole milliseconds, like the work that the simulator bills.
+        let work = result
+            .work_ms
+            .map(|work_ms| Micros::from_millis(work_ms as u64));
+        let (load, has_several_pages) = (result.load, result.pages.len() > 1);
+        if has_several_pages {
+            self.send_command(connection_id, Command::Done(request_id));
         }
         let page = Page { rows, last: true };
-        self.end(connection, id, End::Ok { page, work, load }).await;
+        self.end_attempt(connection_id, request_id, End::Ok { page, work, load })
+            .await;
     }
 
     // ---- Answers ----
 
-    async fn came(&mut self, number: ConnectionId, came: ConnectionEvent) {
-        match came {
-            ConnectionEvent::Up => {
-                let (now, pauses) = (self.now(), self.pauses());
-                if let Some(connection) = self.connections.get_mut(&number) {
-                    connection.up = true;
+    async fn handle_event(&mut self, connection_id: ConnectionId, event: ConnectionEvent) {
+        match event {
+            ConnectionEvent::Connected => {
+                let (now, pauses) = (self.backoff_now(), self.backoff_pauses());
+                if let Some(connection) = self.connections.get_mut(&connection_id) {
+                    connection.is_up = true;
                     self.backoff.came_up(&connection.connect, now, &pauses);
                 }
-                let waiting = self.out.iter().filter(|(_, out)| out.connection == number);
-                let waiting: Vec<RequestId> = waiting.map(|(id, _)| *id).collect();
-                for id in waiting {
-                    self.write(id).await;
+                let waiting = self
+                    .attempts_in_flight
+                    .iter()
+                    .filter(|(_, in_flight)| in_flight.connection_id == connection_id);
+                let waiting: Vec<RequestId> = waiting.map(|(request_id, _)| *request_id).collect();
+                for request_id in waiting {
+                    self.write(request_id).await;
                 }
             }
-            ConnectionEvent::Reply(reply) => self.reply(number, reply).await,
-            ConnectionEvent::Withdrawn(named) => self.withdrawn(number, named).await,
-            ConnectionEvent::Aborted(id) => self.aborted(number, id).await,
-            ConnectionEvent::Down { unwritten, error } => {
-                self.down(number, &unwritten, error).await
+            ConnectionEvent::Reply(reply) => self.handle_reply(connection_id, reply).await,
+            ConnectionEvent::Withdrawn(attempt_key) => {
+                self.attempt_withdrawn(connection_id, attempt_key).await
+            }
+            ConnectionEvent::AbortWritten(request_id) => {
+                self.abort_written(connection_id, request_id).await
+            }
+            ConnectionEvent::Closed { unwritten, error } => {
+                self.connection_closed(connection_id, &unwritten, error)
+                    .await
             }
         }
     }
 
-    async fn reply(&mut self, connection: ConnectionId, reply: Reply) {
-        self.heard_on(connection);
-        let id = match reply.about {
-            ReplySubject::Request(id) => id,
-            ReplySubject::Tag(tag) => return self.probed(tag, reply.word).await,
-            ReplySubject::Nobody => return,
+    async fn handle_reply(&mut self, connection_id: ConnectionId, reply: Reply) {
+        self.reply_received(connection_id);
+        let request_id = match reply.subject {
+            ReplySubject::Request(request_id) => request_id,
+            ReplySubject::ProbeTag(tag) => return self.probe_answered(tag, reply.body).await,
+            ReplySubject::Unknown => return,
         };
-        // Nothing is believed of a connection that is abandoned, though it may not be closed yet.
-        if !self.connections.contains_key(&connection) {
+        // Answers on an abandoned connection are ignored, although it may not be closed yet.
+        if !self.connections.contains_key(&connection_id) {
             return;
         }
-        match reply.word {
+        match reply.body {
             ReplyBody::Note(note) => {
-                let out = self.on(connection, id).map(|out| out.number);
-                if let Some((number, note)) = out.zip(note) {
-                    self.reports.tell(Report::Note(id, number, note)).await;
+                let attempt_no = self
+                    .in_flight_on(connection_id, request_id)
+                    .map(|in_flight| in_flight.attempt_no);
+                if let Some((attempt_no, note)) = attempt_no.zip(note) {
+                    self.reporter
+                        .tell(Report::Note(request_id, attempt_no, note))
+                        .await;
                 }
             }
-            ReplyBody::Rows { page, rows } => self.page(connection, id, page, rows).await,
+            ReplyBody::Rows { page, rows } => {
+                self.add_page(connection_id, request_id, page, rows).await
+            }
             ReplyBody::Ok {
-                parts,
-                work,
+                page_count,
+                work_ms,
                 load,
                 rows,
             } => {
-                let mut pages = vec![None; parts as usize];
+                let mut pages = vec![None; page_count as usize];
                 pages[0] = Some(rows);
-                let came = Instant::now();
-                let result = Partial {
+                let last_page_at = Instant::now();
+                let result = PartialResult {
                     pages,
-                    work,
+                    work_ms,
                     load,
-                    came,
+                    last_page_at,
                 };
-                self.ok(connection, id, result).await;
+                self.begin_result(connection_id, request_id, result).await;
+            }
+            ReplyBody::Busy => self.end_attempt(connection_id, request_id, End::Busy).await,
+            ReplyBody::Void => self.end_attempt(connection_id, request_id, End::Void).await,
+            // Also sent for a lost page.
+            ReplyBody::Err => {
+                self.end_attempt(connection_id, request_id, End::Error)
+                    .await
             }
-            ReplyBody::Busy => self.end(connection, id, End::Busy).await,
-            ReplyBody::Void => self.end(connection, id, End::Void).await,
-            // Also for a page that is lost. A probe's word about a request is no answer to it.
-            ReplyBody::Err => self.end(connection, id, End::Error).await,
-            ReplyBody::Malformed(why) if self.on(connection, id).is_some() => {
-                self.abandon(connection, &why);
+            ReplyBody::Malformed(reason)
+                if self.in_flight_on(connection_id, request_id).is_some() =>
+            {
+                self.abandon(connection_id, &reason);
             }
+            // `Up` and `Down` answer probes, not requests.
             ReplyBody::Malformed(_) | ReplyBody::Up(_) | ReplyBody::Down => {}
         }
     }
 
     // ---- Connections ----
 
-    /// A word came on a connection.
-    fn heard_on(&mut self, number: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&number) else {
+    /// Records that an answer arrived on a connection.
+    fn reply_received(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
         };
-        connection.heard = Instant::now();
+        connection.last_seen_at = Instant::now();
         if let Some(failed) = self.backoff.answered(&mut connection.connect) {
             log::info!(
-                "connects to {} succeed again, after {failed} that failed",
+                "connecting to {} succeeds again after {failed} failed connects",
                 self.endpoint
             );
         }
     }
 
-    /// A connection has ended, or did not come up.
-    async fn down(
+    /// A connection has ended, or its connect failed.
+    async fn connection_closed(
         &mut self,
-        number: ConnectionId,
+        connection_id: ConnectionId,
         unwritten: &[RequestId],
         error: Option<io::Error>,
     ) {
-        if let Some(connection) = self.connections.remove(&number) {
+        if let Some(connection) = self.connections.remove(&connection_id) {
             self.connect_ended(connection.connect, error);
         }
-        self.lose(number, unwritten).await;
+        self.end_attempts_on(connection_id, unwritten).await;
     }
 
-    /// Logs a run of failed connects once, and each end of a connection that was good.
+    /// Logs each end of a proven connection, and of a series of failed connects only the first.
     fn connect_ended(&mut self, connect: Connect, error: Option<io::Error>) {
-        let (now, pauses) = (self.now(), self.pauses());
+        let (now, pauses) = (self.backoff_now(), self.backoff_pauses());
         let ended = self.backoff.ended(connect, now, &pauses);
-        let why = error.map_or("its task died".to_string(), |error| error.to_string());
+        let reason = error.map_or("its task panicked".to_string(), |error| error.to_string());
         match ended {
-            Ended::Proven => log::info!("connection to {}: {why}", self.endpoint),
+            Ended::Proven => log::info!("connection to {} ended: {reason}", self.endpoint),
             Ended::FirstFailure => log::info!(
-                "connects to {} fail: {why}; those that follow are counted",
+                "connecting to {} failed: {reason}; further failures are counted, not logged",
                 self.endpoint
             ),
             Ended::FurtherFailure => {}
         }
     }
 
-    /// Ends all attempts that were out on a connection that is closed.
-    async fn lose(&mut self, number: ConnectionId, unwritten: &[RequestId]) {
-        let here = self.out.extract_if(|_, out| out.connection == number);
-        let lost: Vec<(RequestId, Out)> = here.collect();
-        for (id, out) in lost {
-            let answered = out.result.is_some();
-            let never = !answered && (out.waiting.is_some() || unwritten.contains(&id));
-            let end = if never {
+    /// Ends all attempts that were in flight on a closed connection.
+    async fn end_attempts_on(&mut self, connection_id: ConnectionId, unwritten: &[RequestId]) {
+        let lost = self
+            .attempts_in_flight
+            .extract_if(|_, in_flight| in_flight.connection_id == connection_id);
+        let lost: Vec<(RequestId, InFlightAttempt)> = lost.collect();
+        for (request_id, in_flight) in lost {
+            let is_answered = in_flight.partial_result.is_some();
+            let never_ran = !is_answered
+                && (in_flight.awaiting_connection.is_some() || unwritten.contains(&request_id));
+            let end = if never_ran {
                 End::ConnectFailed
             } else {
                 End::Reset
             };
-            self.reports.ended(id, out.number, end).await;
+            self.reporter
+                .ended(request_id, in_flight.attempt_no, end)
+                .await;
         }
-        let here = self
-            .aborting
-            .extract_if(|(connection, _), _| *connection == number);
-        let given_up: Vec<((ConnectionId, RequestId), Aborting)> = here.collect();
-        for ((_, id), aborting) in given_up {
-            self.reports.given_up(id, aborting.number).await;
+        let aborted = self
+            .pending_aborts
+            .extract_if(|(abort_connection_id, _), _| *abort_connection_id == connection_id);
+        let aborted: Vec<((ConnectionId, RequestId), PendingAbort)> = aborted.collect();
+        for ((_, request_id), abort) in aborted {
+            self.reporter.given_up(request_id, abort.attempt_no).await;
         }
     }
 
-    /// Lets a connection go that is of no further use though it stays open. What is out on it ends once its task has
-    /// closed it, and no sooner: its engine runs all of it until then.
-    fn abandon(&mut self, number: ConnectionId, why: &str) {
-        if let Some(connection) = self.connections.remove(&number) {
-            log::info!("connection to {}: abandoned: {why}", self.endpoint);
+    /// Drops a connection that is still open but no longer usable. Its attempts end only when its task has closed it,
+    /// because the engine runs them until then.
+    fn abandon(&mut self, connection_id: ConnectionId, reason: &str) {
+        if let Some(connection) = self.connections.remove(&connection_id) {
+            log::info!("connection to {} abandoned: {reason}", self.endpoint);
             self.backoff.closed(connection.connect);
         }
     }
 
-    /// Closes the idle connections of which this is true.
-    fn close_idle(&mut self, mut goes: impl FnMut(&Connection) -> bool) {
-        let idle = self
+    /// Closes the idle connections for which `should_close` returns true.
+    fn close_idle(&mut self, mut should_close: impl FnMut(&Connection) -> bool) {
+        let closing = self
             .connections
-            .extract_if(|_, connection| !connection.busy() && goes(connection));
-        for (_, connection) in idle {
+            .extract_if(|_, connection| !connection.is_busy() && should_close(connection));
+        for (_, connection) in closing {
             self.backoff.closed(connection.connect);
         }
     }
 
-    /// What waits for a connection to come up has not been written and is taken back, all of it before the first is
-    /// told of: while that waits for the broker, a connection might come up. What waits behind others at its connection
-    /// is taken out there.
-    async fn nothing_new(&mut self) {
-        self.out.values().for_each(|out| out.cancelled.cancel());
-        let connections = self.connections.keys().copied();
-        for number in connections.collect::<Vec<_>>() {
-            self.command(number, Command::RecheckQueue);
+    /// Returns all attempts that have not been written. Those that wait for a connection to come up are removed before
+    /// the first is reported: a connection might come up while a report waits for the broker. Those that are queued at
+    /// their connection are withdrawn there.
+    async fn return_unsent(&mut self) {
+        self.attempts_in_flight
+            .values()
+            .for_each(|in_flight| in_flight.cancellation.cancel());
+        let connection_ids = self.connections.keys().copied();
+        for connection_id in connection_ids.collect::<Vec<_>>() {
+            self.send_command(connection_id, Command::RecheckQueue);
         }
-        let waiting = self.out.extract_if(|_, out| out.waiting.is_some());
-        let waiting: Vec<(RequestId, Out)> = waiting.collect();
-        for (_, out) in &waiting {
-            self.ended_on(out.connection);
+        let unsent = self
+            .attempts_in_flight
+            .extract_if(|_, in_flight| in_flight.awaiting_connection.is_some());
+        let unsent: Vec<(RequestId, InFlightAttempt)> = unsent.collect();
+        for (_, in_flight) in &unsent {
+            self.release_from(in_flight.connection_id);
         }
-        for (id, out) in waiting {
-            self.never(id, out.number).await;
+        for (request_id, in_flight) in unsent {
+            self.report_unsent(request_id, in_flight.attempt_no).await;
         }
     }
 
-    async fn look(&mut self) {
+    async fn check_deadlines(&mut self) {
         let now = Instant::now();
-        let idle = duration(self.settings().idle).mul_f64(IDLE_PART);
-        let (mut open, most) = (self.connections.len(), self.settings().most);
+        let idle_timeout = duration(self.settings().idle).mul_f64(IDLE_FRACTION);
+        let (mut open_count, max_connections) = (self.connections.len(), self.settings().most);
         self.close_idle(|connection| {
-            // Fewer may be open than were: idle ones go at once.
-            let goes = connection.spent || now >= connection.used + idle || open > most;
-            open -= usize::from(goes);
-            goes
+            // After the limit was lowered, idle connections beyond it are closed at once.
+            let should_close = connection.is_retiring
+                || now >= connection.last_used_at + idle_timeout
+                || open_count > max_connections;
+            open_count -= usize::from(should_close);
+            should_close
         });
-        let overdue = |due: &(ConnectionId, Instant)| now >= due.1;
-        let stopped: Vec<_> = self.pages_due().filter(overdue).collect();
-        for (number, _) in stopped {
-            self.abandon(number, "a page never came");
+        let is_overdue = |deadline: &(ConnectionId, Instant)| now >= deadline.1;
+        let without_page: Vec<_> = self.page_deadlines().filter(is_overdue).collect();
+        for (connection_id, _) in without_page {
+            self.abandon(connection_id, "a page did not arrive in time");
         }
-        let unwritten: Vec<_> = self.aborts_due().filter(overdue).collect();
-        for (number, _) in unwritten {
-            self.abandon(number, "it does not take an abort");
+        let without_abort: Vec<_> = self.abort_deadlines().filter(is_overdue).collect();
+        for (connection_id, _) in without_abort {
+            self.abandon(connection_id, "an abort was not written in time");
         }
-        let limit = duration(self.settings().connect_timeout);
-        let late = self.probes.extract_if(|_, asked| now >= *asked + limit);
-        for _ in late.collect::<Vec<_>>() {
-            self.reports.tell(Report::Probed(Probe::Silent)).await;
+        let probe_timeout = duration(self.settings().connect_timeout);
+        let overdue_probes = self
+            .unanswered_probes
+            .extract_if(|_, sent_at| now >= *sent_at + probe_timeout);
+        for _ in overdue_probes.collect::<Vec<_>>() {
+            self.reporter.tell(Report::Probed(Probe::Silent)).await;
         }
     }
 
     // ---- Probes ----
 
     async fn probe(&mut self) {
-        self.next_probe += 1;
-        let tag = self.next_probe;
-        let connection = self.connection_for(None);
-        if connection.is_ok_and(|number| self.command(number, Command::Stats(tag))) {
-            self.probes.insert(tag, Instant::now());
+        self.last_probe_tag += 1;
+        let tag = self.last_probe_tag;
+        let connection_id = self.select_connection(None);
+        if connection_id
+            .is_ok_and(|connection_id| self.send_command(connection_id, Command::Stats(tag)))
+        {
+            self.unanswered_probes.insert(tag, Instant::now());
         } else {
-            self.reports
+            self.reporter
                 .tell(Report::Probed(Probe::ConnectFailed))
                 .await;
         }
     }
 
-    async fn probed(&mut self, tag: u64, word: ReplyBody) {
-        if self.probes.remove(&tag).is_none() {
+    async fn probe_answered(&mut self, tag: u64, body: ReplyBody) {
+        if self.unanswered_probes.remove(&tag).is_none() {
             return;
         }
-        let probe = match word {
+        let probe = match body {
             ReplyBody::Up(load) => Probe::Up(load),
             _ => Probe::Down,
         };
-        self.reports.tell(Report::Probed(probe)).await;
+        self.reporter.tell(Report::Probed(probe)).await;
     }
 }
 
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -1,4 +1,4 @@
-//! The actor of an engine, before stand-in engines on loopback sockets.
+//! Tests of the actor of a RESP engine against mock engines on loopback sockets.
 
 use super::*;
 use crate::ConnectionSlots;
@@ -17,125 +17,133 @@
 use tokio::time::advance;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// The time by which tests advance the paused clock.
 const STEP: Duration = Duration::from_millis(10);
-/// Looks after which what is waited for is taken not to come.
-const LOOKS: usize = 20_000_000;
-/// The longest pause between two connects.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// Connects of one dispatcher that may be without proof at once.
-const IN_FLIGHT: usize = 8;
-
-/// Connects of one dispatcher in this time at the most, to an engine that turns all away: those in flight together, and one
-/// after each pause, of which none is shorter than half of its bound.
-fn most_connects(time: Duration) -> usize {
-    let (mut connects, mut at, mut bound) = (IN_FLIGHT, Duration::ZERO, CONNECT_TIMEOUT);
+/// Bound on the polls of a condition, after which a test fails.
+const MAX_POLLS: usize = 20_000_000;
+/// Bound on the pause between two connects.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
+/// Bound on one dispatcher's concurrent connects that are not yet proven to work.
+const MAX_UNPROVEN_CONNECTS: usize = 8;
+
+/// Bound on one dispatcher's connects within `period` to an engine that rejects all: the concurrent ones at first, and one
+/// after each pause. A pause is at least half of its upper bound.
+fn max_connects(period: Duration) -> usize {
+    let (mut connects, mut elapsed, mut max_pause) =
+        (MAX_UNPROVEN_CONNECTS, Duration::ZERO, CONNECT_TIMEOUT);
     loop {
-        at += bound / 2;
-        if at > time {
+        elapsed += max_pause / 2;
+        if elapsed > period {
             return connects;
         }
         connects += 1;
-        bound = (2 * bound).min(LONGEST_PAUSE);
+        max_pause = (2 * max_pause).min(MAX_PAUSE);
     }
 }
 
-// ---- A stand-in engine ----
+// ---- A mock engine ----
 
-/// How a stand-in engine serves.
+/// The behavior of a mock engine.
 #[derive(Clone, Copy)]
-struct Service {
-    /// Connections held at once; it closes what comes beyond them at once.
-    connections: usize,
-    /// Its word to every request; none, and it keeps it without an answer.
-    word: Option<&'static str>,
+struct Behavior {
+    /// Bound on open connections; further ones are closed after the accept.
+    max_connections: usize,
+    /// The status word of every answer; `None` to leave all requests unanswered.
+    status_word: Option<&'static str>,
 }
 
-const TURNS_ALL_AWAY: Service = Service {
-    connections: 0,
-    word: None,
+const REJECTS_ALL: Behavior = Behavior {
+    max_connections: 0,
+    status_word: None,
 };
-const WELL: Service = Service {
-    connections: usize::MAX,
-    word: Some("OK"),
+const HEALTHY: Behavior = Behavior {
+    max_connections: usize::MAX,
+    status_word: Some("OK"),
 };
 
-/// What a stand-in engine has seen.
+/// What a mock engine counts.
 #[derive(Default)]
-struct Seen {
+struct EngineCounts {
     accepts: AtomicUsize,
-    held: AtomicUsize,
-    /// How often each request was written, by its name.
+    open_connections: AtomicUsize,
+    /// The number of fetches of each request, by its id.
     fetches: Mutex<BTreeMap<String, usize>>,
 }
 
-struct StandIn {
+struct MockEngine {
     address: SocketAddr,
-    service: watch::Sender<Service>,
-    seen: Arc<Seen>,
+    behavior: watch::Sender<Behavior>,
+    counts: Arc<EngineCounts>,
 }
 
-impl StandIn {
-    async fn start(service: Service) -> StandIn {
+impl MockEngine {
+    async fn start(behavior: Behavior) -> MockEngine {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let address = listener.local_addr().expect("an address");
-        let (service, served) = watch::channel(service);
-        let seen = Arc::new(Seen::default());
-        tokio::spawn(accept(listener, served, seen.clone()));
-        StandIn {
+        let (behavior, behavior_receiver) = watch::channel(behavior);
+        let counts = Arc::new(EngineCounts::default());
+        tokio::spawn(accept(listener, behavior_receiver, counts.clone()));
+        MockEngine {
             address,
-            service,
-            seen,
+            behavior,
+            counts,
         }
     }
 
     fn accepts(&self) -> usize {
-        self.seen.accepts.load(Ordering::Relaxed)
+        self.counts.accepts.load(Ordering::Relaxed)
     }
 
-    fn held(&self) -> usize {
-        self.seen.held.load(Ordering::Relaxed)
+    fn open_connections(&self) -> usize {
+        self.counts.open_connections.load(Ordering::Relaxed)
     }
 
-    /// The most that any request was written.
-    fn most_fetches(&self) -> usize {
-        let fetches = self.seen.fetches.lock().expect("no test has failed");
+    /// The largest number of fetches of one request.
+    fn max_fetches(&self) -> usize {
+        let fetches = self.counts.fetches.lock().expect("no test has failed");
         fetches.values().copied().max().unwrap_or(0)
     }
 }
 
-async fn accept(listener: TcpListener, service: watch::Receiver<Service>, seen: Arc<Seen>) {
+async fn accept(
+    listener: TcpListener,
+    behavior: watch::Receiver<Behavior>,
+    counts: Arc<EngineCounts>,
+) {
     while let Ok((stream, _)) = listener.accept().await {
-        seen.accepts.fetch_add(1, Ordering::Relaxed);
-        if seen.held.load(Ordering::Relaxed) < service.borrow().connections {
-            seen.held.fetch_add(1, Ordering::Relaxed);
-            let (service, seen) = (service.clone(), seen.clone());
+        counts.accepts.fetch_add(1, Ordering::Relaxed);
+        if counts.open_connections.load(Ordering::Relaxed) < behavior.borrow().max_connections {
+            counts.open_connections.fetch_add(1, Ordering::Relaxed);
+            let (behavior, counts) = (behavior.clone(), counts.clone());
             tokio::spawn(async move {
-                serve(stream, service, &seen).await;
-                seen.held.fetch_sub(1, Ordering::Relaxed);
+                serve(stream, behavior, &counts).await;
+                counts.open_connections.fetch_sub(1, Ordering::Relaxed);
             });
         }
     }
 }
 
-/// Answers until the connection is closed.
-async fn serve(stream: TcpStream, service: watch::Receiver<Service>, seen: &Seen) {
+/// Answers commands until the connection is closed.
+async fn serve(stream: TcpStream, behavior: watch::Receiver<Behavior>, counts: &EngineCounts) {
     let (read_half, mut write_half) = stream.into_split();
     let mut commands = BufReader::new(read_half);
-    while let Some(command) = command(&mut commands).await {
-        let name = &command[1];
-        let word = match command[0].as_str() {
+    while let Some(command) = read_command(&mut commands).await {
+        let id = &command[1];
+        let status_word = match command[0].as_str() {
             "fetch" => {
-                let mut fetches = seen.fetches.lock().expect("no test has failed");
-                *fetches.entry(name.clone()).or_default() += 1;
-                service.borrow().word
+                let mut fetches = counts.fetches.lock().expect("no test has failed");
+                *fetches.entry(id.clone()).or_default() += 1;
+                behavior.borrow().status_word
             }
             "stats" => Some("UP"),
             _ => None,
         };
-        let Some(word) = word else { continue };
-        let (name_length, word_length) = (name.len(), word.len());
+        let Some(status_word) = status_word else {
+            continue;
+        };
+        let (id_length, word_length) = (id.len(), status_word.len());
         let answer = format!(
-            "*4\r\n${name_length}\r\n{name}\r\n${word_length}\r\n{word}\r\n$7\r\nparts=1\r\n$6\r\na\tb\tc\n\r\n"
+            "*4\r\n${id_length}\r\n{id}\r\n${word_length}\r\n{status_word}\r\n$7\r\nparts=1\r\n$6\r\na\tb\tc\n\r\n"
         );
         if write_half.write_all(answer.as_bytes()).await.is_err() {
             return;
@@ -143,12 +151,12 @@
     }
 }
 
-/// The next command, an array of bulk strings.
-async fn command(commands: &mut BufReader<OwnedReadHalf>) -> Option<Vec<String>> {
-    let parts = count(commands).await?;
+/// Reads a command, which is an array of bulk strings.
+async fn read_command(commands: &mut BufReader<OwnedReadHalf>) -> Option<Vec<String>> {
+    let part_count = read_length(commands).await?;
     let mut command = Vec::new();
-    for _ in 0..parts {
-        let mut part = vec![0; count(commands).await? + 2];
+    for _ in 0..part_count {
+        let mut part = vec![0; read_length(commands).await? + 2];
         commands.read_exact(&mut part).await.ok()?;
         part.truncate(part.len() - 2);
         command.push(String::from_utf8(part).ok()?);
@@ -156,7 +164,7 @@
     Some(command)
 }
 
-async fn count(commands: &mut BufReader<OwnedReadHalf>) -> Option<usize> {
+async fn read_length(commands: &mut BufReader<OwnedReadHalf>) -> Option<usize> {
     let mut line = String::new();
     commands.read_line(&mut line).await.ok()?;
     line.get(1..)?.trim_end().parse().ok()
@@ -164,7 +172,7 @@
 
 // ---- A dispatcher ----
 
-fn connections() -> Connections {
+fn connection_settings() -> Connections {
     Connections {
         most: 64,
         in_all: 1024,
@@ -175,52 +183,58 @@
     }
 }
 
-/// The actor of one engine, and the reports that come of it.
+/// The actor of one engine, and the reports that were received from it.
 struct Dispatcher {
     mailbox: EngineBox,
-    told: mpsc::Receiver<ToBroker>,
+    reports: mpsc::Receiver<ToBroker>,
     sent: Vec<(RequestId, AttemptNo)>,
     ends: Vec<(RequestId, AttemptNo, End)>,
-    given_up: Vec<(RequestId, AttemptNo)>,
+    cancelled: Vec<(RequestId, AttemptNo)>,
     probes: Vec<Probe>,
 }
 
 impl Dispatcher {
-    fn start(engine: &StandIn) -> Dispatcher {
-        Dispatcher::start_with(engine, connections())
+    fn start(engine: &MockEngine) -> Dispatcher {
+        Dispatcher::start_with(engine, connection_settings())
     }
 
-    fn start_with(engine: &StandIn, connections: Connections) -> Dispatcher {
-        Dispatcher::start_at(engine.address, connections)
+    fn start_with(engine: &MockEngine, settings: Connections) -> Dispatcher {
+        Dispatcher::start_at(engine.address, settings)
     }
 
-    fn start_at(engine: SocketAddr, connections: Connections) -> Dispatcher {
+    fn start_at(engine_address: SocketAddr, settings: Connections) -> Dispatcher {
         let transport = NetworkTransport {
-            connections: watch::channel(connections).1,
+            connections: watch::channel(settings).1,
             metrics: Figures::default(),
             slots: ConnectionSlots::default(),
         };
         let (mailbox, incoming) = mpsc::channel(1024);
-        let (broker, told) = mpsc::channel(1024);
-        let reports = Reports::new(EngineId(1), broker);
-        let own = mailbox.downgrade();
-        tokio::spawn(run(engine.to_string(), transport, own, incoming, reports));
+        let (broker, reports) = mpsc::channel(1024);
+        let reporter = Reports::new(EngineId(1), broker);
+        let weak_mailbox = mailbox.downgrade();
+        tokio::spawn(run(
+            engine_address.to_string(),
+            transport,
+            weak_mailbox,
+            incoming,
+            reporter,
+        ));
         Dispatcher {
             mailbox,
-            told,
+            reports,
             sent: Vec::new(),
             ends: Vec::new(),
-            given_up: Vec::new(),
+            cancelled: Vec::new(),
             probes: Vec::new(),
         }
     }
 
     /// Sends the first attempt of a new request.
     fn send(&mut self) {
-        self.send_again(RequestId(self.sent.len() as u64), AttemptNo(0));
+        self.send_attempt(RequestId(self.sent.len() as u64), AttemptNo(0));
     }
 
-    fn send_again(&mut self, request: RequestId, number: AttemptNo) {
+    fn send_attempt(&mut self, request: RequestId, number: AttemptNo) {
         self.send_statement(request, number, Bytes::from_static(b"SELECT 1"));
     }
 
@@ -240,28 +254,28 @@
             starts_by: Instant::now() + timeout,
         };
         self.sent.push((request, number));
-        let told = self.mailbox.try_send(ToEngine::Send(attempt));
-        told.expect("room in the mailbox");
+        let queued = self.mailbox.try_send(ToEngine::Send(attempt));
+        queued.expect("room in the mailbox");
     }
 
     fn abort(&mut self, request: RequestId, number: AttemptNo) {
-        let told = self.mailbox.try_send(ToEngine::Abort(request, number));
-        told.expect("room in the mailbox");
+        let queued = self.mailbox.try_send(ToEngine::Abort(request, number));
+        queued.expect("room in the mailbox");
     }
 
     fn probe(&mut self) {
-        let told = self.mailbox.try_send(ToEngine::Probe);
-        told.expect("room in the mailbox");
+        let queued = self.mailbox.try_send(ToEngine::Probe);
+        queued.expect("room in the mailbox");
     }
 
-    fn hear(&mut self) {
-        while let Ok(told) = self.told.try_recv() {
-            match told {
+    fn receive_reports(&mut self) {
+        while let Ok(message) = self.reports.try_recv() {
+            match message {
                 ToBroker::Engine(_, Report::Ended(request, number, end)) => {
                     self.ends.push((request, number, end));
                 }
                 ToBroker::Engine(_, Report::GivenUp(request, number)) => {
-                    self.given_up.push((request, number));
+                    self.cancelled.push((request, number));
                 }
                 ToBroker::Engine(_, Report::Probed(probe)) => self.probes.push(probe),
                 _ => {}
@@ -269,18 +283,18 @@
         }
     }
 
-    /// Waits until all that was sent has ended; the clock stands still.
-    async fn settle(&mut self) {
+    /// Waits until all attempts have ended, without advancing the paused clock.
+    async fn wait_for_ends(&mut self) {
         let sent = self.sent.len();
         self.wait_for(|dispatcher| dispatcher.ends.len() >= sent)
             .await;
     }
 
-    /// A test that never rests keeps the paused clock from going on by itself.
-    async fn wait_for(&mut self, done: impl Fn(&Dispatcher) -> bool) {
-        for _ in 0..LOOKS {
-            self.hear();
-            if done(self) {
+    /// Polls until `is_done` returns true. Yielding instead of sleeping keeps the paused clock from advancing by itself.
+    async fn wait_for(&mut self, is_done: impl Fn(&Dispatcher) -> bool) {
+        for _ in 0..MAX_POLLS {
+            self.receive_reports();
+            if is_done(self) {
                 return;
             }
             yield_now().await;
@@ -288,12 +302,12 @@
         panic!("{} sent, {} ended", self.sent.len(), self.ends.len());
     }
 
-    /// Sends one attempt after the other, each after a step of time, and waits for each.
-    async fn send_for(&mut self, time: Duration) {
-        let until = Instant::now() + time;
+    /// Sends an attempt in each step of `period` and waits for its end.
+    async fn send_for(&mut self, period: Duration) {
+        let until = Instant::now() + period;
         while Instant::now() < until {
             self.send();
-            self.settle().await;
+            self.wait_for_ends().await;
             advance(STEP).await;
         }
     }
@@ -302,19 +316,19 @@
         &self.ends.last().expect("an attempt has ended").2
     }
 
-    fn served(&self) -> usize {
+    fn served_count(&self) -> usize {
         let ends = self.ends.iter();
         ends.filter(|(_, _, end)| matches!(end, End::Ok { .. }))
             .count()
     }
 
-    /// All that was sent has ended, and nothing twice.
+    /// Asserts that each attempt has ended, and none twice.
     async fn assert_each_ended_once(&mut self) {
-        self.settle().await;
+        self.wait_for_ends().await;
         for _ in 0..1000 {
             yield_now().await;
         }
-        self.hear();
+        self.receive_reports();
         let mut ended: Vec<_> = self.ends.iter().map(|end| (end.0, end.1)).collect();
         ended.sort();
         self.sent.sort();
@@ -322,14 +336,14 @@
     }
 }
 
-// ---- What is logged ----
+// ---- The log ----
 
-/// Keeps all lines, of all tests together.
-struct Lines(Mutex<Vec<String>>);
+/// Captures the log lines of all tests in the process.
+struct LogCapture(Mutex<Vec<String>>);
 
-static LINES: Lines = Lines(Mutex::new(Vec::new()));
+static LOG_CAPTURE: LogCapture = LogCapture(Mutex::new(Vec::new()));
 
-impl log::Log for Lines {
+impl log::Log for LogCapture {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
@@ -342,69 +356,73 @@
     fn flush(&self) {}
 }
 
-fn keep_lines() {
+fn capture_log() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
-        log::set_logger(&LINES).expect("no other logger");
+        log::set_logger(&LOG_CAPTURE).expect("no other logger");
         log::set_max_level(log::LevelFilter::Info);
     });
 }
 
-fn lines_about(engine: &StandIn) -> Vec<String> {
+fn log_lines_about(engine: &MockEngine) -> Vec<String> {
     let address = engine.address.to_string();
-    let lines = LINES.0.lock().unwrap_or_else(PoisonError::into_inner);
-    // Another's port may begin with the same digits.
-    let about = |line: &str| {
+    let lines = LOG_CAPTURE.0.lock().unwrap_or_else(PoisonError::into_inner);
+    // The port of another engine may start with the same digits.
+    let is_about_engine = |line: &str| {
         line.split_once(&address)
             .is_some_and(|(_, rest)| !rest.starts_with(|next: char| next.is_ascii_digit()))
     };
-    let about = lines.iter().filter(|line| about(line));
-    about.cloned().collect()
+    let matching = lines.iter().filter(|line| is_about_engine(line));
+    matching.cloned().collect()
 }
 
 // ---- Tests ----
 
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_closes_at_once_is_not_called_again_for_each_attempt() {
-    let engine = StandIn::start(TURNS_ALL_AWAY).await;
+async fn an_engine_that_closes_each_connection_at_once_does_not_get_a_connect_per_attempt() {
+    let engine = MockEngine::start(REJECTS_ALL).await;
     let mut dispatcher = Dispatcher::start(&engine);
     for _ in 0..200 {
         dispatcher.send();
-        dispatcher.settle().await;
+        dispatcher.wait_for_ends().await;
     }
-    assert_eq!(engine.accepts(), 1, "at one moment");
+    assert_eq!(engine.accepts(), 1, "before the clock advances");
     assert!(matches!(dispatcher.last_end(), End::ConnectFailed));
-    let time = Duration::from_secs(24);
-    dispatcher.send_for(time).await;
-    let (accepts, most) = (engine.accepts(), most_connects(time));
-    assert!(accepts <= most, "{accepts} connects, {most} stated");
-    assert!(accepts >= 6, "it is tried again: {accepts}");
+    let period = Duration::from_secs(24);
+    dispatcher.send_for(period).await;
+    let (accepts, limit) = (engine.accepts(), max_connects(period));
+    assert!(accepts <= limit, "{accepts} connects, limit {limit}");
+    assert!(accepts >= 6, "connects are retried: {accepts}");
     dispatcher.assert_each_ended_once().await;
-    assert_eq!(dispatcher.served(), 0);
+    assert_eq!(dispatcher.served_count(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_burst_at_an_engine_that_closes_at_once_opens_few_connections() {
-    let engine = StandIn::start(TURNS_ALL_AWAY).await;
+async fn a_burst_to_an_engine_that_closes_each_connection_at_once_opens_few_connections() {
+    let engine = MockEngine::start(REJECTS_ALL).await;
     let mut dispatcher = Dispatcher::start(&engine);
     for _ in 0..5 {
         for _ in 0..40 {
             dispatcher.send();
         }
-        dispatcher.settle().await;
+        dispatcher.wait_for_ends().await;
     }
-    assert!(engine.accepts() <= IN_FLIGHT, "{}", engine.accepts());
+    assert!(
+        engine.accepts() <= MAX_UNPROVEN_CONNECTS,
+        "{}",
+        engine.accepts()
+    );
     dispatcher.assert_each_ended_once().await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn several_dispatchers_together_call_no_more_than_each_may() {
+async fn the_connects_of_several_dispatchers_stay_within_the_sum_of_their_limits() {
     const DISPATCHERS: usize = 32;
-    let engine = StandIn::start(TURNS_ALL_AWAY).await;
+    let engine = MockEngine::start(REJECTS_ALL).await;
     let dispatchers = (0..DISPATCHERS).map(|_| Dispatcher::start(&engine));
     let mut dispatchers: Vec<Dispatcher> = dispatchers.collect();
-    let time = Duration::from_secs(8);
-    let until = Instant::now() + time;
+    let period = Duration::from_secs(8);
+    let until = Instant::now() + period;
     while Instant::now() < until {
         for dispatcher in &mut dispatchers {
             for _ in 0..3 {
@@ -412,83 +430,95 @@
             }
         }
         for dispatcher in &mut dispatchers {
-            dispatcher.settle().await;
+            dispatcher.wait_for_ends().await;
         }
         advance(5 * STEP).await;
     }
-    let (accepts, most) = (engine.accepts(), DISPATCHERS * most_connects(time));
-    assert!(accepts <= most, "{accepts} connects, {most} stated");
+    let (accepts, limit) = (engine.accepts(), DISPATCHERS * max_connects(period));
+    assert!(accepts <= limit, "{accepts} connects, limit {limit}");
     for dispatcher in &mut dispatchers {
         dispatcher.assert_each_ended_once().await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_is_well_again_is_used_again_and_the_log_tells_of_the_run_in_two_lines() {
-    keep_lines();
-    let engine = StandIn::start(TURNS_ALL_AWAY).await;
+async fn a_recovered_engine_is_used_again_and_its_failed_connects_are_logged_in_two_lines() {
+    capture_log();
+    let engine = MockEngine::start(REJECTS_ALL).await;
     let mut dispatcher = Dispatcher::start(&engine);
     dispatcher.send_for(Duration::from_secs(10)).await;
     let failed = engine.accepts();
-    assert_eq!(lines_about(&engine).len(), 1, "{:?}", lines_about(&engine));
-    engine.service.send_replace(WELL);
-    dispatcher.send_for(LONGEST_PAUSE).await;
+    assert_eq!(
+        log_lines_about(&engine).len(),
+        1,
+        "{:?}",
+        log_lines_about(&engine)
+    );
+    engine.behavior.send_replace(HEALTHY);
+    dispatcher.send_for(MAX_PAUSE).await;
     assert!(matches!(dispatcher.last_end(), End::Ok { .. }));
-    let lines = lines_about(&engine);
+    let lines = log_lines_about(&engine);
     assert_eq!(lines.len(), 2, "{lines:?}");
     assert!(
-        lines[1].contains(&format!("after {failed} that failed")),
+        lines[1].contains(&format!("after {failed} failed connects")),
         "{lines:?}"
     );
-    // Attempts are spread over connections again.
-    engine.service.send_replace(Service { word: None, ..WELL });
-    let held = engine.held();
+    // Attempts are spread over several connections again.
+    engine.behavior.send_replace(Behavior {
+        status_word: None,
+        ..HEALTHY
+    });
+    let open_connections = engine.open_connections();
     for _ in 0..6 {
         dispatcher.send();
     }
     let sent = dispatcher.sent.len();
-    dispatcher.wait_for(|_| engine.held() >= held + 5).await;
+    dispatcher
+        .wait_for(|_| engine.open_connections() >= open_connections + 5)
+        .await;
     assert_eq!(dispatcher.ends.len(), sent - 6);
 }
 
 #[tokio::test(start_paused = true)]
-async fn attempts_share_the_connections_of_an_engine_at_its_limit_of_them() {
-    let two = Service {
-        connections: 2,
-        word: Some("OK"),
+async fn attempts_share_the_connections_of_an_engine_that_limits_connections() {
+    let two_connections = Behavior {
+        max_connections: 2,
+        status_word: Some("OK"),
     };
-    let engine = StandIn::start(two).await;
+    let engine = MockEngine::start(two_connections).await;
     let mut dispatcher = Dispatcher::start(&engine);
     dispatcher.send();
-    dispatcher.settle().await;
-    let time = Duration::from_secs(8);
-    let until = Instant::now() + time;
+    dispatcher.wait_for_ends().await;
+    let period = Duration::from_secs(8);
+    let until = Instant::now() + period;
     let mut bursts = 0;
     while Instant::now() < until {
         for _ in 0..20 {
             dispatcher.send();
         }
-        dispatcher.settle().await;
+        dispatcher.wait_for_ends().await;
         advance(5 * STEP).await;
         bursts += 1;
     }
-    // Each call that was turned away took what was on it; answers on the two that are up bring no more calls.
-    let (accepts, most) = (engine.accepts(), 2 + most_connects(time));
-    assert!(accepts <= most, "{accepts} connects, {most} stated");
-    let lost = dispatcher.sent.len() - dispatcher.served();
+    // Each rejected connect loses the attempts on it; answers on the two open connections cause no further connects.
+    let (accepts, limit) = (engine.accepts(), 2 + max_connects(period));
+    assert!(accepts <= limit, "{accepts} connects, limit {limit}");
+    let lost = dispatcher.sent.len() - dispatcher.served_count();
     assert!(lost <= 20 + accepts, "{lost} lost in {bursts} bursts");
-    assert!(engine.most_fetches() == 1);
+    assert!(engine.max_fetches() == 1);
     dispatcher.assert_each_ended_once().await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_to_an_engine_that_turned_others_away_carries_one_attempt_until_it_has_proved_good()
- {
-    let engine = StandIn::start(TURNS_ALL_AWAY).await;
+async fn after_a_rejection_a_new_connection_carries_one_attempt_until_it_is_proven() {
+    let engine = MockEngine::start(REJECTS_ALL).await;
     let mut dispatcher = Dispatcher::start(&engine);
     dispatcher.send();
-    dispatcher.settle().await;
-    engine.service.send_replace(Service { word: None, ..WELL });
+    dispatcher.wait_for_ends().await;
+    engine.behavior.send_replace(Behavior {
+        status_word: None,
+        ..HEALTHY
+    });
     advance(CONNECT_TIMEOUT).await;
     for _ in 0..5 {
         dispatcher.send();
@@ -496,102 +526,127 @@
     dispatcher
         .wait_for(|dispatcher| dispatcher.ends.len() >= 5)
         .await;
-    let fetched = || engine.seen.fetches.lock().is_ok_and(|f| f.len() == 1);
-    dispatcher.wait_for(|_| fetched()).await;
-    assert_eq!((engine.held(), dispatcher.ends.len()), (1, 5));
+    let one_fetched = || {
+        engine
+            .counts
+            .fetches
+            .lock()
+            .is_ok_and(|fetches| fetches.len() == 1)
+    };
+    dispatcher.wait_for(|_| one_fetched()).await;
+    assert_eq!((engine.open_connections(), dispatcher.ends.len()), (1, 5));
     assert!(matches!(dispatcher.last_end(), End::ConnectFailed));
-    // It was not closed within the time in which engines turn connections away.
+    // The connection is proven, because the engine has not closed it within the time for a rejection.
     advance(CONNECT_TIMEOUT).await;
     for _ in 0..5 {
         dispatcher.send();
     }
-    let fetched = |count| engine.seen.fetches.lock().is_ok_and(|f| f.len() == count);
-    dispatcher.wait_for(|_| fetched(6)).await;
-    assert_eq!((engine.held(), dispatcher.ends.len()), (2, 5));
+    let are_fetched = |count| {
+        engine
+            .counts
+            .fetches
+            .lock()
+            .is_ok_and(|fetches| fetches.len() == count)
+    };
+    dispatcher.wait_for(|_| are_fetched(6)).await;
+    assert_eq!((engine.open_connections(), dispatcher.ends.len()), (2, 5));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_for_which_no_connection_is_left_is_no_fault_of_an_engine_that_serves() {
-    let one = Service {
-        connections: 1,
-        word: Some("BUSY"),
+async fn having_no_usable_connection_is_not_a_failure_of_an_engine_that_serves() {
+    let one_connection = Behavior {
+        max_connections: 1,
+        status_word: Some("BUSY"),
     };
-    let engine = StandIn::start(one).await;
+    let engine = MockEngine::start(one_connection).await;
     let mut dispatcher = Dispatcher::start(&engine);
     let mut ends = Vec::new();
     for number in 0..3 {
-        dispatcher.send_again(RequestId(7), AttemptNo(number));
-        dispatcher.settle().await;
+        dispatcher.send_attempt(RequestId(7), AttemptNo(number));
+        dispatcher.wait_for_ends().await;
         ends.push(dispatcher.last_end().clone());
     }
     assert_eq!(ends[0], End::Busy);
     assert!(
         matches!(ends[1], End::ConnectFailed | End::Reset),
-        "turned away: {ends:?}"
+        "the connect was rejected: {ends:?}"
     );
-    assert_eq!(ends[2], End::Void, "not on the connection that carried it");
-    assert_eq!((engine.accepts(), engine.most_fetches()), (2, 1));
+    assert_eq!(
+        ends[2],
+        End::Void,
+        "not sent again on the connection that carried it"
+    );
+    assert_eq!((engine.accepts(), engine.max_fetches()), (2, 1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn probes_are_held_back_alike() {
-    let engine = StandIn::start(TURNS_ALL_AWAY).await;
+async fn connects_for_probes_are_held_back_too() {
+    let engine = MockEngine::start(REJECTS_ALL).await;
     let mut dispatcher = Dispatcher::start(&engine);
     dispatcher.send();
-    dispatcher.settle().await;
-    for asked in 1..=100 {
+    dispatcher.wait_for_ends().await;
+    for probe_count in 1..=100 {
         dispatcher.probe();
         dispatcher
-            .wait_for(|dispatcher| dispatcher.probes.len() == asked)
+            .wait_for(|dispatcher| dispatcher.probes.len() == probe_count)
             .await;
     }
-    let refused = |probe: &Probe| matches!(probe, Probe::ConnectFailed);
-    assert!(dispatcher.probes.iter().all(refused));
+    let is_connect_failed = |probe: &Probe| matches!(probe, Probe::ConnectFailed);
+    assert!(dispatcher.probes.iter().all(is_connect_failed));
     assert_eq!(engine.accepts(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cold_burst_is_spread_over_few_connections_and_later_attempts_over_more() {
-    let silent = Service { word: None, ..WELL };
-    let engine = StandIn::start(silent).await;
+async fn a_first_burst_is_spread_over_few_connections_and_later_attempts_over_more() {
+    let never_answers = Behavior {
+        status_word: None,
+        ..HEALTHY
+    };
+    let engine = MockEngine::start(never_answers).await;
     let mut dispatcher = Dispatcher::start(&engine);
     for _ in 0..40 {
         dispatcher.send();
     }
-    let written = |_: &Dispatcher| engine.seen.fetches.lock().is_ok_and(|f| f.len() >= 40);
-    dispatcher.wait_for(written).await;
-    assert_eq!(engine.accepts(), IN_FLIGHT);
-    // They are up for so long by then that they were not turned away.
+    let all_fetched = |_: &Dispatcher| {
+        engine
+            .counts
+            .fetches
+            .lock()
+            .is_ok_and(|fetches| fetches.len() >= 40)
+    };
+    dispatcher.wait_for(all_fetched).await;
+    assert_eq!(engine.accepts(), MAX_UNPROVEN_CONNECTS);
+    // The connections are proven once they have stayed open for the connect timeout.
     advance(CONNECT_TIMEOUT).await;
     for _ in 0..4 {
         dispatcher.send();
     }
     dispatcher
-        .wait_for(|_| engine.held() == IN_FLIGHT + 4)
+        .wait_for(|_| engine.open_connections() == MAX_UNPROVEN_CONNECTS + 4)
         .await;
-    assert_eq!(engine.most_fetches(), 1);
+    assert_eq!(engine.max_fetches(), 1);
     assert!(dispatcher.ends.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn attempts_that_can_not_share_open_connections_of_their_own() {
-    let engine = StandIn::start(WELL).await;
-    let alone = Connections {
+async fn attempts_that_cannot_share_a_connection_open_one_each() {
+    let engine = MockEngine::start(HEALTHY).await;
+    let one_per_connection = Connections {
         max_streams: 1,
-        ..connections()
+        ..connection_settings()
     };
-    let mut dispatcher = Dispatcher::start_with(&engine, alone);
+    let mut dispatcher = Dispatcher::start_with(&engine, one_per_connection);
     for _ in 0..40 {
         dispatcher.send();
     }
-    dispatcher.settle().await;
-    assert_eq!(dispatcher.served(), 40);
+    dispatcher.wait_for_ends().await;
+    assert_eq!(dispatcher.served_count(), 40);
     dispatcher.assert_each_ended_once().await;
 }
 
 #[tokio::test]
-async fn an_engine_with_nothing_out_and_no_connection_has_nobody_wake() {
-    let connections = Connections {
+async fn an_actor_with_nothing_in_flight_and_no_connection_has_no_timer() {
+    let settings = Connections {
         most: 2,
         in_all: 64,
         max_streams: 2,
@@ -600,46 +655,46 @@
         max_open: 10,
     };
     let transport = NetworkTransport {
-        connections: watch::channel(connections).1,
+        connections: watch::channel(settings).1,
         metrics: Figures::default(),
         slots: ConnectionSlots::default(),
     };
-    let (broker, _told) = mpsc::channel(4);
-    let (came, _coming) = mpsc::channel(4);
-    let reports = Reports::new(EngineId(1), broker);
-    let mut actor = Actor::new("127.0.0.1:1".to_string(), transport, reports, came);
-    assert_eq!(actor.looks_at(), None);
+    let (broker, _reports) = mpsc::channel(4);
+    let (events, _incoming_events) = mpsc::channel(4);
+    let reporter = Reports::new(EngineId(1), broker);
+    let mut actor = Actor::new("127.0.0.1:1".to_string(), transport, reporter, events);
+    assert_eq!(actor.next_check_at(), None);
     actor.probe().await;
-    let probed = actor.looks_at().expect("a probe may be overdue");
-    assert!(probed <= Instant::now() + Duration::from_millis(300));
-    actor.probes.clear();
-    assert_eq!(actor.looks_at(), None, "its connection is being made");
+    let probe_check_at = actor.next_check_at().expect("a probe may become overdue");
+    assert!(probe_check_at <= Instant::now() + Duration::from_millis(300));
+    actor.unanswered_probes.clear();
+    assert_eq!(actor.next_check_at(), None, "its connection is being made");
     for connection in actor.connections.values_mut() {
-        connection.up = true;
+        connection.is_up = true;
     }
-    let idle = actor.looks_at().expect("it is kept for a while");
-    assert!(idle > Instant::now() + Duration::from_secs(20));
+    let idle_check_at = actor.next_check_at().expect("an idle connection is open");
+    assert!(idle_check_at > Instant::now() + Duration::from_secs(20));
     actor.connections.clear();
-    assert_eq!(actor.looks_at(), None);
+    assert_eq!(actor.next_check_at(), None);
 }
 
-// ---- Attempts that are given up ----
+// ---- Cancelled attempts ----
 
 const REQUEST: RequestId = RequestId(7);
-const FIRST: AttemptNo = AttemptNo(0);
-/// More than the sockets of a connection hold.
-const LONG_STATEMENT: usize = 32 << 20;
+const FIRST_ATTEMPT: AttemptNo = AttemptNo(0);
+/// More than the socket buffers of a connection hold.
+const LONG_STATEMENT_BYTES: usize = 32 << 20;
 
-/// A stand-in engine that reads and writes only where its test says so.
-struct HandHeld {
+/// A mock engine that reads and writes only when its test does so.
+struct ManualEngine {
     listener: std::net::TcpListener,
 }
 
-impl HandHeld {
-    fn start() -> HandHeld {
+impl ManualEngine {
+    fn start() -> ManualEngine {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a socket");
         listener.set_nonblocking(true).expect("a setting");
-        HandHeld { listener }
+        ManualEngine { listener }
     }
 
     fn address(&self) -> SocketAddr {
@@ -647,7 +702,7 @@
     }
 
     async fn accept(&self) -> std::net::TcpStream {
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_POLLS {
             if let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(true).expect("a setting");
                 return stream;
@@ -658,115 +713,127 @@
     }
 }
 
-/// All that has come: whether the connection is closed, and the last bytes before.
-fn read_all(stream: &mut std::net::TcpStream, last: &mut Vec<u8>) -> bool {
-    let mut part = vec![0; 1 << 20];
+/// Reads all available bytes, of which it appends the end to `last_bytes`; returns whether the connection is closed.
+fn read_all(stream: &mut std::net::TcpStream, last_bytes: &mut Vec<u8>) -> bool {
+    let mut buffer = vec![0; 1 << 20];
     loop {
-        match io::Read::read(stream, &mut part) {
+        match io::Read::read(stream, &mut buffer) {
             Ok(0) => return true,
             Ok(count) => {
-                last.extend_from_slice(&part[..count]);
-                last.drain(..last.len().saturating_sub(1 << 10));
+                last_bytes.extend_from_slice(&buffer[..count]);
+                last_bytes.drain(..last_bytes.len().saturating_sub(1 << 10));
             }
             Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
         }
     }
 }
 
-fn ends_with_abort(last: &[u8]) -> bool {
-    last.ends_with(b"abort\r\n$16\r\n0000000000000007\r\n")
+fn ends_with_abort(last_bytes: &[u8]) -> bool {
+    last_bytes.ends_with(b"abort\r\n$16\r\n0000000000000007\r\n")
 }
 
-/// Lets everything go on that can, while the clock stands still.
-async fn rest() {
+/// Lets all tasks run until they wait, without advancing the paused clock.
+async fn run_pending_tasks() {
     for _ in 0..10_000 {
         yield_now().await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_attempt_is_given_up_once_its_abort_is_written() {
-    let engine = HandHeld::start();
-    let mut dispatcher = Dispatcher::start_at(engine.address(), connections());
-    let statement = Bytes::from(vec![b'x'; LONG_STATEMENT]);
-    dispatcher.send_statement(REQUEST, FIRST, statement);
+async fn an_attempt_is_reported_as_cancelled_once_its_abort_is_written() {
+    let engine = ManualEngine::start();
+    let mut dispatcher = Dispatcher::start_at(engine.address(), connection_settings());
+    let statement = Bytes::from(vec![b'x'; LONG_STATEMENT_BYTES]);
+    dispatcher.send_statement(REQUEST, FIRST_ATTEMPT, statement);
     let mut stream = engine.accept().await;
-    rest().await;
-    dispatcher.abort(REQUEST, FIRST);
-    rest().await;
-    dispatcher.hear();
-    assert_eq!(dispatcher.given_up, [], "its abort waits");
-    let mut last = Vec::new();
-    for _ in 0..LOOKS {
-        dispatcher.hear();
-        if !dispatcher.given_up.is_empty() {
+    run_pending_tasks().await;
+    dispatcher.abort(REQUEST, FIRST_ATTEMPT);
+    run_pending_tasks().await;
+    dispatcher.receive_reports();
+    assert_eq!(dispatcher.cancelled, [], "its abort is not written yet");
+    let mut last_bytes = Vec::new();
+    for _ in 0..MAX_POLLS {
+        dispatcher.receive_reports();
+        if !dispatcher.cancelled.is_empty() {
             break;
         }
-        assert!(!read_all(&mut stream, &mut last), "it stays open");
+        assert!(
+            !read_all(&mut stream, &mut last_bytes),
+            "the connection stays open"
+        );
         yield_now().await;
     }
-    assert_eq!(dispatcher.given_up, [(REQUEST, FIRST)]);
-    read_all(&mut stream, &mut last);
-    assert!(ends_with_abort(&last), "it was written by then");
+    assert_eq!(dispatcher.cancelled, [(REQUEST, FIRST_ATTEMPT)]);
+    read_all(&mut stream, &mut last_bytes);
+    assert!(
+        ends_with_abort(&last_bytes),
+        "the abort was written before the report"
+    );
     assert!(dispatcher.ends.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_does_not_take_an_abort_is_closed() {
-    let engine = HandHeld::start();
-    let mut dispatcher = Dispatcher::start_at(engine.address(), connections());
-    let statement = Bytes::from(vec![b'x'; LONG_STATEMENT]);
-    dispatcher.send_statement(REQUEST, FIRST, statement);
+async fn a_connection_on_which_an_abort_cannot_be_written_is_closed() {
+    let engine = ManualEngine::start();
+    let mut dispatcher = Dispatcher::start_at(engine.address(), connection_settings());
+    let statement = Bytes::from(vec![b'x'; LONG_STATEMENT_BYTES]);
+    dispatcher.send_statement(REQUEST, FIRST_ATTEMPT, statement);
     let mut stream = engine.accept().await;
-    rest().await;
-    dispatcher.abort(REQUEST, FIRST);
-    rest().await;
-    advance(ABORT_LIMIT + 2 * LOOK_AFTER).await;
+    run_pending_tasks().await;
+    dispatcher.abort(REQUEST, FIRST_ATTEMPT);
+    run_pending_tasks().await;
+    advance(ABORT_WRITE_TIMEOUT + 2 * CHECK_DELAY).await;
     dispatcher
-        .wait_for(|dispatcher| !dispatcher.given_up.is_empty())
+        .wait_for(|dispatcher| !dispatcher.cancelled.is_empty())
         .await;
-    let mut last = Vec::new();
-    assert!(read_all(&mut stream, &mut last), "it is closed by then");
-    assert!(!ends_with_abort(&last));
-    rest().await;
-    dispatcher.hear();
-    assert_eq!(dispatcher.given_up, [(REQUEST, FIRST)]);
+    let mut last_bytes = Vec::new();
+    assert!(
+        read_all(&mut stream, &mut last_bytes),
+        "the connection was closed before the report"
+    );
+    assert!(!ends_with_abort(&last_bytes));
+    run_pending_tasks().await;
+    dispatcher.receive_reports();
+    assert_eq!(dispatcher.cancelled, [(REQUEST, FIRST_ATTEMPT)]);
     assert!(dispatcher.ends.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_not_written_or_has_ended_is_given_up_at_once() {
-    let engine = HandHeld::start();
-    let mut dispatcher = Dispatcher::start_at(engine.address(), connections());
-    // Its connection is not up when the abort comes.
-    dispatcher.send_again(REQUEST, FIRST);
-    dispatcher.abort(REQUEST, FIRST);
-    rest().await;
-    dispatcher.hear();
-    assert_eq!(dispatcher.given_up, [(REQUEST, FIRST)]);
-    dispatcher.abort(REQUEST, FIRST);
-    rest().await;
-    dispatcher.hear();
-    assert_eq!(dispatcher.given_up, [(REQUEST, FIRST); 2]);
-    let mut last = Vec::new();
-    read_all(&mut engine.accept().await, &mut last);
-    assert!(last.is_empty());
+async fn an_unwritten_or_ended_attempt_is_reported_as_cancelled_at_once() {
+    let engine = ManualEngine::start();
+    let mut dispatcher = Dispatcher::start_at(engine.address(), connection_settings());
+    // The connection is not up yet when the abort is received.
+    dispatcher.send_attempt(REQUEST, FIRST_ATTEMPT);
+    dispatcher.abort(REQUEST, FIRST_ATTEMPT);
+    run_pending_tasks().await;
+    dispatcher.receive_reports();
+    assert_eq!(dispatcher.cancelled, [(REQUEST, FIRST_ATTEMPT)]);
+    dispatcher.abort(REQUEST, FIRST_ATTEMPT);
+    run_pending_tasks().await;
+    dispatcher.receive_reports();
+    assert_eq!(dispatcher.cancelled, [(REQUEST, FIRST_ATTEMPT); 2]);
+    let mut last_bytes = Vec::new();
+    read_all(&mut engine.accept().await, &mut last_bytes);
+    assert!(last_bytes.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_out_on_an_abandoned_connection_ends_once_that_is_closed() {
-    let engine = HandHeld::start();
-    let mut dispatcher = Dispatcher::start_at(engine.address(), connections());
-    dispatcher.send_again(REQUEST, FIRST);
+async fn an_attempt_on_an_abandoned_connection_ends_once_the_connection_is_closed() {
+    let engine = ManualEngine::start();
+    let mut dispatcher = Dispatcher::start_at(engine.address(), connection_settings());
+    dispatcher.send_attempt(REQUEST, FIRST_ATTEMPT);
     let mut stream = engine.accept().await;
-    let mut last = Vec::new();
-    while last.is_empty() {
-        assert!(!read_all(&mut stream, &mut last));
+    let mut last_bytes = Vec::new();
+    while last_bytes.is_empty() {
+        assert!(!read_all(&mut stream, &mut last_bytes));
         yield_now().await;
     }
-    let spoilt = b"*3\r\n$16\r\n0000000000000007\r\n$4\r\nWHAT\r\n$1\r\n-\r\n";
-    io::Write::write_all(&mut stream, spoilt).expect("room");
-    dispatcher.settle().await;
-    assert!(read_all(&mut stream, &mut last), "it is closed by then");
-    assert_eq!(dispatcher.ends, [(REQUEST, FIRST, End::Reset)]);
+    let malformed = b"*3\r\n$16\r\n0000000000000007\r\n$4\r\nWHAT\r\n$1\r\n-\r\n";
+    io::Write::write_all(&mut stream, malformed).expect("room");
+    dispatcher.wait_for_ends().await;
+    assert!(
+        read_all(&mut stream, &mut last_bytes),
+        "the connection was closed before the report"
+    );
+    assert_eq!(dispatcher.ends, [(REQUEST, FIRST_ATTEMPT, End::Reset)]);
 }
--- a/engines/src/resp/write_queue.rs
+++ b/engines/src/resp/write_queue.rs
@@ -1,8 +1,7 @@
-//! Commands on their way to an engine. Each waits here until the socket takes its first byte, and is looked at once more
-//! at that moment.
+//! Commands queued for the socket of an engine. An attempt may be withdrawn until the socket accepts its first byte.
 //!
-//! Guards against an engine that reads nothing for a while: what waited would be written long after its client had left,
-//! its attempt had been given up, or the engine had been told of as draining.
+//! Otherwise an engine that stops reading for a while would later be sent attempts whose client has disconnected, that
+//! were cancelled, or that should not start because the engine is listed as draining by then.
 
 use super::codec::{Command, RespCodec, put_fetch};
 use bytes::{Buf, Bytes, BytesMut};
@@ -12,28 +11,28 @@
 use std::io::{self, IoSlice};
 use tokio_util::codec::Encoder;
 
-/// Commands given to the socket at once.
-const MOST_AT_ONCE: usize = 16;
+/// Bound on the commands that are passed to the socket in one write.
+const MAX_FRAMES_PER_WRITE: usize = 16;
 
-/// An attempt by its names.
+/// Identifies an attempt.
 pub type AttemptKey = (RequestId, AttemptNo);
 
 struct Frame {
-    /// What is left to be written; of an attempt that has not begun, as it was last offered to the socket, if it was.
+    /// The unwritten bytes. For an unstarted attempt, its encoding when it was last offered to the socket; empty before.
     bytes: Bytes,
-    /// The attempt that it begins, while none of it is written.
-    begins: Option<Attempt>,
-    /// The request that it gives up.
-    aborts: Option<RequestId>,
+    /// The attempt that this frame starts; `None` once its first byte is written.
+    unstarted_attempt: Option<Attempt>,
+    /// The request that this frame aborts.
+    aborted_request: Option<RequestId>,
 }
 
-/// What a write has brought to the engine.
+/// What a write to the socket completed.
 #[derive(Default)]
 pub struct Written {
-    /// How many attempts began.
-    pub begun: usize,
-    /// The requests whose aborts are written whole.
-    pub aborted: Vec<RequestId>,
+    /// Attempts whose first byte was written.
+    pub started_attempts: usize,
+    /// Requests whose abort was written completely.
+    pub aborted_requests: Vec<RequestId>,
 }
 
 #[derive(Default)]
@@ -49,15 +48,15 @@
     pub fn push(&mut self, command: Command) -> io::Result<()> {
         let mut frame = Frame {
             bytes: Bytes::new(),
-            begins: None,
-            aborts: None,
+            unstarted_attempt: None,
+            aborted_request: None,
         };
         match command {
-            // Encoded once it is offered to the socket: the time that is left is told then.
-            Command::Fetch(attempt) => frame.begins = Some(attempt),
+            // Encoded when it is offered to the socket, because it contains the remaining time.
+            Command::Fetch(attempt) => frame.unstarted_attempt = Some(attempt),
             command => {
-                if let Command::Abort(id) = &command {
-                    frame.aborts = Some(*id);
+                if let Command::Abort(request_id) = &command {
+                    frame.aborted_request = Some(*request_id);
                 }
                 let mut bytes = BytesMut::new();
                 RespCodec.encode(command, &mut bytes)?;
@@ -71,10 +70,10 @@
         Ok(())
     }
 
-    /// Takes out the attempts that may not begin any more.
+    /// Removes and returns the attempts that may no longer start.
     pub fn withdraw(&mut self) -> Vec<AttemptKey> {
         let mut withdrawn = Vec::new();
-        self.frames.retain(|frame| match &frame.begins {
+        self.frames.retain(|frame| match &frame.unstarted_attempt {
             Some(attempt) if attempt.is_void() => {
                 withdrawn.push((attempt.request, attempt.number));
                 false
@@ -84,11 +83,11 @@
         withdrawn
     }
 
-    /// What is to be written next, in pieces. An attempt of which nothing is written yet names the time that is left now.
+    /// The next frames to write. Unstarted attempts are encoded with the time that remains now.
     pub fn slices(&mut self) -> Vec<IoSlice<'_>> {
-        let frames = self.frames.iter_mut().take(MOST_AT_ONCE);
+        let frames = self.frames.iter_mut().take(MAX_FRAMES_PER_WRITE);
         let slices = frames.map(|frame| {
-            if let Some(attempt) = &frame.begins {
+            if let Some(attempt) = &frame.unstarted_attempt {
                 let mut bytes = BytesMut::new();
                 put_fetch(&mut bytes, attempt);
                 frame.bytes = bytes.freeze();
@@ -98,28 +97,31 @@
         slices.collect()
     }
 
-    /// So many bytes have been written.
-    pub fn written(&mut self, mut count: usize) -> Written {
+    /// Removes the first `count` bytes, which the socket has accepted.
+    pub fn advance(&mut self, mut count: usize) -> Written {
         let mut written = Written::default();
         while count > 0
             && let Some(frame) = self.frames.front_mut()
         {
-            written.begun += usize::from(frame.begins.take().is_some());
-            let part = count.min(frame.bytes.len());
-            frame.bytes.advance(part);
-            count -= part;
+            written.started_attempts += usize::from(frame.unstarted_attempt.take().is_some());
+            let written_bytes = count.min(frame.bytes.len());
+            frame.bytes.advance(written_bytes);
+            count -= written_bytes;
             if frame.bytes.is_empty() {
-                written.aborted.extend(frame.aborts);
+                written.aborted_requests.extend(frame.aborted_request);
                 self.frames.pop_front();
             }
         }
         written
     }
 
-    /// The attempts of which not a byte has been written.
-    pub fn unwritten(self) -> impl Iterator<Item = RequestId> {
-        let begins = self.frames.into_iter().filter_map(|frame| frame.begins);
-        begins.map(|attempt| attempt.request)
+    /// The requests of the attempts of which no byte was written.
+    pub fn into_unstarted_requests(self) -> impl Iterator<Item = RequestId> {
+        let unstarted = self
+            .frames
+            .into_iter()
+            .filter_map(|frame| frame.unstarted_attempt);
+        unstarted.map(|attempt| attempt.request)
     }
 }
 
