--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -138,7 +138,7 @@
             ToEngine::More(more) => {
                 let running = self.running_attempts.get(&more.request);
                 let running = running.filter(|running| running.attempt_no == more.number);
-                // If the attempt is gone or its channel is full, the reader's reply channel is closed.
+                // If the attempt has ended or its channel is full, the reader's reply channel is closed.
                 if let Some(running) = running
                     && running.page_requests.try_send(more).is_err()
                 {
--- a/engines/src/resp/codec/tests.rs
+++ b/engines/src/resp/codec/tests.rs
@@ -66,7 +66,7 @@
     ];
     for ([status_word, fields, rows], expected) in cases {
         let text = array(&["00000000000000ff", status_word, fields, rows]);
-        let reply = decode(&text).expect("is read").expect("is whole");
+        let reply = decode(&text).expect("is read").expect("is complete");
         assert_eq!(
             reply,
             Reply {
@@ -100,13 +100,13 @@
         "+0000000000000ff",
     ] {
         let reply = decode(&array(&[name, "OK", "parts=1", "a\tb\tc\n"]));
-        let reply = reply.expect("is read").expect("is whole");
+        let reply = reply.expect("is read").expect("is complete");
         assert_eq!(reply.subject, ReplySubject::Unknown, "{name}");
     }
 }
 
 #[test]
-fn a_malformed_frame_is_an_error_and_malformed_content_a_malformed_body() {
+fn a_malformed_frame_is_an_error_and_malformed_content_decodes_as_malformed() {
     let endless_line = "9".repeat(40);
     for text in [
         "+OK\r\n",
@@ -136,7 +136,7 @@
         &array(&[ID, "OK", "parts=1", "a\tb\tc\na\tb\n"]),
         &array(&[ID, "OK", "parts=1", "a\tb\tc\td\n"]),
     ] {
-        let reply = decode(text).expect("is read").expect("is whole");
+        let reply = decode(text).expect("is read").expect("is complete");
         assert!(matches!(reply.body, ReplyBody::Malformed(_)), "{text:?}");
     }
 }
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -483,7 +483,7 @@
         Pauses::new(self.settings().connect_timeout.0)
     }
 
-    /// Hands a command to a connection; returns false if its channel is full or the connection is gone.
+    /// Hands a command to a connection; returns false if its channel is full or the connection is closed.
     fn send_command(&self, connection_id: ConnectionId, command: Command) -> bool {
         let connection = self.connections.get(&connection_id);
         connection.is_some_and(|connection| connection.commands.try_send(command).is_ok())
