--- a/fronts/src/connection_drain.rs
+++ b/fronts/src/connection_drain.rs
@@ -1,4 +1,4 @@
-//! When a connection that is kept between requests must go.
+//! Closes kept client connections during a drain: tells each connection whether and when it must close.
 
 use sedgebeam_operation::drain::goes_at;
 use sedgebeam_operation::{Kept, Orders};
@@ -6,62 +6,65 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// What the drain orders, for all connections.
+/// The state of the drain, for all connections.
 #[derive(Clone)]
 pub struct DrainWatcher {
-    orders: watch::Receiver<Orders>,
-    /// The moment since which the drain counts time.
-    began: Instant,
+    drain_state: watch::Receiver<Orders>,
+    /// The moment from which the drain counts its times.
+    epoch: Instant,
 }
 
 impl DrainWatcher {
-    pub fn new(orders: watch::Receiver<Orders>, began: Instant) -> DrainWatcher {
-        DrainWatcher { orders, began }
+    pub fn new(drain_state: watch::Receiver<Orders>, epoch: Instant) -> DrainWatcher {
+        DrainWatcher { drain_state, epoch }
     }
 
-    /// For a connection that comes now; its draw, from 0 to 1, sets it apart from the others.
-    pub fn new_connection(&self, draw: f64) -> ConnectionDrain {
+    /// Tracks a connection that was accepted now. `jitter`, from 0 to 1, spreads the closing times of idle connections.
+    pub fn new_connection(&self, jitter: f64) -> ConnectionDrain {
         ConnectionDrain {
-            orders: self.orders.clone(),
-            began: self.began,
-            came: self.began.elapsed(),
-            draw,
+            drain_state: self.drain_state.clone(),
+            epoch: self.epoch,
+            accepted_at: self.epoch.elapsed(),
+            jitter,
         }
     }
 }
 
-/// The same for one connection.
+/// The state of the drain, for one connection.
 pub struct ConnectionDrain {
-    orders: watch::Receiver<Orders>,
-    began: Instant,
-    came: Duration,
-    draw: f64,
+    drain_state: watch::Receiver<Orders>,
+    epoch: Instant,
+    /// Time since the epoch.
+    accepted_at: Duration,
+    jitter: f64,
 }
 
 impl ConnectionDrain {
-    /// Whether the dispatcher takes work.
+    /// Whether the dispatcher takes new work.
     pub fn accepts_work(&self) -> bool {
-        self.orders.borrow().ready
+        self.drain_state.borrow().ready
     }
 
-    /// Whether it goes now that it has answered.
+    /// Whether the connection closes after the answer that it has just sent.
     pub fn closes_after_answer(&self) -> bool {
-        self.orders.borrow().kept != Kept::Stay
+        self.drain_state.borrow().kept != Kept::Stay
     }
 
-    /// Becomes ready when it goes, idle as it is.
+    /// Completes when the connection must close although it is idle.
     pub async fn wait_for_idle_close(&mut self) {
         loop {
-            let kept = self.orders.borrow_and_update().kept;
-            let at = match kept {
+            let policy = self.drain_state.borrow_and_update().kept;
+            let close_at = match policy {
                 Kept::Go => return,
-                Kept::Leave(since) => Some(self.began + goes_at(self.came, since, self.draw)),
+                Kept::Leave(since) => {
+                    Some(self.epoch + goes_at(self.accepted_at, since, self.jitter))
+                }
                 Kept::Stay => None,
             };
             tokio::select! {
-                // Whoever gave the orders has ended, and all with him.
-                changed = self.orders.changed() => if changed.is_err() { return },
-                () = sleep_until(at.unwrap_or(self.began)), if at.is_some() => return,
+                // The sender is dropped only when the dispatcher ends.
+                changed = self.drain_state.changed() => if changed.is_err() { return },
+                () = sleep_until(close_at.unwrap_or(self.epoch)), if close_at.is_some() => return,
             }
         }
     }
--- a/fronts/src/session_slots.rs
+++ b/fronts/src/session_slots.rs
@@ -1,66 +1,66 @@
-//! The places of sessions: so many at once, and who gives way to a newcomer when all are taken.
+//! Limits the number of client sessions. When all slots are taken, a new session evicts another: first one
+//! that has sent nothing answerable, then the one that has been idle longest, never one with a request in flight.
 //!
-//! Guards against connections by the hundred that say nothing, and against clients that keep theirs for
-//! good: they gave usual clients no place. Strangers go first, then whoever has been idle for longest; a
-//! session with a request under way never goes.
+//! Without eviction, hundreds of silent connections, or clients that never close theirs, left no slot for
+//! regular clients.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio_util::sync::CancellationToken;
 
-/// What a session is at the moment; the first to give way stands first.
+/// The state of a session. Sessions are evicted in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SessionState {
-    /// It has asked nothing yet that could be answered.
+    /// It has sent no request yet that could be answered.
     Unproven,
     Idle,
     Busy,
 }
 
 struct Entry {
-    standing: SessionState,
-    /// The turn at which it came to this standing.
-    turn: u64,
-    gives_way: CancellationToken,
+    state: SessionState,
+    /// The sequence number of the change to this state.
+    changed_at: u64,
+    eviction: CancellationToken,
 }
 
 #[derive(Default)]
-struct Table {
-    most: usize,
+struct SlotTable {
+    max_sessions: usize,
     entries: HashMap<u64, Entry>,
-    /// All that may give way, in that order.
-    order: BTreeMap<(SessionState, u64), u64>,
-    turn: u64,
+    /// The ids of all sessions that may be evicted, the next one first.
+    eviction_order: BTreeMap<(SessionState, u64), u64>,
+    last_sequence: u64,
 }
 
-impl Table {
-    fn set_state(&mut self, number: u64, standing: SessionState) -> bool {
-        self.turn += 1;
-        let turn = self.turn;
-        let Some(entry) = self.entries.get_mut(&number) else {
+impl SlotTable {
+    fn set_state(&mut self, id: u64, state: SessionState) -> bool {
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        let Some(entry) = self.entries.get_mut(&id) else {
             return false;
         };
-        self.order.remove(&(entry.standing, entry.turn));
-        (entry.standing, entry.turn) = (standing, turn);
-        if standing != SessionState::Busy {
-            self.order.insert((standing, turn), number);
+        self.eviction_order.remove(&(entry.state, entry.changed_at));
+        (entry.state, entry.changed_at) = (state, sequence);
+        if state != SessionState::Busy {
+            self.eviction_order.insert((state, sequence), id);
         }
         true
     }
 
-    fn leave(&mut self, number: u64) {
-        if let Some(entry) = self.entries.remove(&number) {
-            self.order.remove(&(entry.standing, entry.turn));
+    fn remove(&mut self, id: u64) {
+        if let Some(entry) = self.entries.remove(&id) {
+            self.eviction_order.remove(&(entry.state, entry.changed_at));
         }
     }
 
-    /// Has the first of the order give way; false where all are busy.
-    fn make_room(&mut self) -> bool {
-        let Some((_, number)) = self.order.pop_first() else {
+    /// Evicts the next session in order; false if all are busy.
+    fn evict_next(&mut self) -> bool {
+        let Some((_, id)) = self.eviction_order.pop_first() else {
             return false;
         };
-        if let Some(entry) = self.entries.remove(&number) {
-            entry.gives_way.cancel();
+        if let Some(entry) = self.entries.remove(&id) {
+            entry.eviction.cancel();
         }
         true
     }
@@ -68,83 +68,85 @@
 
 #[derive(Clone)]
 pub struct SessionSlots {
-    table: Arc<Mutex<Table>>,
+    table: Arc<Mutex<SlotTable>>,
 }
 
 impl SessionSlots {
-    pub fn new(most: usize) -> SessionSlots {
-        let table = Table {
-            most,
-            ..Table::default()
+    pub fn new(max_sessions: usize) -> SessionSlots {
+        let table = SlotTable {
+            max_sessions,
+            ..SlotTable::default()
         };
         SessionSlots {
             table: Arc::new(Mutex::new(table)),
         }
     }
 
-    /// So many from now on. Nobody gives way at once: a request may be on its way to any of them.
-    pub fn set_max_sessions(&self, most: usize) {
-        self.table().most = most;
+    /// Changes the limit. Sessions above it are not evicted at once: a request may be on its way to any of them.
+    pub fn set_max_sessions(&self, max_sessions: usize) {
+        self.table().max_sessions = max_sessions;
     }
 
-    /// How many are taken.
+    /// The number of slots in use.
     pub fn in_use(&self) -> usize {
         self.table().entries.len()
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
-        // Nothing panics while it is held; what it holds would be whole all the same.
+    fn table(&self) -> MutexGuard<'_, SlotTable> {
+        // Nothing panics while it holds the lock, and even then the table would be consistent.
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A place for a newcomer, and whether another gave way for it; `None` where all are busy.
+    /// A slot for a new session, and whether another session was evicted for it; `None` if all are busy.
     pub fn acquire(&self) -> Option<(SessionSlot, bool)> {
         let mut table = self.table();
-        let full = table.entries.len() >= table.most;
-        if full && !table.make_room() {
+        let is_full = table.entries.len() >= table.max_sessions;
+        if is_full && !table.evict_next() {
             return None;
         }
-        table.turn += 1;
-        let number = table.turn;
-        let gives_way = CancellationToken::new();
+        table.last_sequence += 1;
+        let id = table.last_sequence;
+        let eviction = CancellationToken::new();
         let entry = Entry {
-            standing: SessionState::Unproven,
-            turn: number,
-            gives_way: gives_way.clone(),
+            state: SessionState::Unproven,
+            changed_at: id,
+            eviction: eviction.clone(),
         };
-        table.entries.insert(number, entry);
-        table.order.insert((SessionState::Unproven, number), number);
-        let place = SessionSlot {
-            number,
-            gives_way,
-            places: self.clone(),
+        table.entries.insert(id, entry);
+        table
+            .eviction_order
+            .insert((SessionState::Unproven, id), id);
+        let slot = SessionSlot {
+            id,
+            eviction,
+            slots: self.clone(),
         };
-        Some((place, full))
+        Some((slot, is_full))
     }
 }
 
-/// A session's place; given back when it is dropped.
+/// The slot of one session; released when it is dropped.
 pub struct SessionSlot {
-    number: u64,
-    gives_way: CancellationToken,
-    places: SessionSlots,
+    id: u64,
+    eviction: CancellationToken,
+    slots: SessionSlots,
 }
 
 impl SessionSlot {
-    /// Changes what the session is; false where it has been told to give way.
-    pub fn set_state(&self, standing: SessionState) -> bool {
-        self.places.table().set_state(self.number, standing)
+    /// Changes the state of the session; false if it has been evicted.
+    pub fn set_state(&self, state: SessionState) -> bool {
+        self.slots.table().set_state(self.id, state)
     }
 
-    /// Becomes ready when the session must give way.
+    /// Cancelled when the session is evicted.
     pub fn eviction(&self) -> CancellationToken {
-        self.gives_way.clone()
+        self.eviction.clone()
     }
 }
 
 impl Drop for SessionSlot {
     fn drop(&mut self) {
-        self.places.table().leave(self.number);
+        self.slots.table().remove(self.id);
     }
 }
 
@@ -153,26 +155,26 @@
     use super::*;
 
     #[test]
-    fn strangers_give_way_first_then_the_longest_idle_and_the_busy_never() {
-        let places = SessionSlots::new(3);
-        let take = || places.acquire().expect("a place").0;
-        let (first, second, stranger) = (take(), take(), take());
-        for place in [&second, &first] {
-            assert!(place.set_state(SessionState::Busy) && place.set_state(SessionState::Idle));
+    fn unproven_sessions_are_evicted_first_then_the_longest_idle_and_never_a_busy_one() {
+        let slots = SessionSlots::new(3);
+        let acquire = || slots.acquire().expect("a slot").0;
+        let (first, second, unproven) = (acquire(), acquire(), acquire());
+        for slot in [&second, &first] {
+            assert!(slot.set_state(SessionState::Busy) && slot.set_state(SessionState::Idle));
         }
-        let gone = |place: &SessionSlot| place.eviction().is_cancelled();
-        let busy = take();
-        assert!(gone(&stranger) && !gone(&second));
+        let is_evicted = |slot: &SessionSlot| slot.eviction().is_cancelled();
+        let busy = acquire();
+        assert!(is_evicted(&unproven) && !is_evicted(&second));
         assert!(
-            !stranger.set_state(SessionState::Busy),
-            "it has no place any more"
+            !unproven.set_state(SessionState::Busy),
+            "its slot was evicted"
         );
         assert!(busy.set_state(SessionState::Busy));
-        let last = take();
-        assert!(gone(&second) && !gone(&first));
+        let last = acquire();
+        assert!(is_evicted(&second) && !is_evicted(&first));
         assert!(first.set_state(SessionState::Busy) && last.set_state(SessionState::Busy));
-        assert!(places.acquire().is_none(), "all are busy");
+        assert!(slots.acquire().is_none(), "all sessions are busy");
         drop(last);
-        assert!(!places.acquire().expect("a place given back").1);
+        assert!(!slots.acquire().expect("a released slot").1);
     }
 }
