--- a/fronts/src/incoming.rs
+++ b/fronts/src/incoming.rs
@@ -1,8 +1,8 @@
-//! Connections of Flight SQL clients: so many at once, and each gives its place back when it is dropped.
-//! One that says nothing, or stops in its preface, is closed: it would keep its place from others for good.
+//! Connections of Flight SQL clients, limited in number: each holds a permit until it is dropped.
+//! A connection whose HTTP/2 preface is not complete in time is closed; it would keep its permit forever.
 
 use futures::stream::{Stream, StreamExt};
-use sedgebeam_sockets::{Stream as Whole, without_delay};
+use sedgebeam_sockets::{Stream as SocketStream, without_delay};
 use std::io;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -14,85 +14,89 @@
 use tokio::time::{Sleep, sleep};
 use tonic::transport::server::Connected;
 
-/// A pause after an accept that failed, so that a lack of descriptors does not spin.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The pause after a failed accept, so that the loop does not spin when there are no file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The length of the preface of HTTP/2, and the time within which it must have come.
-const PREFACE: usize = 24;
-const PREFACE_LIMIT: Duration = Duration::from_secs(2);
+/// The length of the HTTP/2 client preface.
+const PREFACE_BYTES: usize = 24;
+/// The time within which a client must have sent its preface.
+const PREFACE_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// A client connection that holds a permit and checks that the preface arrives in time.
 pub struct FlightConnection {
-    stream: Whole,
-    /// Bytes of the preface that are still to come, and when they must have.
-    missing: usize,
-    limit: Pin<Box<Sleep>>,
-    _place: OwnedSemaphorePermit,
+    stream: SocketStream,
+    /// Bytes of the preface that have not been received yet.
+    missing_preface_bytes: usize,
+    preface_timeout: Pin<Box<Sleep>>,
+    _permit: OwnedSemaphorePermit,
 }
 
 impl FlightConnection {
-    fn new(stream: TcpStream, place: OwnedSemaphorePermit) -> FlightConnection {
+    fn new(stream: TcpStream, permit: OwnedSemaphorePermit) -> FlightConnection {
         without_delay(&stream);
         FlightConnection {
-            stream: Whole::new(stream),
-            missing: PREFACE,
-            limit: Box::pin(sleep(PREFACE_LIMIT)),
-            _place: place,
+            stream: SocketStream::new(stream),
+            missing_preface_bytes: PREFACE_BYTES,
+            preface_timeout: Box::pin(sleep(PREFACE_TIMEOUT)),
+            _permit: permit,
         }
     }
 }
 
-/// A connection with its place, not yet served by any worker.
+/// A connection with its permit, not yet served by any worker.
 pub type AcceptedConnection = (TcpStream, OwnedSemaphorePermit);
 
-/// The connections of a listener, no more than `most` at once; others wait to be accepted.
+/// The connections of a listener, at most `max_connections` at once; further ones wait in the listen queue.
 pub fn accept_connections(
     listener: TcpListener,
-    most: usize,
+    max_connections: usize,
 ) -> impl Stream<Item = AcceptedConnection> {
-    let places = Arc::new(Semaphore::new(most));
-    futures::stream::unfold((listener, places), |(listener, places)| async move {
+    let permits = Arc::new(Semaphore::new(max_connections));
+    futures::stream::unfold((listener, permits), |(listener, permits)| async move {
         // The semaphore is never closed.
-        let place = places.clone().acquire_owned().await.ok()?;
+        let permit = permits.clone().acquire_owned().await.ok()?;
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => return Some(((stream, place), (listener, places))),
+                Ok((stream, _)) => return Some(((stream, permit), (listener, permits))),
                 Err(error) => {
-                    log::warn!("accepting Flight SQL clients: {error}");
-                    sleep(PAUSE).await;
+                    log::warn!("failed to accept a Flight SQL client: {error}");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     })
 }
 
-/// Connections that this worker has accepted itself.
+/// Connections that are served by the worker that accepted them.
 pub fn local_connections(
     accepted: impl Stream<Item = AcceptedConnection>,
 ) -> impl Stream<Item = io::Result<FlightConnection>> {
-    accepted.map(|(stream, place)| Ok(FlightConnection::new(stream, place)))
+    accepted.map(|(stream, permit)| Ok(FlightConnection::new(stream, permit)))
 }
 
-/// A connection on its way from the worker that accepted it to the one that serves it.
+/// A connection on its way from the worker that accepted it to the one that serves it. Its socket is
+/// registered with the runtime of neither.
 pub struct TransferredConnection {
     stream: std::net::TcpStream,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 }
 
 impl TransferredConnection {
-    pub fn new((stream, place): AcceptedConnection) -> io::Result<TransferredConnection> {
+    pub fn new((stream, permit): AcceptedConnection) -> io::Result<TransferredConnection> {
         let stream = stream.into_std()?;
-        Ok(TransferredConnection { stream, place })
+        Ok(TransferredConnection { stream, permit })
     }
 }
 
-/// Connections that another worker has accepted, until it accepts no more.
+/// Connections that another worker accepted; ends when the sender is dropped.
 pub fn transferred_connections(
     incoming: mpsc::Receiver<TransferredConnection>,
 ) -> impl Stream<Item = io::Result<FlightConnection>> {
     futures::stream::unfold(incoming, |mut incoming| async move {
-        let TransferredConnection { stream, place } = incoming.recv().await?;
-        let placed = TcpStream::from_std(stream).map(|stream| FlightConnection::new(stream, place));
-        Some((placed, incoming))
+        let TransferredConnection { stream, permit } = incoming.recv().await?;
+        let connection =
+            TcpStream::from_std(stream).map(|stream| FlightConnection::new(stream, permit));
+        Some((connection, incoming))
     })
 }
 
@@ -107,11 +111,14 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let came = buffer.filled().len() - before;
-        self.missing = self.missing.saturating_sub(came);
-        if polled.is_pending() && self.missing > 0 && self.limit.as_mut().poll(context).is_ready() {
+        let received = buffer.filled().len() - filled_before;
+        self.missing_preface_bytes = self.missing_preface_bytes.saturating_sub(received);
+        if polled.is_pending()
+            && self.missing_preface_bytes > 0
+            && self.preface_timeout.as_mut().poll(context).is_ready()
+        {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         polled
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -1,4 +1,5 @@
-//! A statement with its fields in a comment ahead of it: what both fronts read alike.
+//! Parses statements with their request fields in a leading comment, for both fronts, and finds the table group
+//! that a statement names.
 
 use bytes::Bytes;
 use sedgebeam_core::{GroupId, RequestId};
@@ -8,77 +9,78 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// The schema whose names are not counted.
-const STAGING: &str = "staging";
+/// The schema that belongs to no table group.
+const STAGING_SCHEMA: &str = "staging";
 
-/// Words behind which a table is named.
-const BEFORE_TABLE: [&str; 8] = [
+/// Keywords that precede the name of a table.
+const TABLE_KEYWORDS: [&str; 8] = [
     "from", "into", "join", "update", "table", "only", "using", "copy",
 ];
 
-/// Figures beyond these are no estimates: ten thousand seconds of work, a terabyte of memory.
-const MOST_WORK_MS: f64 = 1e7;
-const MOST_MEMORY_MB: f64 = 1e6;
-/// A client waits at most this many times as long as its class is worth waiting for.
-const MOST_PATIENCE: f64 = 2.0;
+/// Estimates above these bounds are implausible and rejected: 10,000 s of work, 1 TB of memory.
+const MAX_WORK_MS: f64 = 1e7;
+const MAX_MEMORY_MB: f64 = 1e6;
+/// The largest `limit` of a request, as a multiple of the `give_up` time of its class.
+const MAX_LIMIT_TO_GIVE_UP: f64 = 2.0;
 
-/// The longest word that is handed on to engines as it came.
-const MOST_WORD: usize = 128;
+/// The longest field value that is forwarded to engines unchanged, in bytes.
+const MAX_FORWARDED_BYTES: usize = 128;
 
-/// What is wrong with a statement.
+/// Why a statement is rejected; the message is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidStatement(pub String);
 
-fn unusable(name: &str) -> InvalidStatement {
+fn invalid_field(name: &str) -> InvalidStatement {
     InvalidStatement(format!(
         "the field {name:?} in the statement's comment is missing or unusable"
     ))
 }
 
-/// Reads a request that came whole at `came`, with its fields in the comment ahead of it.
+/// Parses a request whose last byte was received at `received_at`, with its fields in the leading comment.
 pub fn parse(
     text: &Bytes,
-    came: Instant,
+    received_at: Instant,
     names: &Names,
     session: Option<SessionKey>,
 ) -> Result<NewRequest, InvalidStatement> {
-    let whole = std::str::from_utf8(text).map_err(|_| InvalidStatement("not UTF-8".to_string()))?;
-    let (fields, statement) = split(whole).ok_or_else(|| {
+    let full_text =
+        std::str::from_utf8(text).map_err(|_| InvalidStatement("not UTF-8".to_string()))?;
+    let (fields, statement) = split_fields(full_text).ok_or_else(|| {
         InvalidStatement("the statement begins with no comment of fields".to_string())
     })?;
     let pairs = fields.split(',').map(|pair| pair.trim().split_once('='));
     let pairs: Option<Vec<(&str, &str)>> = pairs.collect();
     let pairs = pairs
         .ok_or_else(|| InvalidStatement("the comment holds no pairs of fields".to_string()))?;
-    // Of two values of a field, an engine might mean the other one.
-    let twice = |(place, (name, _)): (usize, &(&str, &str))| {
-        let earlier = &pairs[..place];
+    // A repeated field is rejected: an engine might use the other one of the two values.
+    let is_repeated = |(index, (name, _)): (usize, &(&str, &str))| {
+        let earlier = &pairs[..index];
         earlier.iter().any(|(known, _)| known == name)
     };
-    if let Some((_, (name, _))) = pairs.iter().enumerate().find(|pair| twice(*pair)) {
+    if let Some((_, (name, _))) = pairs.iter().enumerate().find(|pair| is_repeated(*pair)) {
         return Err(InvalidStatement(format!(
             "the field {name:?} is there twice"
         )));
     }
     let field = |name: &str| {
-        let found = pairs.iter().find(|(known, _)| *known == name);
-        found.map(|(_, value)| *value)
+        let pair = pairs.iter().find(|(known, _)| *known == name);
+        pair.map(|(_, value)| *value)
     };
-    let start = whole.len() - statement.len();
+    let start = full_text.len() - statement.len();
     let statement = text.slice(start..);
-    build_request(field, statement, came, names, session)
+    build_request(field, statement, received_at, names, session)
 }
 
-/// Whether a comment of fields stands ahead of the statement.
+/// Whether the statement has request fields in a leading comment.
 pub fn has_fields(text: &str) -> bool {
-    split(text).is_some_and(|(fields, _)| fields.contains('='))
+    split_fields(text).is_some_and(|(fields, _)| fields.contains('='))
 }
 
-/// Builds a request from its fields, wherever they stood.
+/// Builds a request from its statement and its fields, which may come from a comment or from metadata.
 pub fn build_request<'a>(
     field: impl Fn(&str) -> Option<&'a str>,
     statement: Bytes,
-    came: Instant,
+    received_at: Instant,
     names: &Names,
     session: Option<SessionKey>,
 ) -> Result<NewRequest, InvalidStatement> {
@@ -87,61 +89,65 @@
     if text.trim().is_empty() {
         return Err(InvalidStatement("there is no statement".to_string()));
     }
-    let number = |name: &str, most: f64| match field(name).map(str::parse::<f64>) {
+    let number = |name: &str, max: f64| match field(name).map(str::parse::<f64>) {
         None => Ok(0.0),
-        // Not a number is in no range.
-        Some(Ok(value)) if (0.0..=most).contains(&value) => Ok(value),
-        Some(_) => Err(unusable(name)),
+        // NaN is in no range.
+        Some(Ok(value)) if (0.0..=max).contains(&value) => Ok(value),
+        Some(_) => Err(invalid_field(name)),
     };
     let class = field("verb").and_then(|verb| names.class(verb));
-    let class = class.ok_or_else(|| unusable("verb"))?;
-    let longest = names.give_up.get(class.0).copied().unwrap_or_default();
-    let fits = |word: &str| (1..=MOST_WORD).contains(&word.len()) && word.bytes().all(is_plain);
-    let word = |name: &str| match field(name) {
-        Some(word) if !fits(word) => Err(unusable(name)),
-        word => Ok(word.map(Into::into)),
+    let class = class.ok_or_else(|| invalid_field("verb"))?;
+    let give_up = names.give_up.get(class.0).copied().unwrap_or_default();
+    let is_forwardable = |value: &str| {
+        (1..=MAX_FORWARDED_BYTES).contains(&value.len()) && value.bytes().all(is_forwardable_byte)
+    };
+    let forwarded = |name: &str| match field(name) {
+        Some(value) if !is_forwardable(value) => Err(invalid_field(name)),
+        value => Ok(value.map(Into::into)),
     };
     let is_retry = match field("second") {
         None => false,
         Some("1") => true,
-        Some(_) => return Err(unusable("second")),
+        Some(_) => return Err(invalid_field("second")),
     };
-    let limit = number("limit", millis(longest) * MOST_PATIENCE)?;
+    let limit = number("limit", millis(give_up) * MAX_LIMIT_TO_GIVE_UP)?;
     if limit == 0.0 {
-        return Err(unusable("limit"));
+        return Err(invalid_field("limit"));
     }
     Ok(NewRequest {
-        id: field("txn").and_then(id).ok_or_else(|| unusable("txn"))?,
+        id: field("txn")
+            .and_then(parse_id)
+            .ok_or_else(|| invalid_field("txn"))?,
         class,
         tenant: field("team").map(str::to_string),
-        deadline: came + duration(micros(limit)),
-        work: micros(number("cpu", MOST_WORK_MS)?),
-        memory_mb: number("memory", MOST_MEMORY_MB)?,
+        deadline: received_at + duration(micros(limit)),
+        work: micros(number("cpu", MAX_WORK_MS)?),
+        memory_mb: number("memory", MAX_MEMORY_MB)?,
         group: GroupId(table_group(text).unwrap_or_default()),
         statement,
         is_retry,
-        token: word("unique")?,
-        order_key: word("item")?,
+        token: forwarded("unique")?,
+        order_key: forwarded("item")?,
         session,
         cancelled: CancellationToken::new(),
     })
 }
 
-/// What can stand among the fields of an engine's wire.
-fn is_plain(byte: u8) -> bool {
+/// Whether the byte may be part of a field value of the engine protocol.
+fn is_forwardable_byte(byte: u8) -> bool {
     byte.is_ascii_graphic() && !matches!(byte, b',' | b'=')
 }
 
-/// A request's name: 16 hexadecimal digits, which go on to an engine as they are.
-fn id(txn: &str) -> Option<RequestId> {
-    let digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
-    let named = txn.len() == 16 && txn.bytes().all(digit);
-    let id = u64::from_str_radix(txn, 16).ok().filter(|_| named);
+/// Parses a request id: exactly 16 lower-case hexadecimal digits, as they are forwarded to engines.
+fn parse_id(txn: &str) -> Option<RequestId> {
+    let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
+    let is_valid = txn.len() == 16 && txn.bytes().all(is_digit);
+    let id = u64::from_str_radix(txn, 16).ok().filter(|_| is_valid);
     id.map(RequestId)
 }
 
-/// The fields and the statement behind their comment.
-fn split(text: &str) -> Option<(&str, &str)> {
+/// Splits a text into the content of its leading comment and the statement behind it.
+fn split_fields(text: &str) -> Option<(&str, &str)> {
     let rest = text.trim_start().strip_prefix("/*")?;
     let (fields, statement) = rest.split_once("*/")?;
     Some((fields.trim(), statement.trim_start()))
@@ -154,80 +160,81 @@
     Other,
 }
 
-/// The number of the table group: that in the name of the schema of the first table named, or, where no
-/// table stands behind its usual word, of the first qualified name.
+/// The number of the table group, which is part of the schema's name: that of the first qualified name behind a
+/// table keyword, or, if there is none, of the first qualified name.
 pub fn table_group(statement: &str) -> Option<u64> {
-    let tokens: Vec<Token> = Tokens(statement).collect();
-    let mut first = None;
-    for (place, three) in tokens.windows(3).enumerate() {
-        let [Token::Name(schema), Token::Dot, Token::Name(_)] = three else {
+    let tokens: Vec<Token> = Tokenizer(statement).collect();
+    let mut first_number = None;
+    for (index, window) in tokens.windows(3).enumerate() {
+        let [Token::Name(schema), Token::Dot, Token::Name(_)] = window else {
             continue;
         };
-        let Some(number) = numbered(schema) else {
+        let Some(number) = schema_number(schema) else {
             continue;
         };
-        let before = place.checked_sub(1).map(|before| tokens[before]);
-        if before == Some(Token::Dot) {
+        let previous = index.checked_sub(1).map(|previous| tokens[previous]);
+        if previous == Some(Token::Dot) {
             continue;
         }
-        let table = matches!(before, Some(Token::Name(word))
-            if BEFORE_TABLE.iter().any(|known| word.eq_ignore_ascii_case(known)));
-        if table {
+        let follows_keyword = matches!(previous, Some(Token::Name(word))
+            if TABLE_KEYWORDS.iter().any(|known| word.eq_ignore_ascii_case(known)));
+        if follows_keyword {
             return Some(number);
         }
-        first = first.or(Some(number));
+        first_number = first_number.or(Some(number));
     }
-    first
+    first_number
 }
 
-/// The number behind the underscore of a schema's name.
-fn numbered(schema: &str) -> Option<u64> {
-    if schema.eq_ignore_ascii_case(STAGING) {
+/// The number behind the last underscore of a schema's name.
+fn schema_number(schema: &str) -> Option<u64> {
+    if schema.eq_ignore_ascii_case(STAGING_SCHEMA) {
         return None;
     }
     let (_, number) = schema.rsplit_once('_')?;
-    let digits = !number.is_empty() && number.bytes().all(|byte| byte.is_ascii_digit());
-    number.parse().ok().filter(|_| digits)
+    let is_number = !number.is_empty() && number.bytes().all(|byte| byte.is_ascii_digit());
+    number.parse().ok().filter(|_| is_number)
 }
 
-/// Splits a statement into names, dots and the rest; strings and comments are one piece each.
-struct Tokens<'a>(&'a str);
+/// Splits the rest of a statement into names, dots and other tokens. A string is one token; comments and white
+/// space are skipped.
+struct Tokenizer<'a>(&'a str);
 
-impl<'a> Tokens<'a> {
-    fn take(&mut self, length: usize) -> &'a str {
-        let (taken, rest) = self.0.split_at(length);
+impl<'a> Tokenizer<'a> {
+    fn consume(&mut self, length: usize) -> &'a str {
+        let (consumed, rest) = self.0.split_at(length);
         self.0 = rest;
-        taken
+        consumed
     }
 
-    /// Takes up to and with `end`, or all where it does not come.
-    fn through(&mut self, from: usize, end: &str) -> &'a str {
-        let found = self.0[from..].find(end);
-        self.take(found.map_or(self.0.len(), |place| from + place + end.len()))
+    /// Consumes up to and including `end`, searched from this offset; everything if it does not occur.
+    fn consume_through(&mut self, from: usize, end: &str) -> &'a str {
+        let position = self.0[from..].find(end);
+        self.consume(position.map_or(self.0.len(), |position| from + position + end.len()))
     }
 
-    /// A string in quotes; a doubled quote, or with `escapes` one behind a backslash, does not end it.
-    fn quoted(&mut self, quote: char, escapes: bool) -> &'a str {
+    /// Consumes a quoted string. A doubled quote does not end it, nor, with `escapes`, one behind a backslash.
+    fn consume_quoted(&mut self, quote: char, escapes: bool) -> &'a str {
         let mut chars = self.0.char_indices().skip(1).peekable();
-        while let Some((place, char)) = chars.next() {
+        while let Some((position, char)) = chars.next() {
             if escapes && char == '\\' {
                 chars.next();
             } else if char == quote && chars.next_if(|(_, next)| *next == quote).is_none() {
-                return self.take(place + 1);
+                return self.consume(position + 1);
             }
         }
-        self.take(self.0.len())
+        self.consume(self.0.len())
     }
 
-    /// A comment between marks, which may hold others.
-    fn comment(&mut self) {
-        let (mut depth, mut at) = (0usize, 0);
+    /// Consumes a block comment, which may contain nested ones.
+    fn consume_comment(&mut self) {
+        let (mut depth, mut position) = (0usize, 0);
         loop {
-            let rest = &self.0[at..];
+            let rest = &self.0[position..];
             let open = rest.find("/*").unwrap_or(usize::MAX);
             let close = rest.find("*/").unwrap_or(usize::MAX);
             if close == usize::MAX {
-                at = self.0.len();
+                position = self.0.len();
                 break;
             }
             depth = if open < close {
@@ -235,74 +242,77 @@
             } else {
                 depth.saturating_sub(1)
             };
-            at += open.min(close) + 2;
+            position += open.min(close) + 2;
             if depth == 0 {
                 break;
             }
         }
-        self.take(at);
+        self.consume(position);
     }
 
-    /// A string between marks like `$tag$`; a lone `$` is nothing.
-    fn dollars(&mut self) {
+    /// Consumes a dollar-quoted string (`$tag$ ... $tag$`); otherwise only the `$`.
+    fn consume_dollar_quoted(&mut self) {
         let tag = self.0[1..].find('$').map(|end| &self.0[..end + 2]);
-        let plain = |tag: &&str| {
+        let is_tag = |tag: &&str| {
             let mut name = tag[1..tag.len() - 1].chars();
             name.all(|char| char.is_alphanumeric() || char == '_')
         };
-        match tag.filter(plain) {
-            Some(tag) => self.through(tag.len(), tag),
-            None => self.take(1),
+        match tag.filter(is_tag) {
+            Some(tag) => self.consume_through(tag.len(), tag),
+            None => self.consume(1),
         };
     }
 
-    fn name(&mut self) -> &'a str {
-        let part = |char: char| char.is_alphanumeric() || char == '_' || char == '$';
-        let end = self.0.find(|char| !part(char)).unwrap_or(self.0.len());
-        self.take(end)
+    fn consume_name(&mut self) -> &'a str {
+        let is_name_char = |char: char| char.is_alphanumeric() || char == '_' || char == '$';
+        let end = self
+            .0
+            .find(|char| !is_name_char(char))
+            .unwrap_or(self.0.len());
+        self.consume(end)
     }
 }
 
-impl<'a> Iterator for Tokens<'a> {
+impl<'a> Iterator for Tokenizer<'a> {
     type Item = Token<'a>;
 
     fn next(&mut self) -> Option<Token<'a>> {
         loop {
-            let first = self.0.chars().next()?;
-            match first {
+            let next_char = self.0.chars().next()?;
+            match next_char {
                 '-' if self.0.starts_with("--") => {
-                    self.through(0, "\n");
+                    self.consume_through(0, "\n");
                 }
-                '/' if self.0.starts_with("/*") => self.comment(),
+                '/' if self.0.starts_with("/*") => self.consume_comment(),
                 '.' => {
-                    self.take(1);
+                    self.consume(1);
                     return Some(Token::Dot);
                 }
                 '\'' => {
-                    self.quoted('\'', false);
+                    self.consume_quoted('\'', false);
                     return Some(Token::Other);
                 }
                 '"' => {
-                    let name = self.quoted('"', false);
+                    let name = self.consume_quoted('"', false);
                     return Some(Token::Name(name.trim_matches('"')));
                 }
                 '$' => {
-                    self.dollars();
+                    self.consume_dollar_quoted();
                     return Some(Token::Other);
                 }
                 char if char.is_alphabetic() || char == '_' => {
-                    let name = self.name();
+                    let name = self.consume_name();
                     if name.eq_ignore_ascii_case("e") && self.0.starts_with('\'') {
-                        self.quoted('\'', true);
+                        self.consume_quoted('\'', true);
                         return Some(Token::Other);
                     }
                     return Some(Token::Name(name));
                 }
                 char if char.is_whitespace() => {
-                    self.take(char.len_utf8());
+                    self.consume(char.len_utf8());
                 }
                 char => {
-                    self.take(char.len_utf8());
+                    self.consume(char.len_utf8());
                     return Some(Token::Other);
                 }
             }
--- a/fronts/src/statement/tests.rs
+++ b/fronts/src/statement/tests.rs
@@ -1,9 +1,9 @@
-//! Statements and the fields ahead of them.
+//! Tests of the fields ahead of statements and of the table groups that statements name.
 
 use super::*;
 
 #[test]
-fn the_group_is_that_of_the_schema_and_of_nothing_else() {
+fn the_table_group_comes_from_the_schema_name_only() {
     let cases = [
         (
             "SELECT day, count(*) FROM sales_17.orders WHERE tag = '3f9c'",
@@ -49,22 +49,22 @@
 }
 
 #[test]
-fn fields_that_cannot_be_used_are_named() {
+fn a_rejection_names_the_invalid_field() {
     let names = Names {
         classes: vec!["lookup".to_string()],
         give_up: vec![micros(2500.0)],
         ..Names::default()
     };
-    let told = |text: &str| {
+    let parsed = |text: &str| {
         let text = Bytes::copy_from_slice(text.as_bytes());
-        parse(&text, Instant::now(), &names, None).map_err(|InvalidStatement(why)| why)
+        parse(&text, Instant::now(), &names, None).map_err(|InvalidStatement(message)| message)
     };
     let good = "/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500,cpu=820.0 */ SELECT 1";
-    let request = told(good).expect("is read");
+    let request = parsed(good).expect("the statement is valid");
     assert_eq!(request.id, RequestId(0x9b1f_03aa_5c7e_2d41));
     assert_eq!(request.work.0, 820_000);
     assert_eq!(&request.statement[..], b"SELECT 1");
-    for (wrong, key) in [
+    for (text, expected) in [
         (good.replace("lookup", "other"), "verb"),
         (good.replace("9b1f", "9b1fx"), "txn"),
         (good.replace("9b1f", "9b1f9b1f"), "txn"),
@@ -92,39 +92,41 @@
         (good.replace("*/", ""), "no comment"),
         ("SELECT 1".to_string(), "no comment"),
     ] {
-        let why = told(&wrong).expect_err(&wrong);
-        assert!(why.contains(key), "{key} in {why}");
+        let message = parsed(&text).expect_err(&text);
+        assert!(message.contains(expected), "{expected} in {message}");
     }
 }
 
 #[test]
-fn a_request_is_a_retry_only_where_its_client_marks_it() {
+fn a_request_is_a_retry_only_if_its_client_marks_it() {
     let names = Names {
         classes: vec!["lookup".to_string()],
         give_up: vec![micros(2500.0)],
         ..Names::default()
     };
-    for (mark, is_retry) in [("", false), (",second=1", true)] {
-        let text = format!("/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500{mark} */ SELECT 1");
+    for (field, is_retry) in [("", false), (",second=1", true)] {
+        let text = format!("/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500{field} */ SELECT 1");
         let request = parse(&Bytes::from(text), Instant::now(), &names, None);
-        assert_eq!(request.expect("is read").is_retry, is_retry, "{mark:?}");
+        assert_eq!(
+            request.expect("the statement is valid").is_retry,
+            is_retry,
+            "{field:?}"
+        );
     }
 }
 
 #[test]
-fn the_word_of_a_keyed_request_is_kept_as_it_came() {
+fn the_value_of_the_field_unique_is_kept_unchanged() {
     let names = Names {
         classes: vec!["lookup".to_string()],
         give_up: vec![micros(2500.0)],
         ..Names::default()
     };
-    let word = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    for (mark, token) in [
-        (String::new(), None),
-        (format!(",unique={word}"), Some(word)),
-    ] {
-        let text = format!("/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500{mark} */ SELECT 1");
-        let request = parse(&Bytes::from(text), Instant::now(), &names, None).expect("is read");
+    let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+    for (field, token) in [(String::new(), None), (format!(",unique={key}"), Some(key))] {
+        let text = format!("/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500{field} */ SELECT 1");
+        let request = parse(&Bytes::from(text), Instant::now(), &names, None)
+            .expect("the statement is valid");
         assert_eq!(request.token.as_deref(), token);
     }
 }
