--- a/fronts/src/flight.rs
+++ b/fronts/src/flight.rs
@@ -1,9 +1,9 @@
 //! The Arrow Flight SQL front.
 //!
-//! GetFlightInfo checks a statement and gives a ticket that is good once; DoGet runs it. The fields stand
-//! in a comment ahead of the statement, as on the other front, or else in the call's metadata.
+//! GetFlightInfo parses a statement and issues a ticket; DoGet redeems the ticket, once, and runs the statement.
+//! The request's fields are in a comment ahead of the statement, as on the PostgreSQL front, or in the call's metadata.
 
-use super::advice::RetryAdvice;
+use super::retry_delay::RetryDelay;
 use super::{FrontContext, failure_message, statement};
 use arrow_array::RecordBatch;
 use arrow_flight::encode::FlightDataEncoderBuilder;
@@ -33,70 +33,68 @@
 use tonic::{Code, Request, Response, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-/// The longest message that a client may send.
-const MOST_MESSAGE: usize = 256 * 1024;
-/// Tickets that may be out at once.
-const MOST_TICKETS: usize = 4096;
-/// Metadata of the fields starts with this.
-const PREFIX: &str = "sedgebeam-";
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+/// Tickets that may be outstanding at once: issued, or redeemed by a call that has not ended.
+const MAX_TICKETS: usize = 4096;
+/// The prefix of the metadata keys that carry request fields.
+const FIELD_KEY_PREFIX: &str = "sedgebeam-";
 const CANCEL_FLIGHT_INFO: &str = "CancelFlightInfo";
 
 type FlightStream = <Front as FlightService>::DoGetStream;
 
-/// What a ticket stands for.
-enum Held {
-    /// Not redeemed yet.
-    Ready(Box<NewRequest>),
-    /// Redeemed: its token calls it off.
-    Running(CancellationToken, Instant),
+enum TicketState {
+    Issued(Box<NewRequest>),
+    /// Redeemed: the token that cancels the request, and the request's deadline.
+    Redeemed(CancellationToken, Instant),
 }
 
-/// Tickets that are out, by their number.
+/// The outstanding tickets by their number.
 #[derive(Default)]
-struct Tickets {
-    held: HashMap<u64, Held>,
-    next: u64,
+struct TicketTable {
+    tickets: HashMap<u64, TicketState>,
+    last_number: u64,
 }
 
-impl Tickets {
-    fn forget_old(&mut self, now: Instant) {
-        self.held.retain(|_, held| match held {
-            Held::Ready(request) => now < request.deadline,
-            Held::Running(_, deadline) => now < *deadline,
+impl TicketTable {
+    fn remove_expired(&mut self, now: Instant) {
+        self.tickets.retain(|_, state| match state {
+            TicketState::Issued(request) => now < request.deadline,
+            TicketState::Redeemed(_, deadline) => now < *deadline,
         });
     }
 }
 
 #[derive(Clone)]
 pub struct Front {
-    shared: FrontContext,
-    tickets: Arc<Mutex<Tickets>>,
+    front_context: FrontContext,
+    ticket_table: Arc<Mutex<TicketTable>>,
 }
 
 impl Front {
-    /// One front, of which each worker serves a clone: a ticket is good at all of them.
-    pub fn new(shared: FrontContext, seed: u64) -> Front {
-        let tickets = Tickets {
-            next: seed,
-            ..Tickets::default()
+    /// Each worker serves a clone of one front, so that a ticket can be redeemed on any worker.
+    /// Ticket numbers continue from `seed`.
+    pub fn new(front_context: FrontContext, seed: u64) -> Front {
+        let ticket_table = TicketTable {
+            last_number: seed,
+            ..TicketTable::default()
         };
         Front {
-            shared,
-            tickets: Arc::new(Mutex::new(tickets)),
+            front_context,
+            ticket_table: Arc::new(Mutex::new(ticket_table)),
         }
     }
 
-    /// The service for connections.
+    /// The gRPC service for a tonic server.
     pub fn service(&self) -> FlightServiceServer<Front> {
-        FlightServiceServer::new(self.clone()).max_decoding_message_size(MOST_MESSAGE)
+        FlightServiceServer::new(self.clone()).max_decoding_message_size(MAX_MESSAGE_BYTES)
     }
 }
 
-fn invalid(why: impl Into<String>) -> Status {
-    Status::invalid_argument(why)
+fn invalid_argument(message: impl Into<String>) -> Status {
+    Status::invalid_argument(message)
 }
 
-/// The time that the call itself allows, from the header of gRPC.
+/// The timeout of the call itself, from the gRPC header `grpc-timeout`.
 fn call_timeout(metadata: &MetadataMap) -> Option<Duration> {
     let text = metadata.get("grpc-timeout")?.to_str().ok()?;
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
@@ -112,19 +110,19 @@
     })
 }
 
-/// Says that nothing ran, and where there is advice when to come back.
-fn refused(advice: Option<RetryAdvice>) -> Status {
+/// The status of a request that did not run, with a retry delay if one is suggested.
+fn refused_status(retry_delay: Option<RetryDelay>) -> Status {
     let message = "too busy to run the statement; it did not run";
-    let Some(advice) = advice else {
+    let Some(retry_delay) = retry_delay else {
         return Status::resource_exhausted(message);
     };
-    let details = ErrorDetails::with_retry_info(Some(advice.duration()));
+    let details = ErrorDetails::with_retry_info(Some(retry_delay.as_duration()));
     Status::with_error_details(Code::ResourceExhausted, message, details)
 }
 
-fn failed(failure: Failure) -> Status {
+fn failure_status(failure: Failure) -> Status {
     let code = match failure {
-        // It may have run: a client must not take it for harmless to repeat.
+        // The statement may have run: the code must not tell clients that a retry is safe.
         Failure::Unanswered | Failure::Ending => Code::Aborted,
         Failure::Cancelled => Code::Cancelled,
         Failure::Duplicate => Code::AlreadyExists,
@@ -134,66 +132,79 @@
 }
 
 impl Front {
-    fn tickets(&self) -> MutexGuard<'_, Tickets> {
-        // Nothing panics while it is held; what it holds would be whole all the same.
-        self.tickets.lock().unwrap_or_else(PoisonError::into_inner)
+    fn ticket_table(&self) -> MutexGuard<'_, TicketTable> {
+        // Nothing panics while it holds the lock, and even then the table would be consistent.
+        self.ticket_table
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads a statement whose call has just come.
-    fn read(&self, query: String, metadata: &MetadataMap) -> Result<NewRequest, Status> {
-        let came = Instant::now();
+    /// Parses the request of a call that was received just now.
+    fn parse_request(&self, query: String, metadata: &MetadataMap) -> Result<NewRequest, Status> {
+        let received_at = Instant::now();
         let text = Bytes::from(query);
-        let tuning = self.shared.router.tuning();
-        let names = &tuning.names;
-        let told = std::str::from_utf8(&text).is_ok_and(statement::has_fields);
-        let request = if told {
-            statement::parse(&text, came, names, None)
+        let runtime_settings = self.front_context.router.tuning();
+        let names = &runtime_settings.names;
+        let has_fields_in_comment = std::str::from_utf8(&text).is_ok_and(statement::has_fields);
+        let request = if has_fields_in_comment {
+            statement::parse(&text, received_at, names, None)
         } else {
-            let field = |name: &str| metadata.get(format!("{PREFIX}{name}"))?.to_str().ok();
-            statement::build_request(field, text.clone(), came, names, None)
+            let field = |name: &str| {
+                metadata
+                    .get(format!("{FIELD_KEY_PREFIX}{name}"))?
+                    .to_str()
+                    .ok()
+            };
+            statement::build_request(field, text.clone(), received_at, names, None)
         };
-        let mut request = request.map_err(|statement::InvalidStatement(why)| invalid(why))?;
-        if let Some(limit) = call_timeout(metadata) {
-            request.deadline = request.deadline.min(came + limit);
+        let mut request =
+            request.map_err(|statement::InvalidStatement(message)| invalid_argument(message))?;
+        if let Some(timeout) = call_timeout(metadata) {
+            request.deadline = request.deadline.min(received_at + timeout);
         }
         Ok(request)
     }
 
-    /// Holds a request under a new ticket.
-    fn hold(&self, request: NewRequest) -> Result<u64, Status> {
-        let mut tickets = self.tickets();
-        if tickets.held.len() >= MOST_TICKETS {
-            tickets.forget_old(Instant::now());
+    /// Stores a request under a new ticket, whose number is returned.
+    fn issue_ticket(&self, request: NewRequest) -> Result<u64, Status> {
+        let mut table = self.ticket_table();
+        if table.tickets.len() >= MAX_TICKETS {
+            table.remove_expired(Instant::now());
         }
-        if tickets.held.len() >= MOST_TICKETS {
-            let tuning = self.shared.router.tuning();
-            return Err(refused(RetryAdvice::usual(&tuning.settings)));
+        if table.tickets.len() >= MAX_TICKETS {
+            let runtime_settings = self.front_context.router.tuning();
+            return Err(refused_status(RetryDelay::default_for(
+                &runtime_settings.settings,
+            )));
         }
-        tickets.next = tickets.next.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let number = tickets.next;
-        tickets.held.insert(number, Held::Ready(Box::new(request)));
+        // The step is odd, so that no number repeats soon.
+        table.last_number = table.last_number.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let number = table.last_number;
+        table
+            .tickets
+            .insert(number, TicketState::Issued(Box::new(request)));
         Ok(number)
     }
 
     /// Takes the request of a ticket, once: a second DoGet must not run it again.
-    fn redeem(&self, handle: &[u8]) -> Result<(NewRequest, Running), Status> {
-        let number = number(handle)?;
-        let mut tickets = self.tickets();
+    fn redeem(&self, handle: &[u8]) -> Result<(NewRequest, RedeemedTicket), Status> {
+        let number = ticket_number(handle)?;
+        let mut table = self.ticket_table();
         let unknown = || Status::not_found("this ticket was never given, or is over");
-        match tickets.held.remove(&number).ok_or_else(unknown)? {
-            Held::Ready(request) => {
-                let token = request.cancelled.clone();
-                let running = Held::Running(token.clone(), request.deadline);
-                tickets.held.insert(number, running);
-                let running = Running {
+        match table.tickets.remove(&number).ok_or_else(unknown)? {
+            TicketState::Issued(request) => {
+                let cancellation = request.cancelled.clone();
+                let redeemed = TicketState::Redeemed(cancellation.clone(), request.deadline);
+                table.tickets.insert(number, redeemed);
+                let ticket = RedeemedTicket {
                     front: self.clone(),
                     number,
-                    token,
+                    cancellation,
                 };
-                Ok((*request, running))
+                Ok((*request, ticket))
             }
-            running => {
-                tickets.held.insert(number, running);
+            redeemed => {
+                table.tickets.insert(number, redeemed);
                 Err(Status::failed_precondition(
                     "this ticket has been redeemed already",
                 ))
@@ -201,117 +212,117 @@
         }
     }
 
-    /// Calls off what a ticket stands for.
+    /// Cancels the request of a ticket, whether it has been redeemed or not.
     fn cancel(&self, info: &FlightInfo) -> Result<(), Status> {
         let ticket = info
             .endpoint
             .first()
             .and_then(|endpoint| endpoint.ticket.as_ref());
-        let ticket = ticket.ok_or_else(|| invalid("flight info without a ticket"))?;
+        let ticket = ticket.ok_or_else(|| invalid_argument("flight info without a ticket"))?;
         let any = arrow_flight::sql::Any::decode(&*ticket.ticket);
         let query = any
             .ok()
             .and_then(|any| any.unpack::<TicketStatementQuery>().ok().flatten());
-        let query = query.ok_or_else(|| invalid("a ticket that was not given here"))?;
-        let number = number(&query.statement_handle)?;
-        let held = self.tickets().held.remove(&number);
-        match held.ok_or_else(|| Status::not_found("this ticket is over"))? {
-            Held::Ready(_) => {}
-            Held::Running(token, _) => token.cancel(),
+        let query = query.ok_or_else(|| invalid_argument("a ticket that was not given here"))?;
+        let number = ticket_number(&query.statement_handle)?;
+        let state = self.ticket_table().tickets.remove(&number);
+        match state.ok_or_else(|| Status::not_found("this ticket is over"))? {
+            TicketState::Issued(_) => {}
+            TicketState::Redeemed(cancellation, _) => cancellation.cancel(),
         }
         Ok(())
     }
 
-    /// Runs a request to its answer. A call that is dropped meanwhile leaves the broker.
-    async fn answer(
+    /// Submits a request and waits for its answer. Dropping the call meanwhile withdraws the request.
+    async fn run_request(
         &self,
         request: NewRequest,
-        token: &CancellationToken,
+        cancellation: &CancellationToken,
     ) -> Result<Delivery, Status> {
-        let pending = self.shared.router.submit(request).await;
+        let pending = self.front_context.router.submit(request).await;
         let answer = tokio::select! {
             answer = pending => answer,
-            () = token.cancelled() => return Err(failed(Failure::Cancelled)),
+            () = cancellation.cancelled() => return Err(failure_status(Failure::Cancelled)),
         };
         match answer {
-            Answer::Rows(delivery) => Ok(delivery),
-            Answer::Refused { retry_after } => Err(refused(RetryAdvice::new(retry_after))),
-            Answer::Failed(failure) => Err(failed(failure)),
+            Answer::Rows(result) => Ok(result),
+            Answer::Refused { retry_after } => Err(refused_status(RetryDelay::new(retry_after))),
+            Answer::Failed(failure) => Err(failure_status(failure)),
         }
     }
 }
 
-fn number(handle: &[u8]) -> Result<u64, Status> {
+fn ticket_number(handle: &[u8]) -> Result<u64, Status> {
     let handle = handle
         .try_into()
-        .map_err(|_| invalid("a ticket that was not given here"))?;
+        .map_err(|_| invalid_argument("a ticket that was not given here"))?;
     Ok(u64::from_be_bytes(handle))
 }
 
-/// A ticket under way, forgotten when its call ends.
-struct Running {
+/// A ticket whose call has not ended; dropping it removes it from the table.
+struct RedeemedTicket {
     front: Front,
     number: u64,
-    token: CancellationToken,
+    cancellation: CancellationToken,
 }
 
-impl Drop for Running {
+impl Drop for RedeemedTicket {
     fn drop(&mut self) {
-        self.front.tickets().held.remove(&self.number);
+        self.front.ticket_table().tickets.remove(&self.number);
     }
 }
 
-type Batch = Result<RecordBatch, FlightError>;
+type BatchResult = Result<RecordBatch, FlightError>;
 
-/// What a stream ends with that its client has not taken whole in time.
-fn unfinished() -> Status {
+/// The status that ends a stream whose client has not taken the complete result in time.
+fn deadline_exceeded() -> Status {
     Status::deadline_exceeded("the result was not taken before its deadline")
 }
 
-/// Passes a result on, page by page as the client takes them, until its deadline. Only a whole result ends
+/// Streams a result to the client page by page, until the request's deadline. Only a complete result ends
 /// without an error.
-fn pass(delivery: Delivery, running: Running) -> impl Stream<Item = Batch> {
-    let (pages, taken) = mpsc::channel(1);
-    let task = read_pages(delivery, running, pages);
-    supervise::watch("a Flight SQL result".to_string(), task, || {});
-    stream::unfold(Some(taken), |taken| async {
-        let mut taken = taken?;
-        match taken.recv().await {
-            Some(Ok(Some(batch))) => Some((Ok(batch), Some(taken))),
+fn stream_result(result: Delivery, ticket: RedeemedTicket) -> impl Stream<Item = BatchResult> {
+    let (sender, receiver) = mpsc::channel(1);
+    let task = read_pages(result, ticket, sender);
+    supervise::watch("the reader of a Flight SQL result".to_string(), task, || {});
+    stream::unfold(Some(receiver), |receiver| async {
+        let mut receiver = receiver?;
+        match receiver.recv().await {
+            Some(Ok(Some(batch))) => Some((Ok(batch), Some(receiver))),
             Some(Ok(None)) => None,
             Some(Err(status)) => Some((Err(status.into()), None)),
-            // Its reader gave up waiting for the client.
-            None => Some((Err(unfinished().into()), None)),
+            // The reader reached the deadline while it waited for the client.
+            None => Some((Err(deadline_exceeded().into()), None)),
         }
     })
 }
 
-/// Reads the pages of a result as their batches are taken; `None` stands for its end.
+/// Reads the pages of a result as the client takes them, and sends `None` at its end.
 async fn read_pages(
-    mut delivery: Delivery,
-    running: Running,
-    pages: mpsc::Sender<Result<Option<RecordBatch>, Status>>,
+    mut result: Delivery,
+    ticket: RedeemedTicket,
+    batches: mpsc::Sender<Result<Option<RecordBatch>, Status>>,
 ) {
-    let deadline = delivery.deadline();
+    let deadline = result.deadline();
     loop {
-        let next = tokio::select! {
+        let next_batch = tokio::select! {
             biased;
-            () = pages.closed() => return,
-            () = running.token.cancelled() => Err(failed(Failure::Cancelled)),
-            page = delivery.next() => match page {
+            () = batches.closed() => return,
+            () = ticket.cancellation.cancelled() => Err(failure_status(Failure::Cancelled)),
+            page = result.next() => match page {
                 Ok(page) => page.as_ref().map(arrow::batch).transpose(),
-                Err(Broken) => Err(lost()),
+                Err(Broken) => Err(result_lost()),
             },
         };
-        let more = matches!(next, Ok(Some(_)));
-        let sent = timeout_at(deadline, pages.send(next)).await;
-        if !more || !matches!(sent, Ok(Ok(()))) {
+        let has_more = matches!(next_batch, Ok(Some(_)));
+        let sent = timeout_at(deadline, batches.send(next_batch)).await;
+        if !has_more || !matches!(sent, Ok(Ok(()))) {
             return;
         }
     }
 }
 
-fn lost() -> Status {
+fn result_lost() -> Status {
     Status::data_loss("the rest of the result was lost with its engine")
 }
 
@@ -324,8 +335,8 @@
         query: CommandStatementQuery,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let held = self.read(query.query, request.metadata())?;
-        let number = self.hold(held)?;
+        let new_request = self.parse_request(query.query, request.metadata())?;
+        let number = self.issue_ticket(new_request)?;
         let ticket = TicketStatementQuery {
             statement_handle: Bytes::copy_from_slice(&number.to_be_bytes()),
         };
@@ -343,13 +354,17 @@
         ticket: TicketStatementQuery,
         request: Request<Ticket>,
     ) -> Result<Response<FlightStream>, Status> {
-        let (mut held, running) = self.redeem(&ticket.statement_handle)?;
-        if let Some(limit) = call_timeout(request.metadata()) {
-            held.deadline = held.deadline.min(Instant::now() + limit);
+        let (mut new_request, redeemed) = self.redeem(&ticket.statement_handle)?;
+        if let Some(timeout) = call_timeout(request.metadata()) {
+            new_request.deadline = new_request.deadline.min(Instant::now() + timeout);
         }
-        let delivery = self.answer(held, &running.token).await?;
+        let result = self
+            .run_request(new_request, &redeemed.cancellation)
+            .await?;
         let encoder = FlightDataEncoderBuilder::new().with_schema(arrow::schema());
-        let data = encoder.build(pass(delivery, running)).map_err(Status::from);
+        let data = encoder
+            .build(stream_result(result, redeemed))
+            .map_err(Status::from);
         Ok(Response::new(Box::pin(data)))
     }
 
@@ -358,14 +373,14 @@
         update: CommandStatementUpdate,
         request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
-        let held = self.read(update.query, request.metadata())?;
-        let cancelled = held.cancelled.clone();
-        let mut delivery = self.answer(held, &cancelled).await?;
-        let mut rows = 0;
-        while let Some(page) = delivery.next().await.map_err(|Broken| lost())? {
-            rows += page.rows.iter().filter(|byte| **byte == b'\n').count();
+        let new_request = self.parse_request(update.query, request.metadata())?;
+        let cancellation = new_request.cancelled.clone();
+        let mut result = self.run_request(new_request, &cancellation).await?;
+        let mut row_count = 0;
+        while let Some(page) = result.next().await.map_err(|Broken| result_lost())? {
+            row_count += page.rows.iter().filter(|byte| **byte == b'\n').count();
         }
-        Ok(rows as i64)
+        Ok(row_count as i64)
     }
 
     async fn do_action_cancel_query(
@@ -373,7 +388,8 @@
         query: ActionCancelQueryRequest,
         _request: Request<Action>,
     ) -> Result<ActionCancelQueryResult, Status> {
-        let info = FlightInfo::decode(query.info).map_err(|error| invalid(error.to_string()))?;
+        let info =
+            FlightInfo::decode(query.info).map_err(|error| invalid_argument(error.to_string()))?;
         self.cancel(&info)?;
         Ok(ActionCancelQueryResult {
             result: CancelStatus::Cancelled as i32,
@@ -386,11 +402,16 @@
     ) -> Result<Response<<Self as FlightService>::DoActionStream>, Status> {
         let action = request.into_inner();
         if action.r#type != CANCEL_FLIGHT_INFO {
-            return Err(invalid(format!("no action {:?} here", action.r#type)));
+            return Err(invalid_argument(format!(
+                "no action {:?} here",
+                action.r#type
+            )));
         }
         let request = CancelFlightInfoRequest::decode(action.body)
-            .map_err(|error| invalid(error.to_string()))?;
-        let info = request.info.ok_or_else(|| invalid("no flight info"))?;
+            .map_err(|error| invalid_argument(error.to_string()))?;
+        let info = request
+            .info
+            .ok_or_else(|| invalid_argument("no flight info"))?;
         self.cancel(&info)?;
         let result = CancelFlightInfoResult {
             status: CancelStatus::Cancelled as i32,
--- a/fronts/src/flight/tests.rs
+++ b/fronts/src/flight/tests.rs
@@ -1,46 +1,52 @@
-//! What refused clients are told.
+//! Tests of the retry delay that refused Flight SQL calls carry.
 
 use super::*;
-use crate::test_router::{STATEMENT, desk, refuse};
+use crate::test_router::{STATEMENT, refuse_next_request, test_router};
 
-/// The time after which a refused client is advised to come back.
-fn advice(status: &Status) -> Option<Duration> {
+/// The retry delay of a refusal, if it carries one.
+fn retry_delay(status: &Status) -> Option<Duration> {
     assert_eq!(status.code(), Code::ResourceExhausted);
-    let told = status.get_details_retry_info();
-    told.map(|info| info.retry_delay.expect("advice tells a time"))
+    let retry_info = status.get_details_retry_info();
+    retry_info.map(|info| info.retry_delay.expect("the retry info has a delay"))
 }
 
 #[tokio::test]
-async fn a_refused_call_has_retry_info_only_where_there_is_advice() {
-    let (desk, mut broker) = desk(1000).await;
-    let front = Front::new(FrontContext { router: desk }, 1);
-    for (retry_after, told) in [
+async fn a_refused_call_has_retry_info_only_if_a_delay_is_suggested() {
+    let (router, mut broker) = test_router(1000).await;
+    let front = Front::new(FrontContext { router }, 1);
+    for (retry_after, expected) in [
         (Duration::from_millis(250), Some(Duration::from_millis(250))),
         (Duration::ZERO, None),
     ] {
-        let request = front.read(STATEMENT.to_string(), &MetadataMap::new());
-        let cancelled = CancellationToken::new();
-        let answer = front.answer(request.expect("is read"), &cancelled);
-        let (answer, ()) = tokio::join!(answer, refuse(&mut broker, retry_after));
-        assert_eq!(advice(&answer.expect_err("is refused")), told);
+        let request = front.parse_request(STATEMENT.to_string(), &MetadataMap::new());
+        let cancellation = CancellationToken::new();
+        let answer = front.run_request(request.expect("the request is valid"), &cancellation);
+        let (answer, ()) = tokio::join!(answer, refuse_next_request(&mut broker, retry_after));
+        assert_eq!(retry_delay(&answer.expect_err("is refused")), expected);
     }
 }
 
 #[tokio::test]
-async fn a_lack_of_tickets_advises_as_far_as_the_settings_allow() {
+async fn a_lack_of_tickets_suggests_the_default_delay_capped_by_the_settings() {
     let millis = Duration::from_millis;
-    for (longest, told) in [
+    for (max_retry_after_ms, expected) in [
         (0, None),
         (400, Some(millis(400))),
         (9000, Some(millis(1000))),
     ] {
-        let (desk, _broker) = desk(longest).await;
-        let front = Front::new(FrontContext { router: desk }, 1);
-        let read = || front.read(STATEMENT.to_string(), &MetadataMap::new());
-        for _ in 0..MOST_TICKETS {
-            front.hold(read().expect("is read")).expect("a ticket");
+        let (router, _broker) = test_router(max_retry_after_ms).await;
+        let front = Front::new(FrontContext { router }, 1);
+        let parse = || front.parse_request(STATEMENT.to_string(), &MetadataMap::new());
+        for _ in 0..MAX_TICKETS {
+            front
+                .issue_ticket(parse().expect("the request is valid"))
+                .expect("a ticket");
         }
-        let refused = front.hold(read().expect("is read"));
-        assert_eq!(advice(&refused.expect_err("is refused")), told, "{longest}");
+        let refused = front.issue_ticket(parse().expect("the request is valid"));
+        assert_eq!(
+            retry_delay(&refused.expect_err("is refused")),
+            expected,
+            "{max_retry_after_ms}"
+        );
     }
 }
--- a/fronts/src/lib.rs
+++ b/fronts/src/lib.rs
@@ -1,10 +1,10 @@
-//! What clients speak to: thin fronts that decode a request, call the broker and encode its answer.
+//! The fronts that clients connect to: each decodes requests, submits them to the broker and encodes the answers.
 
-mod advice;
 pub mod connection_drain;
 pub mod flight;
 pub mod incoming;
 pub mod pg;
+mod retry_delay;
 pub mod session_slots;
 pub mod statement;
 #[cfg(test)]
@@ -18,7 +18,7 @@
     pub router: Desk,
 }
 
-/// What a client is told of a failure.
+/// The message that tells a client why its request failed.
 pub fn failure_message(failure: Failure) -> &'static str {
     match failure {
         Failure::Unanswered => "no ledger engine answered; the statement may have run",
--- a/fronts/src/pg/codec.rs
+++ b/fronts/src/pg/codec.rs
@@ -1,132 +1,143 @@
-//! The PostgreSQL protocol 3.0, as far as clients of a dispatcher speak it.
+//! The codec of the PostgreSQL protocol 3.0, as far as clients of a dispatcher use it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use sedgebeam_port::Page;
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-const MOST_STARTUP: usize = 10_000;
-/// Columns of every result.
-pub const COLUMNS: usize = 3;
+/// The longest startup packet.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// The number of columns of every result.
+pub const COLUMN_COUNT: usize = 3;
 
 const PROTOCOL_3: u32 = 3 << 16;
-const CANCEL: u32 = 80_877_102;
-const SSL: u32 = 80_877_103;
-const GSS: u32 = 80_877_104;
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+const GSS_ENCRYPTION_REQUEST_CODE: u32 = 80_877_104;
 
-/// What a client says.
+/// A message from a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ClientMessage {
     Startup,
-    /// Asks for encryption of either kind.
-    Encrypt,
-    Cancel(u64),
+    /// A request for SSL or GSSAPI encryption.
+    EncryptionRequest,
+    /// A request to cancel the query of the session with this key.
+    CancelRequest(u64),
     Query(Bytes),
     Sync,
     Terminate,
+    /// Any other message, by its type byte.
     Other(u8),
 }
 
-/// What a client is told.
+/// A message, or a group of messages, to a client.
 #[derive(Clone, Debug)]
-pub enum Say {
-    NoEncryption,
-    /// The start is over: the session's key, and ready.
-    Welcome(u64),
-    Columns,
-    Rows(Page),
-    Complete(u64),
-    Empty,
-    Error(Error),
-    Ready,
+pub enum ServerMessage {
+    EncryptionRefused,
+    /// The end of the startup: authentication, parameters, the session's key, and ReadyForQuery.
+    SessionStart(u64),
+    RowDescription,
+    DataRows(Page),
+    /// The result is complete; it has this many rows.
+    CommandComplete(u64),
+    EmptyQueryResponse,
+    ErrorResponse(ErrorFields),
+    ReadyForQuery,
 }
 
 #[derive(Clone, Debug)]
-pub struct Error {
+pub struct ErrorFields {
+    /// The SQLSTATE code.
     pub code: &'static str,
     pub message: String,
     pub hint: Option<String>,
 }
 
-pub struct Pg {
-    started: bool,
-    /// The longest message that a client may send.
-    most: usize,
+pub struct PgCodec {
+    /// The startup packet has been read.
+    is_started: bool,
+    max_message_bytes: usize,
 }
 
-fn invalid(why: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why)
+fn invalid_data(message: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
-impl Pg {
-    pub fn new(most: usize) -> Pg {
-        let started = false;
-        Pg { started, most }
+impl PgCodec {
+    pub fn new(max_message_bytes: usize) -> PgCodec {
+        let is_started = false;
+        PgCodec {
+            is_started,
+            max_message_bytes,
+        }
     }
 
-    fn startup(&mut self, mut body: Bytes) -> io::Result<Said> {
+    fn decode_startup(&mut self, mut body: Bytes) -> io::Result<ClientMessage> {
         let code = body
             .try_get_u32()
-            .map_err(|_| invalid("a start without a version"))?;
+            .map_err(|_| invalid_data("a start without a version"))?;
         Ok(match code {
-            SSL | GSS => Said::Encrypt,
-            CANCEL => Said::Cancel(
+            SSL_REQUEST_CODE | GSS_ENCRYPTION_REQUEST_CODE => ClientMessage::EncryptionRequest,
+            CANCEL_REQUEST_CODE => ClientMessage::CancelRequest(
                 body.try_get_u64()
-                    .map_err(|_| invalid("a cancel without key"))?,
+                    .map_err(|_| invalid_data("a cancel without key"))?,
             ),
             code if code >> 16 == PROTOCOL_3 >> 16 => {
-                self.started = true;
-                Said::Startup
+                self.is_started = true;
+                ClientMessage::Startup
             }
-            _ => return Err(invalid("not protocol 3")),
+            _ => return Err(invalid_data("not protocol 3")),
         })
     }
 }
 
-impl Decoder for Pg {
-    type Item = Said;
+impl Decoder for PgCodec {
+    type Item = ClientMessage;
     type Error = io::Error;
 
-    fn decode(&mut self, bytes: &mut BytesMut) -> io::Result<Option<Said>> {
-        let (head, most) = if self.started {
-            (1, self.most)
+    fn decode(&mut self, bytes: &mut BytesMut) -> io::Result<Option<ClientMessage>> {
+        // The startup packet has no type byte.
+        let (type_bytes, max_length) = if self.is_started {
+            (1, self.max_message_bytes)
         } else {
-            (0, MOST_STARTUP)
+            (0, MAX_STARTUP_BYTES)
         };
-        let Some(length) = bytes.get(head..head + 4) else {
+        let Some(length) = bytes.get(type_bytes..type_bytes + 4) else {
             return Ok(None);
         };
         let length = length
             .iter()
             .fold(0usize, |sum, byte| sum << 8 | usize::from(*byte));
-        if !(4..=most).contains(&length) {
-            return Err(invalid("a message of an impossible length"));
+        if !(4..=max_length).contains(&length) {
+            return Err(invalid_data("a message of an impossible length"));
         }
-        if bytes.len() < head + length {
-            bytes.reserve(head + length - bytes.len());
+        if bytes.len() < type_bytes + length {
+            bytes.reserve(type_bytes + length - bytes.len());
             return Ok(None);
         }
-        let mut message = bytes.split_to(head + length).freeze();
-        let kind = message[0];
-        message.advance(head + 4);
-        if !self.started {
-            return self.startup(message).map(Some);
+        let mut message = bytes.split_to(type_bytes + length).freeze();
+        let message_type = message[0];
+        message.advance(type_bytes + 4);
+        if !self.is_started {
+            return self.decode_startup(message).map(Some);
         }
-        Ok(Some(match kind {
+        Ok(Some(match message_type {
             b'Q' => {
                 let end = message.iter().position(|byte| *byte == 0);
-                Said::Query(message.slice(..end.ok_or_else(|| invalid("a query without end"))?))
+                ClientMessage::Query(
+                    message.slice(..end.ok_or_else(|| invalid_data("a query without end"))?),
+                )
             }
-            b'S' => Said::Sync,
-            b'X' => Said::Terminate,
-            other => Said::Other(other),
+            b'S' => ClientMessage::Sync,
+            b'X' => ClientMessage::Terminate,
+            other => ClientMessage::Other(other),
         }))
     }
 }
 
-/// Writes a message: its kind, its length, and its body.
-fn message(bytes: &mut BytesMut, kind: u8, body: impl FnOnce(&mut BytesMut)) {
-    bytes.put_u8(kind);
+/// Writes a message: its type, its length and its body.
+fn put_message(bytes: &mut BytesMut, message_type: u8, body: impl FnOnce(&mut BytesMut)) {
+    bytes.put_u8(message_type);
     let start = bytes.len();
     bytes.put_u32(0);
     body(bytes);
@@ -134,21 +145,22 @@
     bytes[start..start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-fn text(bytes: &mut BytesMut, text: &str) {
+/// Writes a string with the zero byte that ends it.
+fn put_string(bytes: &mut BytesMut, text: &str) {
     bytes.put_slice(text.as_bytes());
     bytes.put_u8(0);
 }
 
-/// A row of text columns; what is missing is null.
-fn row(bytes: &mut BytesMut, line: &[u8]) {
-    message(bytes, b'D', |bytes| {
-        bytes.put_u16(COLUMNS as u16);
-        let mut cells = line.splitn(COLUMNS, |byte| *byte == b'\t');
-        for _ in 0..COLUMNS {
-            match cells.next() {
-                Some(cell) => {
-                    bytes.put_u32(cell.len() as u32);
-                    bytes.put_slice(cell);
+/// Writes a row of text columns from a tab-separated line; missing columns are null.
+fn put_data_row(bytes: &mut BytesMut, line: &[u8]) {
+    put_message(bytes, b'D', |bytes| {
+        bytes.put_u16(COLUMN_COUNT as u16);
+        let mut values = line.splitn(COLUMN_COUNT, |byte| *byte == b'\t');
+        for _ in 0..COLUMN_COUNT {
+            match values.next() {
+                Some(value) => {
+                    bytes.put_u32(value.len() as u32);
+                    bytes.put_slice(value);
                 }
                 None => bytes.put_i32(-1),
             }
@@ -156,12 +168,12 @@
     });
 }
 
-fn columns(bytes: &mut BytesMut) {
-    message(bytes, b'T', |bytes| {
-        bytes.put_u16(COLUMNS as u16);
-        for column in 1..=COLUMNS {
-            text(bytes, &format!("column{column}"));
-            // No table, no column of one; text, of any length, without modifier, in text format.
+fn put_row_description(bytes: &mut BytesMut) {
+    put_message(bytes, b'T', |bytes| {
+        bytes.put_u16(COLUMN_COUNT as u16);
+        for column in 1..=COLUMN_COUNT {
+            put_string(bytes, &format!("column{column}"));
+            // No table OID or column number; type text (OID 25), of variable size, without modifier, in text format.
             bytes.put_u32(0);
             bytes.put_u16(0);
             bytes.put_u32(25);
@@ -172,9 +184,9 @@
     });
 }
 
-fn welcome(bytes: &mut BytesMut, key: u64) {
-    message(bytes, b'R', |bytes| bytes.put_u32(0));
-    let told = [
+fn put_session_start(bytes: &mut BytesMut, key: u64) {
+    put_message(bytes, b'R', |bytes| bytes.put_u32(0));
+    let parameters = [
         ("server_version", "15.0"),
         ("server_encoding", "UTF8"),
         ("client_encoding", "UTF8"),
@@ -182,22 +194,22 @@
         ("integer_datetimes", "on"),
         ("standard_conforming_strings", "on"),
     ];
-    for (name, value) in told {
-        message(bytes, b'S', |bytes| {
-            text(bytes, name);
-            text(bytes, value);
+    for (name, value) in parameters {
+        put_message(bytes, b'S', |bytes| {
+            put_string(bytes, name);
+            put_string(bytes, value);
         });
     }
-    message(bytes, b'K', |bytes| bytes.put_u64(key));
-    ready(bytes);
+    put_message(bytes, b'K', |bytes| bytes.put_u64(key));
+    put_ready_for_query(bytes);
 }
 
-fn ready(bytes: &mut BytesMut) {
-    message(bytes, b'Z', |bytes| bytes.put_u8(b'I'));
+fn put_ready_for_query(bytes: &mut BytesMut) {
+    put_message(bytes, b'Z', |bytes| bytes.put_u8(b'I'));
 }
 
-fn error(bytes: &mut BytesMut, error: &Error) {
-    message(bytes, b'E', |bytes| {
+fn put_error(bytes: &mut BytesMut, error: &ErrorFields) {
+    put_message(bytes, b'E', |bytes| {
         let fields = [
             (b'S', "ERROR"),
             (b'V', "ERROR"),
@@ -207,32 +219,36 @@
         let hint = error.hint.as_deref().map(|hint| (b'H', hint));
         for (field, value) in fields.into_iter().chain(hint) {
             bytes.put_u8(field);
-            text(bytes, value);
+            put_string(bytes, value);
         }
         bytes.put_u8(0);
     });
 }
 
-impl Encoder<Say> for Pg {
+impl Encoder<ServerMessage> for PgCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, say: Say, bytes: &mut BytesMut) -> io::Result<()> {
-        match say {
-            Say::NoEncryption => bytes.put_u8(b'N'),
-            Say::Welcome(key) => welcome(bytes, key),
-            Say::Columns => columns(bytes),
-            Say::Rows(page) => {
+    fn encode(&mut self, message: ServerMessage, bytes: &mut BytesMut) -> io::Result<()> {
+        match message {
+            ServerMessage::EncryptionRefused => bytes.put_u8(b'N'),
+            ServerMessage::SessionStart(key) => put_session_start(bytes, key),
+            ServerMessage::RowDescription => put_row_description(bytes),
+            ServerMessage::DataRows(page) => {
                 let lines = page.rows.split(|byte| *byte == b'\n');
-                // Behind the last line feed stands no row.
-                let whole = page.rows.iter().filter(|byte| **byte == b'\n').count();
-                lines.take(whole).for_each(|line| row(bytes, line));
+                // Whatever follows the last line feed is not a row.
+                let row_count = page.rows.iter().filter(|byte| **byte == b'\n').count();
+                lines
+                    .take(row_count)
+                    .for_each(|line| put_data_row(bytes, line));
             }
-            Say::Complete(rows) => {
-                message(bytes, b'C', |bytes| text(bytes, &format!("SELECT {rows}")));
+            ServerMessage::CommandComplete(rows) => {
+                put_message(bytes, b'C', |bytes| {
+                    put_string(bytes, &format!("SELECT {rows}"))
+                });
             }
-            Say::Empty => message(bytes, b'I', |_| {}),
-            Say::Error(told) => error(bytes, &told),
-            Say::Ready => ready(bytes),
+            ServerMessage::EmptyQueryResponse => put_message(bytes, b'I', |_| {}),
+            ServerMessage::ErrorResponse(error) => put_error(bytes, &error),
+            ServerMessage::ReadyForQuery => put_ready_for_query(bytes),
         }
         Ok(())
     }
@@ -242,32 +258,49 @@
 mod tests {
     use super::*;
 
-    fn decode(started: bool, bytes: &[u8]) -> io::Result<Option<Said>> {
-        let most = 4096;
-        Pg { started, most }.decode(&mut BytesMut::from(bytes))
+    fn decode(is_started: bool, bytes: &[u8]) -> io::Result<Option<ClientMessage>> {
+        let max_message_bytes = 4096;
+        PgCodec {
+            is_started,
+            max_message_bytes,
+        }
+        .decode(&mut BytesMut::from(bytes))
     }
 
     #[test]
-    fn the_first_query_may_come_with_the_start_and_all_cut_at_any_byte() {
-        let whole = b"\0\0\0\x09\0\x03\0\0\0Q\0\0\0\x06;\0X\0\0\0\x04";
-        let query = Said::Query(Bytes::from_static(b";"));
-        for first in 0..whole.len() {
-            for second in first..whole.len() {
-                let (mut codec, mut bytes, mut said) = (Pg::new(4096), BytesMut::new(), Vec::new());
-                for piece in [&whole[..first], &whole[first..second], &whole[second..]] {
+    fn a_startup_with_a_first_query_is_decoded_wherever_the_stream_is_split() {
+        let input = b"\0\0\0\x09\0\x03\0\0\0Q\0\0\0\x06;\0X\0\0\0\x04";
+        let query = ClientMessage::Query(Bytes::from_static(b";"));
+        for first_split in 0..input.len() {
+            for second_split in first_split..input.len() {
+                let (mut codec, mut bytes, mut messages) =
+                    (PgCodec::new(4096), BytesMut::new(), Vec::new());
+                for piece in [
+                    &input[..first_split],
+                    &input[first_split..second_split],
+                    &input[second_split..],
+                ] {
                     bytes.extend_from_slice(piece);
-                    while let Some(message) = codec.decode(&mut bytes).expect("is read") {
-                        said.push(message);
+                    while let Some(message) = codec.decode(&mut bytes).expect("the input is valid")
+                    {
+                        messages.push(message);
                     }
                 }
-                assert_eq!(said, [Said::Startup, query.clone(), Said::Terminate]);
+                assert_eq!(
+                    messages,
+                    [
+                        ClientMessage::Startup,
+                        query.clone(),
+                        ClientMessage::Terminate
+                    ]
+                );
             }
         }
     }
 
     #[test]
-    fn what_is_malformed_is_an_error_and_never_a_wait_without_end() {
-        for (started, bytes) in [
+    fn malformed_input_is_an_error_and_never_an_endless_wait() {
+        for (is_started, bytes) in [
             (false, &b"\0\0\0\x03"[..]),
             (false, b"\x7f\0\0\0"),
             (false, b"\0\0\0\x06\0\x03"),
@@ -277,35 +310,38 @@
             (true, b"Q\x7f\xff\xff\xff"),
             (true, b"Q\0\0\0\x05x"),
         ] {
-            assert!(decode(started, bytes).is_err(), "{bytes:?}");
+            assert!(decode(is_started, bytes).is_err(), "{bytes:?}");
         }
-        assert_eq!(decode(true, b"Q\0\0").expect("is no error"), None);
+        assert_eq!(
+            decode(true, b"Q\0\0").expect("an incomplete message is no error"),
+            None
+        );
     }
 
     #[test]
-    fn rows_have_three_columns_whatever_a_line_holds() {
+    fn every_row_has_three_columns_whatever_its_line_contains() {
         let page = |rows: &'static [u8]| Page {
             rows: Bytes::from_static(rows),
             last: true,
         };
-        for (rows, count) in [
+        for (rows, expected) in [
             (&b""[..], 0),
             (b"a\tb\tc\n", 1),
             (b"a\n\n", 2),
             (b"a\tb\tc\td\ncut", 1),
         ] {
             let mut bytes = BytesMut::new();
-            Pg::new(4096)
-                .encode(Say::Rows(page(rows)), &mut bytes)
-                .expect("encodes");
-            let mut found = 0;
+            PgCodec::new(4096)
+                .encode(ServerMessage::DataRows(page(rows)), &mut bytes)
+                .expect("the page is encoded");
+            let mut row_count = 0;
             while !bytes.is_empty() {
                 assert_eq!(&bytes[5..7], &[0, 3]);
                 let length = u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]);
                 bytes.advance(1 + length as usize);
-                found += 1;
+                row_count += 1;
             }
-            assert_eq!(found, count, "{rows:?}");
+            assert_eq!(row_count, expected, "{rows:?}");
         }
     }
 }
--- a/fronts/src/pg/inbox.rs
+++ b/fronts/src/pg/inbox.rs
@@ -1,74 +1,75 @@
-//! What a client has said while its session was busy, and when each message came.
+//! Messages that a client sent while its session was busy, each with the time at which it was received.
 //!
-//! A client's patience counts from the last byte of its command. A command that was read while an earlier one was under way
-//! has been waiting since then, not since it was begun.
+//! A client's time limit counts from the last byte of its command. A command that was received while an earlier one
+//! was in progress has been waiting since then, not since the session began to process it.
 
-use super::codec::Said;
+use super::codec::ClientMessage;
 use std::collections::VecDeque;
 use std::io;
 use tokio::time::Instant;
 
 /// Messages that a client may have sent ahead of the answer to an earlier one.
-const MOST_HELD: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// A message, and when its last byte was read.
 #[derive(Debug)]
-pub struct Heard {
-    pub said: Said,
-    pub came: Instant,
+pub struct ReceivedMessage {
+    pub message: ClientMessage,
+    pub received_at: Instant,
 }
 
-impl Heard {
+impl ReceivedMessage {
     /// A message that was read just now.
-    pub fn now(said: Said) -> Heard {
-        Heard {
-            said,
-            came: Instant::now(),
+    pub fn now(message: ClientMessage) -> ReceivedMessage {
+        ReceivedMessage {
+            message,
+            received_at: Instant::now(),
         }
     }
 }
 
-/// Messages that wait, in order.
+/// The messages that wait to be processed, in order.
 #[derive(Debug)]
 pub struct Inbox {
-    waiting: VecDeque<Heard>,
-    /// Bytes of their statements, and the most that there may be.
-    bytes: usize,
-    most_bytes: usize,
+    queue: VecDeque<ReceivedMessage>,
+    /// The total length of the queued statements.
+    statement_bytes: usize,
+    max_statement_bytes: usize,
 }
 
 impl Inbox {
-    /// One that holds no more bytes of statements than one message may have.
-    pub fn new(most_bytes: usize) -> Inbox {
+    /// The queued statements may not be longer together than one message may be.
+    pub fn new(max_statement_bytes: usize) -> Inbox {
         Inbox {
-            waiting: VecDeque::new(),
-            bytes: 0,
-            most_bytes,
+            queue: VecDeque::new(),
+            statement_bytes: 0,
+            max_statement_bytes,
         }
     }
 
-    /// Keeps a message that has come just now; an error where that is more than can be kept.
-    pub fn keep(&mut self, said: Said) -> io::Result<()> {
-        self.bytes += length(&said);
-        self.waiting.push_back(Heard::now(said));
-        if self.bytes > self.most_bytes || self.waiting.len() > MOST_HELD {
-            let why = "too much was sent ahead of an answer";
-            return Err(io::Error::new(io::ErrorKind::InvalidData, why));
+    /// Queues a message that was read just now; fails if that exceeds a limit of the inbox.
+    pub fn push(&mut self, message: ClientMessage) -> io::Result<()> {
+        self.statement_bytes += statement_length(&message);
+        self.queue.push_back(ReceivedMessage::now(message));
+        if self.statement_bytes > self.max_statement_bytes || self.queue.len() > MAX_QUEUED_MESSAGES
+        {
+            let reason = "too much was sent ahead of an answer";
+            return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
         }
         Ok(())
     }
 
-    /// The message that came first.
-    pub fn next(&mut self) -> Option<Heard> {
-        let heard = self.waiting.pop_front()?;
-        self.bytes -= length(&heard.said);
-        Some(heard)
+    /// Removes the oldest message.
+    pub fn pop(&mut self) -> Option<ReceivedMessage> {
+        let received = self.queue.pop_front()?;
+        self.statement_bytes -= statement_length(&received.message);
+        Some(received)
     }
 }
 
-fn length(said: &Said) -> usize {
-    match said {
-        Said::Query(text) => text.len(),
+fn statement_length(message: &ClientMessage) -> usize {
+    match message {
+        ClientMessage::Query(text) => text.len(),
         _ => 0,
     }
 }
--- a/fronts/src/pg/mod.rs
+++ b/fronts/src/pg/mod.rs
@@ -1,18 +1,18 @@
-//! The platform's front: sessions of the PostgreSQL protocol, one actor each.
+//! The PostgreSQL front: every session is served by a task of its own.
 
 mod codec;
 mod inbox;
 #[cfg(test)]
 mod tests;
 
-use super::advice::RetryAdvice;
 use super::connection_drain::ConnectionDrain;
+use super::retry_delay::RetryDelay;
 use super::session_slots::{SessionSlot, SessionState};
 use super::{FrontContext, failure_message, statement};
 use bytes::Bytes;
-use codec::{Error, Pg, Said, Say};
+use codec::{ClientMessage, ErrorFields, PgCodec, ServerMessage};
 use futures::{FutureExt, Sink, SinkExt, Stream as Messages, StreamExt};
-use inbox::{Heard, Inbox};
+use inbox::{Inbox, ReceivedMessage};
 use sedgebeam_port::{Answer, Broken, Delivery, Desk, Failure, SessionKey};
 use sedgebeam_sockets::Stream;
 use std::future::poll_fn;
@@ -28,227 +28,243 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// A connection that has not said what it wants by then is closed.
-const STARTUP: Duration = Duration::from_secs(2);
-/// A message that stays half for this long, or up to twice as long, ends its session.
-const HALF: Duration = Duration::from_secs(1);
-/// The pause before anything more is read of a client whose message was of no use, doubled with each in a
-/// row: one that sends the same again at once takes no time from the others.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// A client that takes nothing of a short answer for so long has gone: its request is answered, but nobody else would
-/// have its place.
-const TAKES: Duration = Duration::from_secs(5);
-/// Commands that are refused one by one when a session ends before it has come to them.
-const MOST_REFUSED: usize = 1024;
-/// A connection that is closed has so long to take its last word and go, and may say so much meanwhile.
-const FAREWELL: Duration = Duration::from_millis(500);
-const MOST_FAREWELL: u64 = 64 * 1024;
-/// So many of them in a row end the session, all within the 3 s in which such a client is owed a word.
-const MOST_USELESS: u32 = 7;
-
-type Wire = Framed<Stream, Pg>;
-
-/// What sessions have in common.
+/// A connection that has not completed its startup by then is closed.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
+/// A message that stays incomplete for this long, or up to twice as long, ends its session.
+const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Base of the pause before reading on after a rejected statement. It doubles with each consecutive rejection, so that a
+/// client that resends the same statement at once takes no time from the others.
+const BASE_REJECTION_PAUSE: Duration = Duration::from_millis(10);
+/// A client that takes nothing of a short answer for this long is considered gone: its request has been answered, but
+/// its session would keep the slot from other clients.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Commands that are refused one by one when a session ends before it has processed them.
+const MAX_REFUSED_COMMANDS: usize = 1024;
+/// How long a closed connection may take to receive its last message and close its side.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How much a client may still send meanwhile.
+const MAX_LINGER_BYTES: u64 = 64 * 1024;
+/// This many consecutive rejections end the session, all within the 3 s in which such a client must get an answer.
+const MAX_CONSECUTIVE_REJECTIONS: u32 = 7;
+
+type PgConnection = Framed<Stream, PgCodec>;
+
+/// What all sessions share.
 #[derive(Clone)]
 pub struct SessionContext {
     pub front_context: FrontContext,
     /// The longest message that a client may send.
     pub max_message_bytes: usize,
-    /// Held by connections that are closed without a place: those turned away, and those that gave theirs up.
+    /// A permit is held by each connection that is being closed without a slot: rejected ones and evicted sessions.
     pub lingering_closes: Arc<Semaphore>,
 }
 
 impl SessionContext {
-    /// Ends a connection that has no place. Where too many without one stay already, only what can be done at once is
-    /// done: what has come is refused, and with nothing left unread the close is no reset.
-    async fn as_may_stay(&self, goodbye: impl Future<Output = ()>) {
+    /// Runs the closing of a connection without a slot. If too many such connections linger already, only what needs
+    /// no waiting is done: received commands are refused, and with nothing left unread the close is not a reset.
+    async fn close_without_slot(&self, closing: impl Future<Output = ()>) {
         match self.lingering_closes.try_acquire() {
-            Ok(_farewell) => goodbye.await,
+            Ok(_permit) => closing.await,
             Err(_) => {
-                let _ = at_once(goodbye);
+                let _ = poll_once(closing);
             }
         }
     }
 }
 
-/// Serves a connection until it ends, or until it must go.
+/// Serves a connection until it ends, is evicted or has to close in a drain.
 pub async fn serve(
     stream: TcpStream,
-    serving: SessionContext,
+    session_context: SessionContext,
     key: SessionKey,
-    leave: ConnectionDrain,
-    place: SessionSlot,
+    drain: ConnectionDrain,
+    slot: SessionSlot,
 ) {
-    let gives_way = place.eviction();
+    let eviction = slot.eviction();
     let mut session = Session {
-        wire: Framed::new(Stream::new(stream), Pg::new(serving.max_message_bytes)),
-        shared: serving.front_context.clone(),
+        connection: Framed::new(
+            Stream::new(stream),
+            PgCodec::new(session_context.max_message_bytes),
+        ),
+        front_context: session_context.front_context.clone(),
         key,
-        leave,
-        place,
-        useless: 0,
-        inbox: Inbox::new(serving.max_message_bytes),
-        gone: false,
-        started: false,
-        asked: false,
+        drain,
+        slot,
+        consecutive_rejections: 0,
+        inbox: Inbox::new(session_context.max_message_bytes),
+        client_closed: false,
+        is_started: false,
+        command_received: false,
     };
     let ended = tokio::select! {
         biased;
-        () = gives_way.cancelled() => None,
+        () = eviction.cancelled() => None,
         ended = session.run() => Some(ended),
     };
     match ended {
         None => {
-            log::debug!("session {}: gives way", key.0);
-            let goodbye = async {
-                session.refuse_rest().await;
-                session.refuse_first().await;
-                farewell(session.wire).await;
+            log::debug!("session {}: evicted", key.0);
+            let closing = async {
+                session.refuse_unprocessed_commands().await;
+                session.refuse_first_command().await;
+                linger_and_close(session.connection).await;
             };
-            serving.as_may_stay(goodbye).await;
+            session_context.close_without_slot(closing).await;
         }
         Some(ended) => {
             if let Err(error) = &ended {
                 log::debug!("session {}: {error}", key.0);
-                session.complain(error).await;
+                session.report_protocol_error(error).await;
             }
-            session.refuse_rest().await;
+            session.refuse_unprocessed_commands().await;
             if ended.is_ok() {
-                session.refuse_first().await;
+                session.refuse_first_command().await;
             }
-            // It is the first to give way to a newcomer now.
-            session.place.set_state(SessionState::Unproven);
-            let mut closed = std::pin::pin!(farewell(session.wire));
+            // From now on it is among the first to be evicted for a new session.
+            session.slot.set_state(SessionState::Unproven);
+            let mut closing = std::pin::pin!(linger_and_close(session.connection));
             tokio::select! {
                 biased;
-                () = &mut closed => return,
-                () = gives_way.cancelled() => {}
+                () = &mut closing => return,
+                () = eviction.cancelled() => {}
             }
-            serving.as_may_stay(closed).await;
+            session_context.close_without_slot(closing).await;
         }
     }
 }
 
-/// Why a connection is refused.
+/// Why a connection is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     NoFreeSlot,
     Draining,
 }
 
-/// Refuses a connection. It may have come to cancel what another session has under way, and for that needs no place.
-pub async fn reject_connection(stream: TcpStream, serving: &SessionContext, why: RejectReason) {
-    let goodbye = refuse_connection(stream, &serving.front_context, why);
-    serving.as_may_stay(goodbye).await;
+/// Rejects a connection. It may carry a cancel request for another session, which needs no slot and is served.
+pub async fn reject_connection(
+    stream: TcpStream,
+    session_context: &SessionContext,
+    reason: RejectReason,
+) {
+    let closing = send_rejection(stream, &session_context.front_context, reason);
+    session_context.close_without_slot(closing).await;
 }
 
-async fn refuse_connection(stream: TcpStream, shared: &FrontContext, why: RejectReason) {
-    let told = match why {
-        RejectReason::NoFreeSlot => no_place(&shared.router),
-        RejectReason::Draining => draining(&shared.router),
+async fn send_rejection(stream: TcpStream, front_context: &FrontContext, reason: RejectReason) {
+    let error = match reason {
+        RejectReason::NoFreeSlot => no_slot_error(&front_context.router),
+        RejectReason::Draining => draining_error(&front_context.router),
     };
-    // No statement is read with this one.
-    let mut wire = Framed::new(Stream::new(stream), Pg::new(0));
-    let heard = async {
-        wire.send(Say::Error(told)).await?;
-        SinkExt::close(&mut wire).await?;
-        while let Some(said) = wire.next().await {
-            if let Said::Cancel(key) = said? {
-                shared.router.cancel(SessionKey(key)).await;
+    // With a limit of 0 bytes the codec fails on every message behind the startup packet.
+    let mut connection = Framed::new(Stream::new(stream), PgCodec::new(0));
+    let rejection = async {
+        connection.send(ServerMessage::ErrorResponse(error)).await?;
+        SinkExt::close(&mut connection).await?;
+        while let Some(message) = connection.next().await {
+            if let ClientMessage::CancelRequest(key) = message? {
+                front_context.router.cancel(SessionKey(key)).await;
             }
         }
         io::Result::Ok(())
     };
-    match timeout(FAREWELL, heard).await {
+    match timeout(LINGER_TIMEOUT, rejection).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => log::debug!("a connection that was turned away: {error}"),
-        Err(_) => log::debug!("a connection that was turned away stays"),
+        Ok(Err(error)) => log::debug!("rejected connection: {error}"),
+        Err(_) => log::debug!("rejected connection: the client did not close it in time"),
     }
-    farewell(wire).await;
+    linger_and_close(connection).await;
 }
 
-/// Closes a connection in order: what is written goes out, and what its client still says is read and dropped until it
-/// has closed it too, or for a while. Closing over bytes that nobody has read resets the connection, and that takes away
-/// what the client has not read yet.
-async fn farewell(mut wire: Wire) {
-    let farewell = async {
-        SinkExt::close(&mut wire).await?;
-        let mut rest = wire.into_inner().take(MOST_FAREWELL);
-        tokio::io::copy(&mut rest, &mut tokio::io::sink()).await
+/// Closes a connection without a reset: flushes what was written, then reads and drops what the client still sends
+/// until it closes its side, for a limited time. Closing a socket with unread bytes resets the connection, and the client
+/// loses what it has not read yet.
+async fn linger_and_close(mut connection: PgConnection) {
+    let lingering = async {
+        SinkExt::close(&mut connection).await?;
+        let mut unread = connection.into_inner().take(MAX_LINGER_BYTES);
+        tokio::io::copy(&mut unread, &mut tokio::io::sink()).await
     };
-    // Whoever stays, or is gone already, has had what there was.
-    let _ = timeout(FAREWELL, farewell).await;
+    // After a timeout or an error there is nothing left to do for this client.
+    let _ = timeout(LINGER_TIMEOUT, lingering).await;
 }
 
-/// An error that says that nothing ran, and where there is advice when to come back: in the text, as the clients'
-/// protocol has it, and in a hint for people.
-fn refusal(code: &'static str, reason: &str, advice: Option<RetryAdvice>) -> Error {
+/// The error of a request that did not run, with a retry delay if one is suggested: in the message, in the form that
+/// clients parse, and in a hint for people.
+fn refusal_error(code: &'static str, reason: &str, retry_delay: Option<RetryDelay>) -> ErrorFields {
     let mut message = reason.to_string();
-    let later = advice.map(RetryAdvice::millis);
-    if let Some(millis) = later {
+    let retry_delay_ms = retry_delay.map(RetryDelay::as_millis);
+    if let Some(millis) = retry_delay_ms {
         message.push_str(&format!("; later={millis}"));
     }
-    Error {
+    ErrorFields {
         code,
         message,
-        hint: later.map(|millis| format!("try again in {millis} ms")),
+        hint: retry_delay_ms.map(|millis| format!("try again in {millis} ms")),
     }
 }
 
-fn busy(retry_after: Duration) -> Error {
+fn busy_error(retry_after: Duration) -> ErrorFields {
     let reason = "too busy to run the statement; it did not run";
-    refusal("53300", reason, RetryAdvice::new(retry_after))
+    refusal_error("53300", reason, RetryDelay::new(retry_after))
 }
 
-fn no_place(desk: &Desk) -> Error {
-    let advice = RetryAdvice::usual(&desk.tuning().settings);
-    refusal("53300", "there are too many sessions; nothing ran", advice)
+fn no_slot_error(router: &Desk) -> ErrorFields {
+    let retry_delay = RetryDelay::default_for(&router.tuning().settings);
+    refusal_error(
+        "53300",
+        "there are too many sessions; nothing ran",
+        retry_delay,
+    )
 }
 
-fn draining(desk: &Desk) -> Error {
-    let advice = RetryAdvice::usual(&desk.tuning().settings);
+fn draining_error(router: &Desk) -> ErrorFields {
+    let retry_delay = RetryDelay::default_for(&router.tuning().settings);
     let reason = "this dispatcher takes no more work; nothing ran";
-    refusal("57P03", reason, advice)
+    refusal_error("57P03", reason, retry_delay)
 }
 
 struct Session {
-    wire: Wire,
-    shared: FrontContext,
+    connection: PgConnection,
+    front_context: FrontContext,
     key: SessionKey,
-    leave: ConnectionDrain,
-    place: SessionSlot,
-    /// Messages of no use in a row.
-    useless: u32,
-    /// What the client said while the session was busy.
+    drain: ConnectionDrain,
+    slot: SessionSlot,
+    /// Statements rejected in a row.
+    consecutive_rejections: u32,
+    /// Messages received while the session was busy.
     inbox: Inbox,
-    /// The client has closed its side.
-    gone: bool,
-    /// Its start is over: commands may come.
-    started: bool,
-    /// A command has come.
-    asked: bool,
+    /// The client has closed its side or sent Terminate.
+    client_closed: bool,
+    /// The startup is complete: commands may follow.
+    is_started: bool,
+    /// At least one command has been received.
+    command_received: bool,
 }
 
 impl Session {
     async fn run(&mut self) -> io::Result<()> {
-        let started = timeout(STARTUP, self.start()).await;
-        // Whoever speaks another protocol could not read a complaint.
-        if !started.map_err(late)?.map_err(io::Error::other)? {
+        let started = timeout(STARTUP_TIMEOUT, self.startup()).await;
+        // Errors get a kind that is not reported to the client: one of another protocol could not read the report.
+        if !started.map_err(timed_out)?.map_err(io::Error::other)? {
             return Ok(());
         }
-        self.started = true;
-        while let Some(Heard { said, came }) = self.listen().await? {
-            self.asked = true;
-            match said {
-                Said::Query(text) => {
-                    if !self.query(text, came).await? {
+        self.is_started = true;
+        while let Some(ReceivedMessage {
+            message,
+            received_at,
+        }) = self.next_message().await?
+        {
+            self.command_received = true;
+            match message {
+                ClientMessage::Query(text) => {
+                    if !self.run_query(text, received_at).await? {
                         break;
                     }
                 }
-                Said::Terminate => break,
-                Said::Sync => self.say(Say::Ready).await?,
-                said => {
-                    if !self.unsupported(&said).await? {
+                ClientMessage::Terminate => break,
+                ClientMessage::Sync => self.send(ServerMessage::ReadyForQuery).await?,
+                message => {
+                    if !self.reject_unsupported(&message).await? {
                         break;
                     }
                 }
@@ -257,17 +273,19 @@
         Ok(())
     }
 
-    /// The start of a session; false where the connection wanted something else.
-    async fn start(&mut self) -> io::Result<bool> {
-        while let Some(said) = self.wire.next().await {
-            match said? {
-                Said::Encrypt => self.say(Say::NoEncryption).await?,
-                Said::Startup => {
-                    self.say(Say::Welcome(self.key.0)).await?;
+    /// Runs the startup; false if the connection was opened for something else than a session.
+    async fn startup(&mut self) -> io::Result<bool> {
+        while let Some(message) = self.connection.next().await {
+            match message? {
+                ClientMessage::EncryptionRequest => {
+                    self.send(ServerMessage::EncryptionRefused).await?
+                }
+                ClientMessage::Startup => {
+                    self.send(ServerMessage::SessionStart(self.key.0)).await?;
                     return Ok(true);
                 }
-                Said::Cancel(key) => {
-                    self.shared.router.cancel(SessionKey(key)).await;
+                ClientMessage::CancelRequest(key) => {
+                    self.front_context.router.cancel(SessionKey(key)).await;
                     return Ok(false);
                 }
                 _ => return Ok(false),
@@ -276,275 +294,303 @@
         Ok(false)
     }
 
-    /// What the client says next; `None` when it has gone, or must go.
-    async fn listen(&mut self) -> io::Result<Option<Heard>> {
-        if let Some(heard) = self.inbox.next() {
-            return Ok(Some(heard));
+    /// The client's next message; `None` if the client has gone or the connection has to close in a drain.
+    async fn next_message(&mut self) -> io::Result<Option<ReceivedMessage>> {
+        if let Some(received) = self.inbox.pop() {
+            return Ok(Some(received));
         }
-        let said = tokio::select! {
+        let message = tokio::select! {
             biased;
-            said = next(&mut self.wire) => said?,
-            () = self.leave.wait_for_idle_close() => return Ok(None),
+            message = read_message(&mut self.connection) => message?,
+            () = self.drain.wait_for_idle_close() => return Ok(None),
         };
-        self.gone = said.is_none();
-        Ok(said.map(Heard::now))
+        self.client_closed = message.is_none();
+        Ok(message.map(ReceivedMessage::now))
     }
 
-    /// Reads what the client says into the inbox; ready once it has gone.
+    /// Reads messages from the client into the inbox; ready once the client has gone.
     fn poll_inbox(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
-            match Pin::new(&mut self.wire).poll_next(context) {
+            match Pin::new(&mut self.connection).poll_next(context) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(Some(Ok(Said::Terminate)) | None) => {
-                    self.gone = true;
+                Poll::Ready(Some(Ok(ClientMessage::Terminate)) | None) => {
+                    self.client_closed = true;
                     return Poll::Ready(Ok(()));
                 }
-                Poll::Ready(Some(said)) => self.inbox.keep(said?)?,
+                Poll::Ready(Some(message)) => self.inbox.push(message?)?,
             }
         }
     }
 
-    /// Waits for something else while the client is listened to; `None` when it has gone.
-    async fn watch<T>(&mut self, awaited: impl Future<Output = T>) -> io::Result<Option<T>> {
+    /// Waits for a future while reading from the client; `None` if the client has gone first.
+    async fn wait_while_reading<T>(
+        &mut self,
+        awaited: impl Future<Output = T>,
+    ) -> io::Result<Option<T>> {
         let mut awaited = pin!(awaited);
         poll_fn(|context| {
-            if let Poll::Ready(done) = awaited.as_mut().poll(context) {
-                return Poll::Ready(Ok(Some(done)));
+            if let Poll::Ready(output) = awaited.as_mut().poll(context) {
+                return Poll::Ready(Ok(Some(output)));
             }
             self.poll_inbox(context).map_ok(|()| None)
         })
         .await
     }
 
-    /// Writes out what is to be said while the client is listened to; an error when it has gone.
-    async fn flush(&mut self) -> io::Result<()> {
+    /// Flushes the connection while reading from the client; an error if the client has gone.
+    async fn flush_while_reading(&mut self) -> io::Result<()> {
         poll_fn(|context| {
-            let flushed = Pin::new(&mut self.wire).poll_flush(context);
+            let flushed = Pin::new(&mut self.connection).poll_flush(context);
             if flushed.is_ready() {
                 return flushed;
             }
             self.poll_inbox(context)
-                .map(|gone| gone.and(Err(io::ErrorKind::UnexpectedEof.into())))
+                .map(|read| read.and(Err(io::ErrorKind::UnexpectedEof.into())))
         })
         .await
     }
 
-    /// Refuses the commands that the client has sent and that the session does not come to any more: nothing of them ran.
-    async fn refuse_rest(&mut self) {
-        for _ in 0..MOST_REFUSED {
-            let said = match self.inbox.next() {
-                Some(heard) => Some(heard.said),
-                None if self.gone => None,
-                None => at_once(self.wire.next()).flatten().and_then(Result::ok),
+    /// Refuses the commands that were received but will not be processed any more; none of them ran.
+    async fn refuse_unprocessed_commands(&mut self) {
+        for _ in 0..MAX_REFUSED_COMMANDS {
+            let message = match self.inbox.pop() {
+                Some(received) => Some(received.message),
+                None if self.client_closed => None,
+                None => poll_once(self.connection.next())
+                    .flatten()
+                    .and_then(Result::ok),
             };
-            match said {
-                Some(Said::Query(text)) if !is_empty(&text) => {
-                    if self.refuse_one().await.is_err() {
+            match message {
+                Some(ClientMessage::Query(text)) if !is_blank(&text) => {
+                    if self.refuse_command().await.is_err() {
                         return;
                     }
                 }
-                Some(Said::Terminate) => self.gone = true,
+                Some(ClientMessage::Terminate) => self.client_closed = true,
                 Some(_) => {}
                 None => return,
             }
         }
     }
 
-    /// Refuses the first command of a session that has asked nothing: it may be on its way.
-    async fn refuse_first(&mut self) {
-        if self.started && !self.asked && !self.gone {
-            // A client that has gone hears nothing.
-            let _ = self.refuse_one().await;
+    /// Refuses the first command of a session that has received none: it may be on its way.
+    async fn refuse_first_command(&mut self) {
+        if self.is_started && !self.command_received && !self.client_closed {
+            // If the client has gone there is nobody to tell.
+            let _ = self.refuse_command().await;
         }
     }
 
-    async fn refuse_one(&mut self) -> io::Result<()> {
-        self.asked = true;
-        let told = if self.leave.closes_after_answer() {
-            draining(&self.shared.router)
+    async fn refuse_command(&mut self) -> io::Result<()> {
+        self.command_received = true;
+        let error = if self.drain.closes_after_answer() {
+            draining_error(&self.front_context.router)
         } else {
-            no_place(&self.shared.router)
+            no_slot_error(&self.front_context.router)
         };
-        self.tell_error(told).await
+        self.send_error(error).await
     }
 
-    /// Tells the client why its session ends.
-    async fn complain(&mut self, error: &io::Error) {
+    /// Tells the client that its session ends because of malformed or excessive input.
+    async fn report_protocol_error(&mut self, error: &io::Error) {
         if error.kind() != io::ErrorKind::InvalidData {
             return;
         }
-        let told = Error {
+        let error = ErrorFields {
             code: "08P01",
             message: error.to_string(),
             hint: None,
         };
-        // A client that has gone hears nothing.
-        let _ = self.tell_error(told).await;
+        // If the client has gone there is nobody to tell.
+        let _ = self.send_error(error).await;
     }
 
-    /// Answers a command with an error; one of a session that has started is told that the next may come.
-    async fn tell_error(&mut self, told: Error) -> io::Result<()> {
-        if self.started {
-            self.wire.feed(Say::Error(told)).await?;
-            return self.say(Say::Ready).await;
+    /// Sends an error, followed by ReadyForQuery once the session is started.
+    async fn send_error(&mut self, error: ErrorFields) -> io::Result<()> {
+        if self.is_started {
+            self.connection
+                .feed(ServerMessage::ErrorResponse(error))
+                .await?;
+            return self.send(ServerMessage::ReadyForQuery).await;
         }
-        self.say(Say::Error(told)).await
+        self.send(ServerMessage::ErrorResponse(error)).await
     }
 
-    /// Says something short, and waits until the client has taken it.
-    async fn say(&mut self, say: Say) -> io::Result<()> {
-        timeout(TAKES, self.wire.send(say)).await.map_err(late)?
+    /// Sends a short message, and waits until the client has taken it.
+    async fn send(&mut self, message: ServerMessage) -> io::Result<()> {
+        timeout(WRITE_TIMEOUT, self.connection.send(message))
+            .await
+            .map_err(timed_out)?
     }
 
-    /// Answers what is of no use, and reads on only after a pause; false where that was once too often.
-    async fn reject(&mut self, code: &'static str, message: String) -> io::Result<bool> {
-        let told = Error {
+    /// Rejects a statement, and pauses before more is read; false if the session has to end or the client has gone.
+    async fn reject_statement(&mut self, code: &'static str, message: String) -> io::Result<bool> {
+        let error = ErrorFields {
             code,
             message,
             hint: None,
         };
-        self.wire.feed(Say::Error(told)).await?;
-        self.say(Say::Ready).await?;
-        self.useless += 1;
-        if self.useless >= MOST_USELESS {
+        self.connection
+            .feed(ServerMessage::ErrorResponse(error))
+            .await?;
+        self.send(ServerMessage::ReadyForQuery).await?;
+        self.consecutive_rejections += 1;
+        if self.consecutive_rejections >= MAX_CONSECUTIVE_REJECTIONS {
             return Ok(false);
         }
-        let pause = sleep(FIRST_PAUSE * (1 << self.useless));
-        Ok(self.watch(pause).await?.is_some())
+        let pause = sleep(BASE_REJECTION_PAUSE * (1 << self.consecutive_rejections));
+        Ok(self.wait_while_reading(pause).await?.is_some())
     }
 
-    /// Answers a message of the extended protocol: one error, and nothing more up to its Sync.
-    async fn unsupported(&mut self, said: &Said) -> io::Result<bool> {
-        let message = format!("only simple queries are served here, not {said:?}");
-        let told = Error {
+    /// Answers messages of the extended query protocol: with one error, and ReadyForQuery at the next Sync. False if the
+    /// client has gone or the connection has to close.
+    async fn reject_unsupported(&mut self, unsupported: &ClientMessage) -> io::Result<bool> {
+        let message = format!("only simple queries are served here, not {unsupported:?}");
+        let error = ErrorFields {
             code: "0A000",
             message,
             hint: None,
         };
-        self.say(Say::Error(told)).await?;
+        self.send(ServerMessage::ErrorResponse(error)).await?;
         loop {
-            match self.listen().await?.map(|heard| heard.said) {
-                Some(Said::Sync) => break,
-                Some(Said::Terminate) | None => return Ok(false),
+            match self.next_message().await?.map(|received| received.message) {
+                Some(ClientMessage::Sync) => break,
+                Some(ClientMessage::Terminate) | None => return Ok(false),
                 Some(_) => {}
             }
         }
-        self.say(Say::Ready).await?;
+        self.send(ServerMessage::ReadyForQuery).await?;
         Ok(true)
     }
 
-    /// Answers a query that came at this moment; false when the client has gone meanwhile, or must go.
-    async fn query(&mut self, text: Bytes, came: Instant) -> io::Result<bool> {
-        if is_empty(&text) {
-            // The platform's front asks in this way whether the dispatcher takes work.
-            let told = if self.leave.accepts_work() {
-                Say::Empty
+    /// Runs a query and answers it; false if the client has gone meanwhile or the session has to end.
+    async fn run_query(&mut self, text: Bytes, received_at: Instant) -> io::Result<bool> {
+        if is_blank(&text) {
+            // The platform sends an empty query to check whether the dispatcher takes work.
+            let message = if self.drain.accepts_work() {
+                ServerMessage::EmptyQueryResponse
             } else {
-                Say::Error(draining(&self.shared.router))
+                ServerMessage::ErrorResponse(draining_error(&self.front_context.router))
             };
-            self.wire.feed(told).await?;
-            self.say(Say::Ready).await?;
+            self.connection.feed(message).await?;
+            self.send(ServerMessage::ReadyForQuery).await?;
             return Ok(true);
         }
-        let tuning = self.shared.router.tuning();
-        let request = statement::parse(&text, came, &tuning.names, Some(self.key));
+        let runtime_settings = self.front_context.router.tuning();
+        let request = statement::parse(&text, received_at, &runtime_settings.names, Some(self.key));
         let answer = match request {
             Ok(request) => {
-                // One that must give way at this moment has sent nothing on.
-                if !self.place.set_state(SessionState::Busy) {
-                    let told = no_place(&self.shared.router);
-                    self.tell_error(told).await?;
+                // A session that was evicted just now has not submitted the request.
+                if !self.slot.set_state(SessionState::Busy) {
+                    let error = no_slot_error(&self.front_context.router);
+                    self.send_error(error).await?;
                     return Ok(false);
                 }
-                let desk = self.shared.router.clone();
-                // The client may go also while its request waits to be handed over.
-                let answer = async move { desk.submit(request).await.await };
-                match self.watch(answer).await? {
+                let router = self.front_context.router.clone();
+                // Reads while the request is submitted, too: the client may go before a shard takes it.
+                let answer = async move { router.submit(request).await.await };
+                match self.wait_while_reading(answer).await? {
                     Some(answer) => answer,
                     None => return Ok(false),
                 }
             }
             Err(statement::InvalidStatement(message)) => {
-                return self.reject("42601", message).await;
+                return self.reject_statement("42601", message).await;
             }
         };
         match answer {
-            Answer::Rows(delivery) => self.pass(delivery).await?,
+            Answer::Rows(result) => self.send_result(result).await?,
             Answer::Refused { retry_after } => {
-                self.wire.feed(Say::Error(busy(retry_after))).await?;
+                self.connection
+                    .feed(ServerMessage::ErrorResponse(busy_error(retry_after)))
+                    .await?;
             }
             Answer::Failed(failure @ (Failure::Duplicate | Failure::Tenant)) => {
-                self.place.set_state(SessionState::Unproven);
-                let told = failed(failure);
-                return self.reject(told.code, told.message).await;
+                self.slot.set_state(SessionState::Unproven);
+                let error = failure_error(failure);
+                return self.reject_statement(error.code, error.message).await;
+            }
+            Answer::Failed(failure) => {
+                self.connection
+                    .feed(ServerMessage::ErrorResponse(failure_error(failure)))
+                    .await?
             }
-            Answer::Failed(failure) => self.wire.feed(Say::Error(failed(failure))).await?,
         }
-        self.say(Say::Ready).await?;
-        self.useless = 0;
-        Ok(self.place.set_state(SessionState::Idle) && !self.leave.closes_after_answer())
+        self.send(ServerMessage::ReadyForQuery).await?;
+        self.consecutive_rejections = 0;
+        Ok(self.slot.set_state(SessionState::Idle) && !self.drain.closes_after_answer())
     }
 
-    /// Passes a result on, page by page as the client takes them.
-    async fn pass(&mut self, mut delivery: Delivery) -> io::Result<()> {
-        let mut rows = 0;
-        let deadline = delivery.deadline();
-        self.wire.feed(Say::Columns).await?;
+    /// Sends a result page by page as the client takes them.
+    async fn send_result(&mut self, mut result: Delivery) -> io::Result<()> {
+        let mut row_count = 0;
+        let deadline = result.deadline();
+        self.connection.feed(ServerMessage::RowDescription).await?;
         loop {
-            match delivery.next().await {
+            match result.next().await {
                 Ok(Some(page)) => {
-                    rows += page.rows.iter().filter(|byte| **byte == b'\n').count() as u64;
-                    self.wire.feed(Say::Rows(page)).await?;
-                    // A client that takes nothing until its deadline has gone.
-                    let taken = timeout_at(deadline, self.flush()).await;
-                    taken.map_err(io::Error::other)??;
+                    row_count += page.rows.iter().filter(|byte| **byte == b'\n').count() as u64;
+                    self.connection.feed(ServerMessage::DataRows(page)).await?;
+                    // A client that has not taken the page by its deadline is considered gone.
+                    let flushed = timeout_at(deadline, self.flush_while_reading()).await;
+                    flushed.map_err(io::Error::other)??;
+                }
+                Ok(None) => {
+                    return self
+                        .connection
+                        .feed(ServerMessage::CommandComplete(row_count))
+                        .await;
                 }
-                Ok(None) => return self.wire.feed(Say::Complete(rows)).await,
                 Err(Broken) => {
                     let message = "the rest of the result was lost with its engine".to_string();
-                    let told = Error {
+                    let error = ErrorFields {
                         code: "58030",
                         message,
                         hint: None,
                     };
-                    return self.wire.feed(Say::Error(told)).await;
+                    return self
+                        .connection
+                        .feed(ServerMessage::ErrorResponse(error))
+                        .await;
                 }
             }
         }
     }
 }
 
-/// What can be done without waiting, and all of it: the scheduler's budget is no reason to leave what has come unread.
-fn at_once<T>(action: impl Future<Output = T>) -> Option<T> {
-    unconstrained(action).now_or_never()
+/// Runs a future as far as it gets without waiting; its output if it completes. Tokio's cooperative budget does not
+/// apply: it could leave received bytes unread.
+fn poll_once<T>(future: impl Future<Output = T>) -> Option<T> {
+    unconstrained(future).now_or_never()
 }
 
-fn late<E>(_: E) -> io::Error {
+fn timed_out<E>(_: E) -> io::Error {
     io::Error::new(
         io::ErrorKind::TimedOut,
-        "a start or a message did not come whole in time",
+        "a startup or a message was not completed in time",
     )
 }
 
-/// The next message, `None` when the client has gone. Guards against messages that begin and never end:
-/// they would hold their session, and what has come of them, for good.
-async fn next(wire: &mut Wire) -> io::Result<Option<Said>> {
-    let mut half = false;
+/// The next message; `None` if the client has gone. Fails if a message stays incomplete for too long: otherwise it
+/// would occupy its session, and the memory of the bytes received so far, forever.
+async fn read_message(connection: &mut PgConnection) -> io::Result<Option<ClientMessage>> {
+    let mut is_partial = false;
     loop {
-        match timeout(HALF, wire.next()).await {
-            Ok(said) => return said.transpose(),
-            Err(elapsed) if half => return Err(late(elapsed)),
-            Err(_) => half = !wire.read_buffer().is_empty(),
+        match timeout(PARTIAL_MESSAGE_TIMEOUT, connection.next()).await {
+            Ok(message) => return message.transpose(),
+            Err(elapsed) if is_partial => return Err(timed_out(elapsed)),
+            Err(_) => is_partial = !connection.read_buffer().is_empty(),
         }
     }
 }
 
-fn is_empty(text: &[u8]) -> bool {
-    let blank = |byte: &u8| byte.is_ascii_whitespace() || *byte == b';';
-    text.iter().all(blank)
+/// Whether a query consists only of white space and semicolons.
+fn is_blank(text: &[u8]) -> bool {
+    let is_separator = |byte: &u8| byte.is_ascii_whitespace() || *byte == b';';
+    text.iter().all(is_separator)
 }
 
-fn failed(failure: Failure) -> Error {
+fn failure_error(failure: Failure) -> ErrorFields {
     let code = match failure {
         Failure::Unanswered => "58000",
         Failure::Cancelled => "57014",
@@ -552,7 +598,7 @@
         Failure::Tenant => "42704",
         Failure::Ending => "57P01",
     };
-    Error {
+    ErrorFields {
         code,
         message: failure_message(failure).to_string(),
         hint: None,
--- a/fronts/src/test_router.rs
+++ b/fronts/src/test_router.rs
@@ -1,4 +1,4 @@
-//! A desk whose broker the test plays.
+//! A request router for tests; the test takes the part of its broker.
 
 use sedgebeam_core::{Class, Micros, Settings};
 use sedgebeam_operation::Figures;
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// A statement of the only class.
+/// A statement of the only class that the test router knows.
 pub const STATEMENT: &str =
     "/* verb=lookup,txn=00000000000000ff,limit=60000 */ SELECT 1 FROM sales_1.orders";
 
-/// Clients are advised to stay away for so many milliseconds at most.
-pub async fn desk(max_retry_after: u64) -> (Desk, mpsc::Receiver<ToBroker>) {
+/// A router with one shard, and the receiver of the messages to its broker.
+pub async fn test_router(max_retry_after_ms: u64) -> (Desk, mpsc::Receiver<ToBroker>) {
     let class = Class {
         name: "lookup".to_string(),
         ..Class::default()
     };
-    let tuning = Tuning {
+    let runtime_settings = Tuning {
         settings: Settings {
             classes: vec![class],
-            max_retry_after: Micros::from_millis(max_retry_after),
+            max_retry_after: Micros::from_millis(max_retry_after_ms),
             ..Settings::default()
         },
         names: Names {
@@ -31,27 +31,30 @@
         },
         most_open: 100,
     };
-    let desk = Desk::new(1, 1, Figures::default(), tuning);
-    let (mailbox, broker) = mpsc::channel(64);
-    desk.open(0, mailbox).await.expect("a broker");
-    (desk, broker)
+    let router = Desk::new(1, 1, Figures::default(), runtime_settings);
+    let (broker_sender, broker) = mpsc::channel(64);
+    router
+        .open(0, broker_sender)
+        .await
+        .expect("the router accepts the broker");
+    (router, broker)
 }
 
-/// The next request, and where its answer goes.
-pub async fn submitted(
+/// The next request that is submitted, and the sender of its answer.
+pub async fn next_request(
     broker: &mut mpsc::Receiver<ToBroker>,
 ) -> (NewRequest, oneshot::Sender<Answer>) {
-    while let Some(told) = broker.recv().await {
-        if let ToBroker::Submit(request, reply) = told {
+    while let Some(message) = broker.recv().await {
+        if let ToBroker::Submit(request, reply) = message {
             return (request, reply);
         }
     }
-    panic!("no request has come");
+    panic!("the router closed before a request was submitted");
 }
 
-/// Refuses the next request, with this advice.
-pub async fn refuse(broker: &mut mpsc::Receiver<ToBroker>, retry_after: Duration) {
-    let (_, reply) = submitted(broker).await;
+/// Refuses the next request with this retry delay.
+pub async fn refuse_next_request(broker: &mut mpsc::Receiver<ToBroker>, retry_after: Duration) {
+    let (_, reply) = next_request(broker).await;
     let refused = Answer::Refused { retry_after };
-    reply.send(refused).expect("is waited for");
+    reply.send(refused).expect("the front waits for the answer");
 }
