--- a/fronts/src/connection_drain.rs
+++ b/fronts/src/connection_drain.rs
@@ -50,7 +50,7 @@
         self.drain_state.borrow().kept != Kept::Stay
     }
 
-    /// Completes when the connection must close although it is idle.
+    /// Completes when the idle connection must close.
     pub async fn wait_for_idle_close(&mut self) {
         loop {
             let policy = self.drain_state.borrow_and_update().kept;
--- a/fronts/src/flight.rs
+++ b/fronts/src/flight.rs
@@ -133,7 +133,7 @@
 
 impl Front {
     fn ticket_table(&self) -> MutexGuard<'_, TicketTable> {
-        // Nothing panics while it holds the lock, and even then the table would be consistent.
+        // No code panics while the lock is held; if it did, the table would still be consistent.
         self.ticket_table
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/fronts/src/pg/mod.rs
+++ b/fronts/src/pg/mod.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL front: every session is served by a task of its own.
+//! The PostgreSQL front: serves each session in a separate task, and tells rejected connections why.
 
 mod codec;
 mod inbox;
@@ -30,13 +30,13 @@
 
 /// A connection that has not completed its startup by then is closed.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
-/// A message that stays incomplete for this long, or up to twice as long, ends its session.
+/// A message that is still incomplete after this time, or at the latest after twice this time, ends its session.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Base of the pause before reading on after a rejected statement. It doubles with each consecutive rejection, so that a
 /// client that resends the same statement at once takes no time from the others.
 const BASE_REJECTION_PAUSE: Duration = Duration::from_millis(10);
-/// A client that takes nothing of a short answer for this long is considered gone: its request has been answered, but
-/// its session would keep the slot from other clients.
+/// A client that does not take a short answer within this time is considered disconnected. Its request has been
+/// answered, but its session would keep the slot from other clients.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Commands that are refused one by one when a session ends before it has processed them.
 const MAX_REFUSED_COMMANDS: usize = 1024;
@@ -44,7 +44,8 @@
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How much a client may still send meanwhile.
 const MAX_LINGER_BYTES: u64 = 64 * 1024;
-/// This many consecutive rejections end the session, all within the 3 s in which such a client must get an answer.
+/// This many consecutive rejections end the session; with the pauses between them they fit into the 3 s within which
+/// the client must get an answer.
 const MAX_CONSECUTIVE_REJECTIONS: u32 = 7;
 
 type PgConnection = Framed<Stream, PgCodec>;
@@ -60,8 +61,8 @@
 }
 
 impl SessionContext {
-    /// Runs the closing of a connection without a slot. If too many such connections linger already, only what needs
-    /// no waiting is done: received commands are refused, and with nothing left unread the close is not a reset.
+    /// Closes a connection that has no slot. At the limit of lingering connections it does only what needs no waiting:
+    /// it refuses the commands received so far, and as that leaves no unread bytes, the close is not a reset.
     async fn close_without_slot(&self, closing: impl Future<Output = ()>) {
         match self.lingering_closes.try_acquire() {
             Ok(_permit) => closing.await,
@@ -244,7 +245,7 @@
 impl Session {
     async fn run(&mut self) -> io::Result<()> {
         let started = timeout(STARTUP_TIMEOUT, self.startup()).await;
-        // Errors get a kind that is not reported to the client: one of another protocol could not read the report.
+        // Errors of the startup are not reported to the client: one that uses another protocol could not read them.
         if !started.map_err(timed_out)?.map_err(io::Error::other)? {
             return Ok(());
         }
@@ -294,7 +295,7 @@
         Ok(false)
     }
 
-    /// The client's next message; `None` if the client has gone or the connection has to close in a drain.
+    /// The client's next message; `None` if the client has disconnected or the connection has to close in a drain.
     async fn next_message(&mut self) -> io::Result<Option<ReceivedMessage>> {
         if let Some(received) = self.inbox.pop() {
             return Ok(Some(received));
@@ -308,7 +309,7 @@
         Ok(message.map(ReceivedMessage::now))
     }
 
-    /// Reads messages from the client into the inbox; ready once the client has gone.
+    /// Reads messages from the client into the inbox; ready once the client has disconnected.
     fn poll_inbox(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
             match Pin::new(&mut self.connection).poll_next(context) {
@@ -322,7 +323,7 @@
         }
     }
 
-    /// Waits for a future while reading from the client; `None` if the client has gone first.
+    /// Waits for a future while reading from the client; `None` if the client disconnects first.
     async fn wait_while_reading<T>(
         &mut self,
         awaited: impl Future<Output = T>,
@@ -337,7 +338,7 @@
         .await
     }
 
-    /// Flushes the connection while reading from the client; an error if the client has gone.
+    /// Flushes the connection while reading from the client; an error if the client has disconnected.
     async fn flush_while_reading(&mut self) -> io::Result<()> {
         poll_fn(|context| {
             let flushed = Pin::new(&mut self.connection).poll_flush(context);
@@ -350,7 +351,7 @@
         .await
     }
 
-    /// Refuses the commands that were received but will not be processed any more; none of them ran.
+    /// Refuses the commands that were received but will not be processed; none of them ran.
     async fn refuse_unprocessed_commands(&mut self) {
         for _ in 0..MAX_REFUSED_COMMANDS {
             let message = match self.inbox.pop() {
@@ -376,7 +377,7 @@
     /// Refuses the first command of a session that has received none: it may be on its way.
     async fn refuse_first_command(&mut self) {
         if self.is_started && !self.command_received && !self.client_closed {
-            // If the client has gone there is nobody to tell.
+            // Sending fails if the client has disconnected; the session ends either way.
             let _ = self.refuse_command().await;
         }
     }
@@ -401,7 +402,7 @@
             message: error.to_string(),
             hint: None,
         };
-        // If the client has gone there is nobody to tell.
+        // Sending fails if the client has disconnected; the session ends either way.
         let _ = self.send_error(error).await;
     }
 
@@ -423,7 +424,7 @@
             .map_err(timed_out)?
     }
 
-    /// Rejects a statement, and pauses before more is read; false if the session has to end or the client has gone.
+    /// Rejects a statement and pauses before the next one; false if the session has to end or the client has disconnected.
     async fn reject_statement(&mut self, code: &'static str, message: String) -> io::Result<bool> {
         let error = ErrorFields {
             code,
@@ -443,7 +444,7 @@
     }
 
     /// Answers messages of the extended query protocol: with one error, and ReadyForQuery at the next Sync. False if the
-    /// client has gone or the connection has to close.
+    /// client has disconnected or the connection has to close.
     async fn reject_unsupported(&mut self, unsupported: &ClientMessage) -> io::Result<bool> {
         let message = format!("only simple queries are served here, not {unsupported:?}");
         let error = ErrorFields {
@@ -463,7 +464,7 @@
         Ok(true)
     }
 
-    /// Runs a query and answers it; false if the client has gone meanwhile or the session has to end.
+    /// Runs a query and answers it; false if the client has disconnected or the session has to end.
     async fn run_query(&mut self, text: Bytes, received_at: Instant) -> io::Result<bool> {
         if is_blank(&text) {
             // The platform sends an empty query to check whether the dispatcher takes work.
@@ -487,7 +488,7 @@
                     return Ok(false);
                 }
                 let router = self.front_context.router.clone();
-                // Reads while the request is submitted, too: the client may go before a shard takes it.
+                // The submission is part of the wait: the client may disconnect before a shard has taken the request.
                 let answer = async move { router.submit(request).await.await };
                 match self.wait_while_reading(answer).await? {
                     Some(answer) => answer,
@@ -531,7 +532,7 @@
                 Ok(Some(page)) => {
                     row_count += page.rows.iter().filter(|byte| **byte == b'\n').count() as u64;
                     self.connection.feed(ServerMessage::DataRows(page)).await?;
-                    // A client that has not taken the page by its deadline is considered gone.
+                    // A client that has not taken the page by its deadline is considered disconnected.
                     let flushed = timeout_at(deadline, self.flush_while_reading()).await;
                     flushed.map_err(io::Error::other)??;
                 }
@@ -571,8 +572,8 @@
     )
 }
 
-/// The next message; `None` if the client has gone. Fails if a message stays incomplete for too long: otherwise it
-/// would occupy its session, and the memory of the bytes received so far, forever.
+/// The next message; `None` if the client has disconnected. Fails if a message stays incomplete for too long: it would
+/// otherwise hold its session, and the memory of the bytes received so far, forever.
 async fn read_message(connection: &mut PgConnection) -> io::Result<Option<ClientMessage>> {
     let mut is_partial = false;
     loop {
--- a/fronts/src/pg/tests.rs
+++ b/fronts/src/pg/tests.rs
@@ -112,7 +112,7 @@
     next_error(&mut client).await
 }
 
-/// The message and the hint of a refusal that suggests a retry delay of so many milliseconds, or none.
+/// The message and the hint of a refusal that suggests this retry delay, or none.
 fn expected_error(reason: &str, retry_delay_ms: Option<u64>) -> (String, Option<String>) {
     match retry_delay_ms {
         Some(millis) => (
@@ -201,7 +201,7 @@
     next_error(&mut client).await
 }
 
-/// A statement of the request with this id, whose client waits for so many milliseconds.
+/// A statement of the request with this id, whose client waits for `limit_ms`.
 fn statement_with_limit(id: u64, limit_ms: u64) -> String {
     format!("/* verb=lookup,txn={id:016x},limit={limit_ms} */ SELECT 1 FROM sales_1.orders")
 }
@@ -319,7 +319,7 @@
 
 /// The client closes its connection during the pause after a rejected statement, with a valid command still unprocessed.
 #[test]
-fn no_command_is_submitted_for_a_client_that_has_gone_during_a_pause() {
+fn no_command_is_submitted_for_a_client_that_disconnected_during_a_pause() {
     run(async {
         let (router, mut broker) = test_router(1000).await;
         let mut sent = startup_and_query("SELECT 1");
--- a/fronts/src/retry_delay.rs
+++ b/fronts/src/retry_delay.rs
@@ -22,7 +22,7 @@
         RetryDelay::new(duration(DEFAULT_RETRY_DELAY.min(settings.max_retry_after)))
     }
 
-    /// The delay in whole milliseconds, the unit of the PostgreSQL clients.
+    /// The delay in whole milliseconds, as PostgreSQL clients receive it.
     pub fn as_millis(self) -> u128 {
         self.0.as_millis()
     }
--- a/fronts/src/session_slots.rs
+++ b/fronts/src/session_slots.rs
@@ -93,7 +93,7 @@
     }
 
     fn table(&self) -> MutexGuard<'_, SlotTable> {
-        // Nothing panics while it holds the lock, and even then the table would be consistent.
+        // No code panics while the lock is held; if it did, the table would still be consistent.
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
