--- a/fleet/src/concurrency_limit.rs
+++ b/fleet/src/concurrency_limit.rs
@@ -1,118 +1,121 @@
-//! How much of the fleet one gateway may have out at once, following what answers tell of crowds.
-
-/// Step of the multiple, as a log ratio: down for an answer that tells of a crowd, this share of it up for
-/// another, so that it settles where a fifth tell of one.
-const STEP: f64 = 0.1;
-const RISE: f64 = 0.25;
-/// Time over which a gateway's traffic is taken, in seconds: longer than a burst, which is everybody's, and
-/// shorter than the front takes to spread its clients anew.
-const TRAFFIC_OVER: f64 = 10.0;
-/// The largest part of the traffic that is believed, in even parts.
-const LARGEST: f64 = 8.0;
-
-/// How many times its part of the fleet a gateway may have out.
+//! Limits how much one gateway may have in flight in the whole fleet, by the congestion that
+//! responses report.
+
+/// Step of the limit per response, as a log ratio: this much down for a sign of congestion, and
+/// `INCREASE_RATIO` of it up otherwise, so that the limit settles where a fifth of the responses
+/// report congestion.
+const DECREASE_STEP: f64 = 0.1;
+const INCREASE_RATIO: f64 = 0.25;
+/// Time over which a gateway's traffic is averaged, in seconds: longer than a burst, which all
+/// gateways see, and shorter than the front needs to distribute its clients again.
+const TRAFFIC_WINDOW_S: f64 = 10.0;
+/// Upper bound of a gateway's traffic relative to an equal share.
+const MAX_TRAFFIC_RATIO: f64 = 8.0;
+
+/// How much a gateway may have in flight, as a multiple of an equal share of the fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConcurrencyLimit {
-    now: f64,
-    least: f64,
-    most: f64,
+    current: f64,
+    min: f64,
+    max: f64,
     traffic: Traffic,
 }
 
 impl ConcurrencyLimit {
-    /// It starts at so much and stays from the least to the most; where told, so many requests a second come to
-    /// each gateway. What a quiet time has it grow to, all gateways use at once when a burst comes, and what answers
-    /// tell of that is heard only once engines are full: the most is what engines bear of all together.
-    pub fn new(start: f64, (least, most): (f64, f64), usual: f64) -> ConcurrencyLimit {
+    /// Starts at `start` and stays between `min` and `max`. `usual_rate` is the configured number
+    /// of requests per second for each gateway, zero if unknown. After a quiet period all gateways
+    /// can use the limit that they have reached at once when a burst comes, and responses report
+    /// the congestion only when engines are full: `max` must be what engines can bear from all
+    /// gateways together.
+    pub fn new(start: f64, (min, max): (f64, f64), usual_rate: f64) -> ConcurrencyLimit {
         let traffic = Traffic {
-            usual,
-            recent: usual * TRAFFIC_OVER,
-            at: None,
+            usual_rate,
+            recent_requests: usual_rate * TRAFFIC_WINDOW_S,
+            updated_at: None,
         };
         ConcurrencyLimit {
-            now: start.clamp(least, most.max(least)),
-            least,
-            most: most.max(least),
+            current: start.clamp(min, max.max(min)),
+            min,
+            max: max.max(min),
             traffic,
         }
     }
 
-    /// Takes other bounds and another usual traffic; what answers told stays.
+    /// Applies the bounds and the usual traffic of `other`; the learned limit stays.
     pub fn reconfigure(&mut self, other: ConcurrencyLimit) {
-        (self.least, self.most) = (other.least, other.most);
-        self.now = self.now.clamp(self.least, self.most);
-        self.traffic.usual = other.traffic.usual;
+        (self.min, self.max) = (other.min, other.max);
+        self.current = self.current.clamp(self.min, self.max);
+        self.traffic.usual_rate = other.traffic.usual_rate;
     }
 
-    /// Takes another most: it follows from the size of a part, which changes with the list of engines.
-    pub fn set_max(&mut self, most: f64) {
-        self.most = most.max(self.least);
-        self.now = self.now.min(self.most);
+    /// Sets the upper bound, which depends on the size of a share and so on the list of engines.
+    pub fn set_max(&mut self, max: f64) {
+        self.max = max.max(self.min);
+        self.current = self.current.min(self.max);
     }
 
-    /// A sign of a crowd, or of none.
-    pub fn adjust(&mut self, crowded: bool) {
-        let step = STEP * if crowded { -1.0 } else { RISE };
-        self.now = (self.now * step.exp()).clamp(self.least, self.most);
+    pub fn adjust(&mut self, is_congested: bool) {
+        let step = DECREASE_STEP * if is_congested { -1.0 } else { INCREASE_RATIO };
+        self.current = (self.current * step.exp()).clamp(self.min, self.max);
     }
 
-    /// Even parts of the fleet that the traffic alone would not give; for another process of this gateway.
+    /// The learned limit without the factor for traffic, for another process of this gateway.
     pub fn handover_state(&self) -> f64 {
-        self.now
+        self.current
     }
 
-    /// Takes over what answers told an earlier process; what is no number is not heeded.
-    pub fn restore(&mut self, now: f64) {
-        if now.is_finite() {
-            self.now = now.clamp(self.least, self.most);
+    /// Takes the limit that an earlier process had learned; ignores values that are not finite.
+    pub fn restore(&mut self, learned_limit: f64) {
+        if learned_limit.is_finite() {
+            self.current = learned_limit.clamp(self.min, self.max);
         }
     }
 
-    /// A request came.
     pub fn record_request(&mut self, now: u64) {
         self.traffic.record_request(now);
     }
 
-    /// Requests a second that come to this gateway.
+    /// Requests per second that this gateway receives.
     pub fn request_rate(&self) -> f64 {
-        self.traffic.recent / TRAFFIC_OVER
+        self.traffic.recent_requests / TRAFFIC_WINDOW_S
     }
 
-    /// Even parts of the fleet that this gateway may have out, at least so many where its traffic is even. Crowds
-    /// tell all gateways the same, so one with several times the mean traffic would refuse most of it if all had
-    /// the same room.
-    pub fn limit(&self, least: f64) -> f64 {
-        self.now.max(least) * self.traffic_ratio()
+    /// Equal shares of the fleet that this gateway may have in flight: at least `min` where its
+    /// traffic is average, and more in proportion to its traffic. All gateways see the same
+    /// congestion, so with the same limit for all, one with several times the mean traffic would
+    /// refuse most of it.
+    pub fn limit(&self, min: f64) -> f64 {
+        self.current.max(min) * self.traffic_ratio()
     }
 
-    /// This gateway's traffic, in even parts of that of all; never under one.
+    /// This gateway's traffic relative to an equal share; at least one.
     pub fn traffic_ratio(&self) -> f64 {
         self.traffic.ratio()
     }
 }
 
-/// A gateway's traffic against an even part of it.
+/// A gateway's traffic against an equal share of the fleet's.
 #[derive(Clone, Copy, Debug, Default)]
 struct Traffic {
-    /// Requests a second that come to each gateway by the settings; zero where not told.
-    usual: f64,
-    /// Requests lately, each counted for less the longer ago it was.
-    recent: f64,
-    at: Option<u64>,
+    /// Configured requests per second for each gateway; zero if unknown.
+    usual_rate: f64,
+    /// Recent requests, weighted by exponential decay.
+    recent_requests: f64,
+    updated_at: Option<u64>,
 }
 
 impl Traffic {
     fn record_request(&mut self, now: u64) {
-        let before = self.at.replace(now).unwrap_or(now);
-        let passed = now.saturating_sub(before) as f64 / 1e6;
-        self.recent = self.recent * (-passed / TRAFFIC_OVER).exp() + 1.0;
+        let updated_at = self.updated_at.replace(now).unwrap_or(now);
+        let elapsed_s = now.saturating_sub(updated_at) as f64 / 1e6;
+        self.recent_requests = self.recent_requests * (-elapsed_s / TRAFFIC_WINDOW_S).exp() + 1.0;
     }
 
-    /// Never under one: room that nobody asks for costs nothing.
+    /// At least one: a limit that a gateway does not use costs nothing.
     fn ratio(&self) -> f64 {
-        let parts = self.recent / (self.usual * TRAFFIC_OVER);
-        if parts.is_finite() {
-            parts.clamp(1.0, LARGEST)
+        let ratio = self.recent_requests / (self.usual_rate * TRAFFIC_WINDOW_S);
+        if ratio.is_finite() {
+            ratio.clamp(1.0, MAX_TRAFFIC_RATIO)
         } else {
             1.0
         }
@@ -123,46 +126,52 @@
 mod tests {
     use super::*;
 
-    /// The parts of a gateway that is asked so many times a second for so many seconds.
-    fn parts(usual: f64, rate: u64, seconds: u64) -> f64 {
-        let mut multiple = ConcurrencyLimit::new(2.0, (0.5, 8.0), usual);
+    /// The limit of a gateway that receives `rate` requests per second for `seconds`.
+    fn limit_after(usual_rate: f64, rate: u64, seconds: u64) -> f64 {
+        let mut limit = ConcurrencyLimit::new(2.0, (0.5, 8.0), usual_rate);
         for count in 0..rate * seconds {
-            multiple.record_request(count * 1_000_000 / rate);
+            limit.record_request(count * 1_000_000 / rate);
         }
-        multiple.limit(0.0)
+        limit.limit(0.0)
     }
 
     #[test]
-    fn it_stays_within_its_bounds_whatever_answers_tell() {
-        let mut multiple = ConcurrencyLimit::new(2.0, (0.25, 1.5), 0.0);
-        let mut after = |crowded, count| {
-            (0..count).for_each(|_| multiple.adjust(crowded));
-            multiple.handover_state()
+    fn limit_stays_within_its_bounds_whatever_responses_report() {
+        let mut limit = ConcurrencyLimit::new(2.0, (0.25, 1.5), 0.0);
+        let mut after = |is_congested, count| {
+            (0..count).for_each(|_| limit.adjust(is_congested));
+            limit.handover_state()
         };
         assert_eq!(after(false, 0), 1.5);
         assert_eq!(after(true, 1000), 0.25);
         assert!((after(false, 20) - 0.25 * 0.5_f64.exp()).abs() < 1e-9);
         assert_eq!(after(false, 1000), 1.5);
-        multiple.reconfigure(ConcurrencyLimit::new(2.0, (2.0, 1.0), 0.0));
+        limit.reconfigure(ConcurrencyLimit::new(2.0, (2.0, 1.0), 0.0));
         assert_eq!(
-            multiple.handover_state(),
+            limit.handover_state(),
             2.0,
-            "the least counts over the most"
+            "the minimum takes precedence over the maximum"
         );
     }
 
     #[test]
-    fn room_follows_the_traffic_of_a_gateway_and_not_a_short_burst() {
-        assert!((parts(7.0, 7, 60) - 2.0).abs() < 0.1);
-        assert!(parts(7.0, 28, 60) > 7.5, "four times the mean traffic");
-        assert!(parts(7.0, 14, 2) < 2.6, "two seconds of twice the mean");
+    fn limit_follows_sustained_traffic_and_ignores_a_short_burst() {
+        assert!((limit_after(7.0, 7, 60) - 2.0).abs() < 0.1);
         assert!(
-            (parts(7.0, 2, 60) - 2.0).abs() < 0.01,
-            "never under one part"
+            limit_after(7.0, 28, 60) > 7.5,
+            "four times the mean traffic"
         );
         assert!(
-            (parts(0.0, 50, 60) - 2.0).abs() < 0.01,
-            "rates are not told"
+            limit_after(7.0, 14, 2) < 2.6,
+            "two seconds of twice the mean"
+        );
+        assert!(
+            (limit_after(7.0, 2, 60) - 2.0).abs() < 0.01,
+            "never less than one equal share"
+        );
+        assert!(
+            (limit_after(0.0, 50, 60) - 2.0).abs() < 0.01,
+            "the usual rate is unknown"
         );
     }
 }
--- a/fleet/src/health.rs
+++ b/fleet/src/health.rs
@@ -1,143 +1,162 @@
-//! The health of one engine, as one of many gateways sees it.
+//! The health of one engine, as seen by one of many gateways.
 //!
-//! Where many gateways share an engine, each sends to it only every few seconds. What one learns of an ill
-//! engine it must keep for longer, since the trials of all gateways together are load: an engine that is
-//! jammed stays so while each gateway tries it again as often as a gateway among three may.
+//! Where many gateways share an engine, each sends to it only every few seconds. A gateway has to
+//! remember what it learned of a failing engine for longer than that, because the trials of all
+//! gateways together are load: a stalled engine does not recover while each of many gateways tries
+//! it as often as a gateway among three may.
 
-/// Refused connects in a row before an engine is set aside; silence counts as so many.
+/// Consecutive refused connects that eject an engine; a timeout counts as this many.
 pub const FAILURES_TO_EJECT: u32 = 2;
-/// Weight of an answer, or of a fault, in the share of faults among what an engine was sent lately, and the
-/// share beyond which it is set aside: two in a row, with no answer between.
-const FAULT_GAIN: f64 = 0.25;
-const MOST_FAULTS: f64 = 0.4;
-/// First rest of an engine set aside, doubled at most `REST_DOUBLINGS` times.
-const REST: u64 = 1_000_000;
-const REST_DOUBLINGS: u32 = 2;
-/// So many doublings more where a gateway sends to an engine every ten seconds or so: less is no rest.
-const RARE_VISITS: u32 = 2;
-/// Share of an engine's cores that the trials of all gateways together may take while it is jammed.
-const TRIAL_SHARE: f64 = 0.1;
-/// A rest is drawn from this far below its length to this far above, so that those of all gateways, which
-/// one event began, do not end together.
-const SPREAD: f64 = 0.25;
-
-/// How long engines rest.
+/// Weight of a new response or error in the error rate, and the error rate beyond which an engine
+/// is ejected: two errors in a row, with no good response between them.
+const ERROR_WEIGHT: f64 = 0.25;
+const MAX_ERROR_RATE: f64 = 0.4;
+/// Duration of the first ejection, doubled for each failed trial at most `MAX_EJECTION_DOUBLINGS`
+/// times.
+const BASE_EJECTION_US: u64 = 1_000_000;
+const MAX_EJECTION_DOUBLINGS: u32 = 2;
+/// Additional doublings where a gateway sends to an engine only about every ten seconds: a shorter
+/// ejection would have no effect.
+const RARE_CONTACT_DOUBLINGS: u32 = 2;
+/// Share of an engine's cores that the trials of all gateways together may use while it is stalled.
+const MAX_TRIAL_LOAD: f64 = 0.1;
+/// Relative jitter of an ejection after a stall, in both directions: otherwise the ejections of all
+/// gateways, started by one event, would end together.
+const EJECTION_JITTER: f64 = 0.25;
+
+/// How long engines are ejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EjectionPolicy {
-    first: u64,
-    jammed: u64,
+    first_us: u64,
+    stall_us: u64,
 }
 
 impl EjectionPolicy {
-    /// For so many gateways, which try an engine of so many cores with queries of so much work, in core
-    /// seconds; `rare` where a gateway's part of an engine is under one query.
-    pub fn new(gateways: f64, cores: f64, trial: f64, rare: bool) -> EjectionPolicy {
-        let trials = gateways.max(1.0) * trial.max(0.0) / (cores.max(1.0) * TRIAL_SHARE);
-        let first = REST << if rare { RARE_VISITS } else { 0 };
-        let jammed = ((trials * 1e6) as u64).clamp(REST, REST << (2 * RARE_VISITS + 1));
-        EjectionPolicy { first, jammed }
+    /// For gateways that try an engine with queries of `trial_work` core seconds.
+    /// `has_rare_contact` is set where a gateway's share of an engine is less than one query.
+    pub fn new(
+        gateway_count: f64,
+        cores: f64,
+        trial_work: f64,
+        has_rare_contact: bool,
+    ) -> EjectionPolicy {
+        let trial_interval_s =
+            gateway_count.max(1.0) * trial_work.max(0.0) / (cores.max(1.0) * MAX_TRIAL_LOAD);
+        let first_us = BASE_EJECTION_US
+            << if has_rare_contact {
+                RARE_CONTACT_DOUBLINGS
+            } else {
+                0
+            };
+        let stall_us = ((trial_interval_s * 1e6) as u64).clamp(
+            BASE_EJECTION_US,
+            BASE_EJECTION_US << (2 * RARE_CONTACT_DOUBLINGS + 1),
+        );
+        EjectionPolicy { first_us, stall_us }
     }
 }
 
-/// A length drawn about its middle; the draw is from 0 to 1.
-fn spread(length: u64, draw: f64) -> u64 {
-    (length as f64 * (1.0 + SPREAD * (2.0 * draw - 1.0))) as u64
+/// Applies jitter to a duration; `draw` is a random number from 0 to 1.
+fn with_jitter(duration_us: u64, draw: f64) -> u64 {
+    (duration_us as f64 * (1.0 + EJECTION_JITTER * (2.0 * draw - 1.0))) as u64
 }
 
-/// What one gateway holds against an engine.
+/// One gateway's record of an engine's failures.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    strikes: u32,
-    /// Share of faults among what it was sent lately.
-    faults: f64,
+    consecutive_failures: u32,
+    /// Moving average of errors among recent responses.
+    error_rate: f64,
     failed_trials: u32,
     ejected_until: Option<u64>,
-    /// It was jammed when last seen, and may be until then.
-    jammed_until: u64,
-    jams: u32,
-    /// When it last answered about as quickly as an engine with nothing else to do.
-    quick_answer_at: Option<u64>,
+    /// End of the ejection after the last stall; zero without one.
+    stalled_until: u64,
+    consecutive_stalls: u32,
+    /// When the engine last responded about as fast as an idle one.
+    last_fast_response_at: Option<u64>,
 }
 
 impl Health {
-    /// Set aside, or on trial with the trial still out.
+    /// Whether the engine is ejected, or on trial with the trial in flight.
     pub fn is_ejected(&self, now: u64, on_trial: bool) -> bool {
         now < self.ejected_until(on_trial)
     }
 
-    /// Until when it is set aside, if nothing is heard; for as long as its trial is out.
+    /// When the ejection ends without further responses; never while a trial is in flight.
     pub fn ejected_until(&self, on_trial: bool) -> u64 {
-        let rest = match self.ejected_until {
+        let ejected_until = match self.ejected_until {
             Some(_) if on_trial => u64::MAX,
             until => until.unwrap_or(0),
         };
-        rest.max(self.jammed_until)
+        ejected_until.max(self.stalled_until)
     }
 
-    /// Until when it is set aside after strikes, and after a jam; for another process of this gateway.
+    /// The ends of the ejections after failures and after a stall, for another process of this
+    /// gateway; zero for none.
     pub fn handover_state(&self) -> (u64, u64) {
-        (self.ejected_until.unwrap_or(0), self.jammed_until)
+        (self.ejected_until.unwrap_or(0), self.stalled_until)
     }
 
-    /// Takes over what an earlier process held against the engine.
-    pub fn restore(&mut self, (ejected_until, jammed_until): (u64, u64)) {
+    /// Takes the ejections that an earlier process of this gateway had recorded.
+    pub fn restore(&mut self, (ejected_until, stalled_until): (u64, u64)) {
         self.ejected_until = Some(ejected_until).filter(|until| *until > 0);
-        self.jammed_until = jammed_until;
+        self.stalled_until = stalled_until;
     }
 
-    /// A word from the engine; true if it ends a rest. A word does not show that a jam is over: what is
-    /// jammed answers probes and tells of progress all the time.
+    /// Records any message from the engine; returns whether it ends an ejection. It does not end an
+    /// ejection after a stall, because a stalled engine still answers probes and reports progress.
     pub fn mark_responsive(&mut self) -> bool {
-        (self.strikes, self.failed_trials) = (0, 0);
+        (self.consecutive_failures, self.failed_trials) = (0, 0);
         self.ejected_until.take().is_some()
     }
 
-    /// Signs in a row that the engine is not well; true if they set it aside now.
-    pub fn record_failures(&mut self, strikes: u32, now: u64, rests: EjectionPolicy) -> bool {
-        self.strikes += strikes;
-        let resting = self.ejected_until.is_some_and(|until| now < until);
-        if self.strikes < FAILURES_TO_EJECT || resting {
+    /// Records consecutive failures; returns whether they newly eject the engine.
+    pub fn record_failures(&mut self, count: u32, now: u64, policy: EjectionPolicy) -> bool {
+        self.consecutive_failures += count;
+        let is_ejected = self.ejected_until.is_some_and(|until| now < until);
+        if self.consecutive_failures < FAILURES_TO_EJECT || is_ejected {
             return false;
         }
-        let news = self.ejected_until.is_none();
-        let rest = rests.first << self.failed_trials.min(REST_DOUBLINGS);
-        self.ejected_until = Some(now + rest);
+        let is_new = self.ejected_until.is_none();
+        let duration_us = policy.first_us << self.failed_trials.min(MAX_EJECTION_DOUBLINGS);
+        self.ejected_until = Some(now + duration_us);
         self.failed_trials += 1;
-        news
+        is_new
     }
 
-    /// A fault that is the engine's own; true if it has had too many.
+    /// Records an error that the engine caused; returns whether its error rate is too high.
     pub fn record_engine_error(&mut self) -> bool {
-        self.faults += FAULT_GAIN * (1.0 - self.faults);
-        self.faults > MOST_FAULTS
+        self.error_rate += ERROR_WEIGHT * (1.0 - self.error_rate);
+        self.error_rate > MAX_ERROR_RATE
     }
 
-    /// A good answer.
     pub fn record_success(&mut self, now: u64) {
-        self.faults *= 1.0 - FAULT_GAIN;
-        if now >= self.jammed_until {
-            self.jams = 0;
+        self.error_rate *= 1.0 - ERROR_WEIGHT;
+        if now >= self.stalled_until {
+            self.consecutive_stalls = 0;
         }
     }
 
-    /// It answered about as quickly as an engine with nothing else to do.
+    /// Records a response about as fast as that of an idle engine.
     pub fn record_fast_response(&mut self, now: u64) {
-        self.quick_answer_at = Some(now);
+        self.last_fast_response_at = Some(now);
     }
 
-    /// Whether it has answered so since: then an attempt that hardly moves there has a bad plan, and the engine is not jammed.
+    /// Whether the engine has responded fast after `since`: then an attempt that hardly progresses
+    /// there has a bad query plan, and the engine is not stalled.
     pub fn has_responded_fast_since(&self, since: u64) -> bool {
-        self.quick_answer_at.is_some_and(|at| at > since)
+        self.last_fast_response_at.is_some_and(|at| at > since)
     }
 
-    /// What it was sent hardly moves: it rests, longer each time that it is found so; true if that is new.
-    pub fn record_stall(&mut self, now: u64, rests: EjectionPolicy, draw: f64) -> bool {
-        if now < self.jammed_until {
+    /// Ejects an engine on which attempts hardly progress, for longer each consecutive time;
+    /// returns whether it was not ejected for a stall already.
+    pub fn record_stall(&mut self, now: u64, policy: EjectionPolicy, draw: f64) -> bool {
+        if now < self.stalled_until {
             return false;
         }
-        let rest = rests.jammed << self.jams.min(REST_DOUBLINGS);
-        self.jams += 1;
-        self.jammed_until = now + spread(rest, draw);
+        let duration_us = policy.stall_us << self.consecutive_stalls.min(MAX_EJECTION_DOUBLINGS);
+        self.consecutive_stalls += 1;
+        self.stalled_until = now + with_jitter(duration_us, draw);
         true
     }
 }
@@ -149,20 +168,23 @@
     const SECOND: u64 = 1_000_000;
 
     #[test]
-    fn trials_of_all_gateways_together_stay_a_small_part_of_an_engine() {
-        for (gateways, cores) in [(3.0, 12.0), (30.0, 12.0), (100.0, 12.0), (100.0, 4.0)] {
-            let rests = EjectionPolicy::new(gateways, cores, 0.1, true);
-            let trials = gateways * 0.1 / (rests.jammed as f64 / 1e6);
-            assert!(trials <= cores * TRIAL_SHARE * 1.01, "{gateways} {cores}");
+    fn trials_of_all_gateways_together_use_a_small_share_of_an_engine() {
+        for (gateway_count, cores) in [(3.0, 12.0), (30.0, 12.0), (100.0, 12.0), (100.0, 4.0)] {
+            let policy = EjectionPolicy::new(gateway_count, cores, 0.1, true);
+            let trial_load = gateway_count * 0.1 / (policy.stall_us as f64 / 1e6);
+            assert!(
+                trial_load <= cores * MAX_TRIAL_LOAD * 1.01,
+                "{gateway_count} {cores}"
+            );
         }
     }
 
     #[test]
-    fn rests_of_many_gateways_do_not_end_together() {
-        let rests = EjectionPolicy::new(100.0, 12.0, 0.1, true);
+    fn ejections_of_many_gateways_do_not_end_together() {
+        let policy = EjectionPolicy::new(100.0, 12.0, 0.1, true);
         let ends = (0..100).map(|n| {
             let mut health = Health::default();
-            assert!(health.record_stall(0, rests, f64::from(n) / 99.0));
+            assert!(health.record_stall(0, policy, f64::from(n) / 99.0));
             (0..1000).find(|tenth| !health.is_ejected(tenth * SECOND / 10, false))
         });
         let mut ends: Vec<Option<u64>> = ends.collect();
@@ -172,16 +194,16 @@
     }
 
     #[test]
-    fn a_word_ends_a_rest_after_silence_but_not_one_after_a_jam() {
-        let rests = EjectionPolicy::new(100.0, 12.0, 0.1, true);
+    fn a_message_ends_an_ejection_after_failures_but_not_one_after_a_stall() {
+        let policy = EjectionPolicy::new(100.0, 12.0, 0.1, true);
         let mut health = Health::default();
-        assert!(health.record_failures(FAILURES_TO_EJECT, 0, rests));
+        assert!(health.record_failures(FAILURES_TO_EJECT, 0, policy));
         assert!(
             health.is_ejected(SECOND, false)
                 && health.mark_responsive()
                 && !health.is_ejected(SECOND, false)
         );
-        assert!(health.record_stall(SECOND, rests, 0.5));
+        assert!(health.record_stall(SECOND, policy, 0.5));
         assert!(!health.mark_responsive() && health.is_ejected(2 * SECOND, false));
     }
 }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,5 +1,6 @@
-//! Decisions that follow from the size of a fleet: what is harmless in one gateway and harmful when all do it.
-//! No I/O, no clock, no dependency; times are in microseconds.
+//! Decisions that depend on the size of a fleet of gateways: behaviour that is harmless in one
+//! gateway and harmful when all of them do it. No I/O, no clock, no dependencies; times are in
+//! microseconds.
 
 mod concurrency_limit;
 mod health;
--- a/fleet/src/probing.rs
+++ b/fleet/src/probing.rs
@@ -1,21 +1,21 @@
-//! How many engines a query may ask for their load, by what asking costs.
+//! How many engines a request may probe for their load, given what a probe costs.
 
-/// What asking one engine more is taken to bring, as a share of the request's worth: a guess, of which no
+/// Expected benefit of probing one more engine, as a share of the request's worth. An estimate; no
 /// other value was tried.
-const GAIN: f64 = 0.02;
-/// Engines asked at once at the most.
-const MOST: usize = 3;
+const PROBE_BENEFIT: f64 = 0.02;
+const MAX_CONCURRENT_PROBES: usize = 3;
 
-/// Engines that a request may ask at once, where the price of a probe is in mean requests' worth.
-pub fn probe_count(price: f64, worth: f64, mean_worth: f64) -> usize {
-    if price <= 0.0 || mean_worth <= 0.0 {
-        return MOST;
+/// Returns how many engines a request may probe at once. `probe_cost` is in units of the mean worth
+/// of a request.
+pub fn probe_count(probe_cost: f64, worth: f64, mean_worth: f64) -> usize {
+    if probe_cost <= 0.0 || mean_worth <= 0.0 {
+        return MAX_CONCURRENT_PROBES;
     }
-    let pays = GAIN * worth / (mean_worth * price);
-    (pays as usize).min(MOST)
+    let affordable_probes = PROBE_BENEFIT * worth / (mean_worth * probe_cost);
+    (affordable_probes as usize).min(MAX_CONCURRENT_PROBES)
 }
 
-/// Whether asking is so cheap that what still waits may ask others over and over.
+/// Whether probes are cheap enough for a waiting request to keep probing further engines.
 pub fn may_probe_repeatedly(probe_count: usize) -> bool {
-    probe_count >= MOST
+    probe_count >= MAX_CONCURRENT_PROBES
 }
--- a/fleet/src/reconnect.rs
+++ b/fleet/src/reconnect.rs
@@ -1,47 +1,55 @@
-//! When a dispatcher may connect to an engine: backoff from one that turns connections away.
+//! When a dispatcher may connect to an engine: exponential backoff from an engine that rejects
+//! connections.
 //!
-//! An engine beyond its limit of connections accepts and closes, or refuses. That costs a caller hardly more than a round
-//! trip, so callers that connect anew for each attempt call thousands of times a second, and all of them together keep the
-//! engine from getting well. Here connects that have not proved good yet are limited in number, and each failure in a row
-//! doubles the pause before the next one.
+//! An engine beyond its connection limit refuses connections, or accepts and closes them. That takes
+//! hardly more than a round trip, so callers that connect again for each attempt do so thousands of
+//! times per second, and together they keep the engine from recovering. Here, the number of
+//! connections that are not proven yet is limited, and each consecutive failure doubles the pause
+//! before the next connection. A connection is proven once it has received a response, or has been up
+//! for `BackoffConfig::rejection_window_us`.
 //!
-//! Of one dispatcher, an engine that turns all away sees in any window `w` no more connects than `MOST_IN_FLIGHT`, and one
-//! for each pause that fits into `w`, where pauses are at least half of `Pauses::first`, twice that, and so on up to half of
-//! `Pauses::longest`. Of several dispatchers, or shards of one, it sees the sum; their pauses are drawn, so that they do not
-//! call together. An engine that neither answers nor closes soon sees at most `MOST_IN_FLIGHT` connects of each in
-//! `Pauses::soon`.
-
-/// Connects to one engine that may be in flight at once while none has failed. Attempts beyond them share: few enough that
-/// a burst at an engine that turns all away is harmless, enough that a burst is spread over several connections.
+//! An engine that rejects all connections sees at most `MAX_IN_FLIGHT` connects of one dispatcher in
+//! any window `w`, plus one for each pause that fits into `w`, where the pauses are at least half of
+//! `BackoffConfig::initial_us`, twice that, and so on up to half of `BackoffConfig::max_us`. With
+//! several dispatchers, or several shards of one, it sees the sum; the pauses are random, so that
+//! they do not connect at the same time. An engine that neither responds nor closes early sees at
+//! most `MAX_IN_FLIGHT` connects of each in `BackoffConfig::rejection_window_us`.
+
+/// Connects to one engine that may be in flight at once while none has failed; further attempts
+/// share connections. Few enough that a burst at an engine that rejects all connections is harmless,
+/// and enough that a burst is spread over several connections.
 pub const MAX_IN_FLIGHT: usize = 8;
 
-/// No longer than the longest rest that `Health` gives an engine among few gateways: a trial after such a rest, which found
-/// connects still held back, would be another strike though the engine was not called.
+/// Upper bound of a pause: no longer than the longest ejection of an engine by `Health` among few
+/// gateways. Otherwise a trial after such an ejection could find connects still in backoff, and count
+/// as another failure although the engine was not contacted.
 pub const MAX_BACKOFF_US: u64 = 4_000_000;
 
-/// Lengths of time that follow from the settings.
+/// Durations that are derived from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffConfig {
-    /// The upper bound of the pause after the first failure; it doubles with each one that follows.
+    /// Upper bound of the pause after the first failure; doubles with each further failure.
     pub initial_us: u64,
     pub max_us: u64,
-    /// A connection that its engine closes within this time after it came up, without an answer, was turned away.
+    /// A connection that the engine closes within this time after it was established, without a
+    /// response, counts as rejected.
     pub rejection_window_us: u64,
 }
 
 impl BackoffConfig {
-    /// A connect that is not up within its timeout never is: that is the shortest time in which a dispatcher may learn
-    /// that something has changed.
-    pub fn new(connect_timeout: u64) -> BackoffConfig {
+    /// Derives the durations from the connect timeout: a connect that is not established within it
+    /// has failed, so it is the shortest time in which a dispatcher may learn that the engine's state
+    /// has changed.
+    pub fn new(connect_timeout_us: u64) -> BackoffConfig {
         BackoffConfig {
-            initial_us: connect_timeout.clamp(1, MAX_BACKOFF_US),
+            initial_us: connect_timeout_us.clamp(1, MAX_BACKOFF_US),
             max_us: MAX_BACKOFF_US,
-            rejection_window_us: connect_timeout,
+            rejection_window_us: connect_timeout_us,
         }
     }
 
-    /// The upper bound of the pause after so many failures in a row.
-    fn bound(&self, failures: u32) -> u64 {
+    /// Upper bound of the pause after this many consecutive failures.
+    fn max_pause_us(&self, failures: u32) -> u64 {
         let doublings = failures.saturating_sub(1).min(u64::BITS - 1);
         self.initial_us
             .saturating_mul(1 << doublings)
@@ -53,33 +61,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
     Granted,
-    /// Many are in flight already: an open connection is to be shared, where one has room.
+    /// Many connects are in flight already: an open connection with free capacity is preferred.
     PreferReuse,
-    /// The last connect was turned away, and its pause is not over or its successor is in flight.
+    /// The last connect was rejected, and its pause is not over or the next connect is in flight.
     BackingOff,
 }
 
-/// What the end of a connection was.
+/// How a connection or a connect ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// It had proved good.
+    /// The connection was proven before it ended.
     Proven,
+    /// The first failure since the last success.
     FirstFailure,
     RepeatedFailure,
 }
 
-/// A connect that has begun, and the connection that it becomes.
+/// Handle of a connect that has begun, and of the connection that it becomes.
 #[derive(Debug)]
 pub struct TrackedConnection {
     sequence: u64,
-    answered: bool,
+    has_response: bool,
 }
 
-/// A connect that has neither answered nor ended.
+/// A connect or connection that has neither received a response nor ended.
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     sequence: u64,
-    /// When it has proved good though it has not answered; none until it is up.
+    /// When the connection counts as proven without a response; `None` until it is established.
     proven_at: Option<u64>,
 }
 
@@ -89,46 +98,49 @@
     }
 }
 
-/// Connects of one dispatcher to one engine.
+/// Backoff state of one dispatcher's connects to one engine.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    /// Failures in a row, each of a connect that began after the one before it had failed.
-    failures: u32,
-    /// All failures of this run, also of connects that were in flight together.
-    failed_in_run: u64,
-    not_before: u64,
+    /// Consecutive failures, each of a connect that began after the previous failure.
+    consecutive_failures: u32,
+    /// All failures since the last success, including those of connects in flight together.
+    failures_since_success: u64,
+    next_connect_at: u64,
     next_sequence: u64,
-    /// The first connect that begins after the last failure: what earlier ones bring tells nothing new.
-    next_trial: u64,
+    /// Sequence number of the first connect after the last failure: results of earlier connects are
+    /// no new information.
+    first_after_failure: u64,
     in_flight: Vec<InFlight>,
-    random: u64,
+    random_state: u64,
 }
 
 impl Backoff {
-    /// Different dispatchers need different seeds.
+    /// Dispatchers need different seeds, so that they do not connect at the same time.
     pub fn new(seed: u64) -> Backoff {
         Backoff {
-            failures: 0,
-            failed_in_run: 0,
-            not_before: 0,
+            consecutive_failures: 0,
+            failures_since_success: 0,
+            next_connect_at: 0,
             next_sequence: 0,
-            next_trial: 0,
+            first_after_failure: 0,
             in_flight: Vec::new(),
-            random: seed,
+            random_state: seed,
         }
     }
 
-    /// Whether the last connect was turned away.
+    /// Whether the last connect was rejected.
     pub fn is_failing(&self) -> bool {
-        self.failures > 0
+        self.consecutive_failures > 0
     }
 
     pub fn permit(&self, now: u64) -> Permit {
         let in_flight = self.in_flight.iter();
-        let in_flight = in_flight.filter(|connect| !connect.is_proven(now)).count();
+        let in_flight = in_flight
+            .filter(|connection| !connection.is_proven(now))
+            .count();
         if self.is_failing() {
-            let free = in_flight == 0 && now >= self.not_before;
-            return if free {
+            let may_connect = in_flight == 0 && now >= self.next_connect_at;
+            return if may_connect {
                 Permit::Granted
             } else {
                 Permit::BackingOff
@@ -141,9 +153,10 @@
         }
     }
 
-    /// A connect begins now.
+    /// Registers a connect that begins now.
     pub fn begin(&mut self, now: u64) -> TrackedConnection {
-        self.in_flight.retain(|connect| !connect.is_proven(now));
+        self.in_flight
+            .retain(|connection| !connection.is_proven(now));
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.in_flight.push(InFlight {
@@ -152,91 +165,92 @@
         });
         TrackedConnection {
             sequence,
-            answered: false,
+            has_response: false,
         }
     }
 
     pub fn record_connected(
         &mut self,
-        connect: &TrackedConnection,
+        connection: &TrackedConnection,
         now: u64,
         config: &BackoffConfig,
     ) {
         let mut in_flight = self.in_flight.iter_mut();
-        if let Some(found) = in_flight.find(|known| known.sequence == connect.sequence) {
-            found.proven_at = Some(now.saturating_add(config.rejection_window_us));
+        if let Some(known) = in_flight.find(|known| known.sequence == connection.sequence) {
+            known.proven_at = Some(now.saturating_add(config.rejection_window_us));
         }
     }
 
-    /// Whether it has answered, or has been up for so long that it was not turned away.
-    pub fn is_proven(&self, connect: &TrackedConnection, now: u64) -> bool {
+    /// Whether the connection has received a response, or has been up for long enough that it was
+    /// not rejected.
+    pub fn is_proven(&self, connection: &TrackedConnection, now: u64) -> bool {
         let mut in_flight = self.in_flight.iter();
-        let found = in_flight.find(|known| known.sequence == connect.sequence);
-        found.is_none_or(|found| found.is_proven(now))
+        let known = in_flight.find(|known| known.sequence == connection.sequence);
+        known.is_none_or(|known| known.is_proven(now))
     }
 
-    /// A word came on the connection. Where it ends a run of failures: how many there were.
-    pub fn record_response(&mut self, connect: &mut TrackedConnection) -> Option<u64> {
-        if std::mem::replace(&mut connect.answered, true) {
+    /// Records a message on the connection. Returns the number of failures that it ends, if any.
+    pub fn record_response(&mut self, connection: &mut TrackedConnection) -> Option<u64> {
+        if std::mem::replace(&mut connection.has_response, true) {
             return None;
         }
-        self.remove(connect);
-        let ends_run = self.is_failing() && connect.sequence >= self.next_trial;
-        ends_run.then(|| {
-            self.failures = 0;
-            std::mem::take(&mut self.failed_in_run)
+        self.remove(connection);
+        let ends_failures = self.is_failing() && connection.sequence >= self.first_after_failure;
+        ends_failures.then(|| {
+            self.consecutive_failures = 0;
+            std::mem::take(&mut self.failures_since_success)
         })
     }
 
-    /// The connect failed, or the connection was closed or broken by the other side.
+    /// Records that the connect failed, or that the engine closed or broke the connection.
     pub fn record_end(
         &mut self,
-        connect: TrackedConnection,
+        connection: TrackedConnection,
         now: u64,
         config: &BackoffConfig,
     ) -> ConnectionEnd {
-        let proven = self.is_proven(&connect, now);
-        self.remove(&connect);
-        if proven {
+        let was_proven = self.is_proven(&connection, now);
+        self.remove(&connection);
+        if was_proven {
             return ConnectionEnd::Proven;
         }
-        self.failed_in_run += 1;
-        // One event made those fail that were in flight together.
-        if connect.sequence >= self.next_trial {
-            self.failures = self.failures.saturating_add(1);
-            self.next_trial = self.next_sequence;
-            let pause = self.draw_pause(config);
-            self.not_before = now.saturating_add(pause);
+        self.failures_since_success += 1;
+        // Connects in flight together fail for the same reason and count as one failure.
+        if connection.sequence >= self.first_after_failure {
+            self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+            self.first_after_failure = self.next_sequence;
+            let pause_us = self.draw_pause_us(config);
+            self.next_connect_at = now.saturating_add(pause_us);
         }
-        if self.failed_in_run == 1 {
+        if self.failures_since_success == 1 {
             ConnectionEnd::FirstFailure
         } else {
             ConnectionEnd::RepeatedFailure
         }
     }
 
-    /// The connection was closed by this side.
-    pub fn record_local_close(&mut self, connect: TrackedConnection) {
-        self.remove(&connect);
+    /// Records that this dispatcher closed the connection.
+    pub fn record_local_close(&mut self, connection: TrackedConnection) {
+        self.remove(&connection);
     }
 
-    fn remove(&mut self, connect: &TrackedConnection) {
+    fn remove(&mut self, connection: &TrackedConnection) {
         self.in_flight
-            .retain(|known| known.sequence != connect.sequence);
+            .retain(|known| known.sequence != connection.sequence);
     }
 
-    /// Between half of the bound, so that there is a limit to how often one calls, and all of it, so that many do not
-    /// call together.
-    fn draw_pause(&mut self, config: &BackoffConfig) -> u64 {
-        let bound = config.bound(self.failures);
-        let least = bound / 2;
-        least + self.next_random() % (bound - least + 1)
+    /// Draws a pause between half of its upper bound, to limit how often a dispatcher connects, and
+    /// the whole bound, so that dispatchers do not connect at the same time.
+    fn draw_pause_us(&mut self, config: &BackoffConfig) -> u64 {
+        let max_us = config.max_pause_us(self.consecutive_failures);
+        let min_us = max_us / 2;
+        min_us + self.next_random() % (max_us - min_us + 1)
     }
 
-    /// The next of a sequence of numbers (splitmix64).
+    /// Returns the next pseudo-random number (splitmix64).
     fn next_random(&mut self) -> u64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random;
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
--- a/fleet/src/slow_start.rs
+++ b/fleet/src/slow_start.rs
@@ -1,148 +1,162 @@
-//! What an engine that has started lately is sent by all gateways together, where each one's part of what it
-//! bears is under one query.
+//! Limits what all gateways together send to a recently started (cold) engine, where the share of
+//! one gateway is less than one query.
 //!
-//! A part under one query can't be kept to by counting: one gateway would never send, and if each sent one
-//! query all the same, a hundred would. Instead a right to send one query of a class opens at a gateway each
-//! time that its part has grown by that query's work, and is lost when not used for a while. Gateways begin at
-//! different points between two rights, in equal steps, so that in any time t all of them together open rights
-//! for no more than what is granted in t and one query of each class; and in any window no more is sent than
-//! what was opened in it and in the time before it in which a right lasts. A gateway that starts anew begins at
-//! its point again, with nothing granted: of any number that do so at one moment, those that open a right soon are
-//! as many as of others, since their points are spread alike.
+//! Such a share can't be enforced by counting: a gateway would either never send, or all of a
+//! hundred gateways would send one query each. Instead, a gateway gets an admission token for one
+//! query of a class each time its share has grown by the work of that query, and a token that is
+//! not used expires. Gateways start at evenly spaced phases between two tokens, so that in any
+//! period all gateways together issue tokens for no more than the work granted in that period plus
+//! one query of each class. The work sent in any window is therefore at most what was issued in the
+//! window and in one token lifetime before it. A gateway that restarts begins at its phase again,
+//! with no granted work: since phases are evenly spread, among any number of gateways that restart
+//! together the proportion that gets a token soon is the same as among the others.
 
-/// A right lasts for so many windows at the most, and at least: a shorter one is mostly lost before it is used.
-const LONGEST_LIFE: f64 = 2.0;
-const SHORTEST_LIFE: f64 = 1.0;
-/// Share of what the rule allows that is granted: weights are estimates. Where it allows four times what an
-/// engine can do, just that is granted.
-const MARGIN: f64 = 0.75;
+/// Bounds of a token's lifetime, in windows: a token that lives for less than the minimum mostly
+/// expires before it is used.
+const MAX_TOKEN_LIFETIME_WINDOWS: f64 = 2.0;
+const MIN_TOKEN_LIFETIME_WINDOWS: f64 = 1.0;
+/// Share of the permitted load that is granted, because the work of queries is estimated. With an
+/// overload factor of four, exactly the engine's capacity is granted.
+const GRANT_MARGIN: f64 = 0.75;
 
 /// What all gateways together may send to a starting engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStart {
-    /// Share of its capacity that it has at its start, and when it has all of it.
+    /// Share of its capacity that an engine has when it starts.
     pub initial_capacity: f64,
+    /// Age at which an engine has its full capacity.
     pub warm_up_us: u64,
-    /// It falls over if sent more than this multiple of what it can do, for the window.
+    /// An engine fails when it is sent more than this multiple of its current capacity within a
+    /// window.
     pub overload_factor: f64,
     pub window_us: u64,
     pub gateway_count: f64,
 }
 
 impl SlowStart {
-    /// Share of its capacity that it has at this age, taken to grow evenly.
-    pub fn capacity_share(&self, age: u64) -> f64 {
-        let grown = age as f64 / self.warm_up_us.max(1) as f64;
-        self.initial_capacity + (1.0 - self.initial_capacity) * grown.min(1.0)
+    /// Share of its capacity that an engine of this age has, assuming linear growth.
+    pub fn capacity_share(&self, age_us: u64) -> f64 {
+        let warm_up_progress = age_us as f64 / self.warm_up_us.max(1) as f64;
+        self.initial_capacity + (1.0 - self.initial_capacity) * warm_up_progress.min(1.0)
     }
 
-    /// How likely a right is used while it is open, where so many requests that could use it come a second. A right that
-    /// nobody comes for is lost, so what is granted goes to classes by the work that they will bring.
-    pub fn use_probability(&self, rate: f64) -> f64 {
-        let life = self.life() as f64 / 1e6;
-        1.0 - (-rate * life).exp()
+    /// Probability that a token is used before it expires, where `request_rate` requests per second
+    /// could use it. An unused token is lost, so granted work is divided among classes by the work
+    /// that they are expected to send.
+    pub fn use_probability(&self, request_rate: f64) -> f64 {
+        let lifetime_s = self.token_lifetime_us() as f64 / 1e6;
+        1.0 - (-request_rate * lifetime_s).exp()
     }
 
-    /// Share of what it can do that is granted.
-    fn margin(&self) -> f64 {
-        (self.overload_factor * MARGIN / (1.0 + self.life_in_windows())).min(1.0)
+    /// Share of the engine's current capacity that is granted.
+    fn granted_share(&self) -> f64 {
+        (self.overload_factor * GRANT_MARGIN / (1.0 + self.token_lifetime_windows())).min(1.0)
     }
 
-    /// How many windows a right lasts: as many as the rule leaves room for where all that an engine can do is granted.
-    fn life_in_windows(&self) -> f64 {
-        (self.overload_factor * MARGIN - 1.0).clamp(SHORTEST_LIFE, LONGEST_LIFE)
+    /// Lifetime of a token in windows: the longest at which the full capacity can be granted within
+    /// the limit.
+    fn token_lifetime_windows(&self) -> f64 {
+        (self.overload_factor * GRANT_MARGIN - 1.0)
+            .clamp(MIN_TOKEN_LIFETIME_WINDOWS, MAX_TOKEN_LIFETIME_WINDOWS)
     }
 
-    /// How long a right lasts.
-    fn life(&self) -> u64 {
-        (self.life_in_windows() * self.window_us as f64) as u64
+    fn token_lifetime_us(&self) -> u64 {
+        (self.token_lifetime_windows() * self.window_us as f64) as u64
     }
 
-    /// Work granted to one gateway, in core seconds, for the time since an engine's start.
-    pub fn granted_work(&self, age: u64, cores: f64) -> f64 {
-        let share = self.margin();
-        let (age, whole) = (age as f64 / 1e6, self.warm_up_us.max(1) as f64 / 1e6);
-        let age = age.min(whole);
-        // The integral of a capacity that grows evenly.
-        let capacity =
-            self.initial_capacity * age + (1.0 - self.initial_capacity) * age * age / (2.0 * whole);
-        share * capacity * cores / self.gateway_count.max(1.0)
+    /// Work granted to one gateway since the engine's start, in core seconds.
+    pub fn granted_work(&self, age_us: u64, cores: f64) -> f64 {
+        let granted_share = self.granted_share();
+        let (age_s, warm_up_s) = (age_us as f64 / 1e6, self.warm_up_us.max(1) as f64 / 1e6);
+        let age_s = age_s.min(warm_up_s);
+        // The integral of the linearly growing capacity.
+        let capacity_s = self.initial_capacity * age_s
+            + (1.0 - self.initial_capacity) * age_s * age_s / (2.0 * warm_up_s);
+        granted_share * capacity_s * cores / self.gateway_count.max(1.0)
     }
 }
 
-/// Rights of one gateway to send queries of one class to one engine.
+/// A gateway's tokens for one class of queries to one engine.
 #[derive(Clone, Copy, Debug, Default)]
-struct Right {
-    /// Queries granted of which the right has not opened yet.
+struct ClassTokens {
+    /// Fraction of the next token that has been granted.
     credit: f64,
+    /// When the current token expires; zero without a token.
     available_until: u64,
 }
 
-/// A gateway's rights on one engine, by class.
+/// A gateway's admission tokens for one engine, by class.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionTokens {
-    classes: Vec<Right>,
-    /// What was granted when it was last looked at, and when; none before, and after other terms were told.
-    granted: Option<(f64, u64)>,
+    classes: Vec<ClassTokens>,
+    /// Work granted up to the last refill, and when that was; `None` before the first refill and
+    /// after a change of the parameters.
+    last_refill: Option<(f64, u64)>,
 }
 
 impl AdmissionTokens {
-    /// Lets what is granted grow. A class is its part of the work asked for and the work of one query of it;
-    /// the phase, from 0 to 1, tells where this gateway begins between two rights of a class.
+    /// Adds credit for the work granted since the last refill, and issues tokens. `classes` has
+    /// each class's share of the requested work and the work of one of its queries. `phase`, from 0
+    /// to 1, is the initial credit of this gateway for a class.
     pub fn refill(
         &mut self,
         now: u64,
-        granted: f64,
-        warming: &SlowStart,
+        granted_work: f64,
+        slow_start: &SlowStart,
         classes: &[(f64, f64)],
         phase: impl Fn(usize) -> f64,
     ) {
-        let begin = |class| Right {
+        let initial_tokens = |class| ClassTokens {
             credit: phase(class),
             available_until: 0,
         };
-        let known = self.classes.len();
-        // A class may come later; it begins as all do.
-        self.classes.extend((known..classes.len()).map(begin));
-        // What was granted before is for those who were there: all that begin anew at one moment, or hear other terms,
-        // would else open rights for the whole life of the engine so far.
-        let (before, at) = self
-            .granted
-            .replace((granted, now))
-            .unwrap_or((granted, now));
-        let more = (granted - before).max(0.0);
-        for (right, (part, work)) in self.classes.iter_mut().zip(classes) {
-            let grown = more * part / work.max(1e-6);
-            right.credit += grown;
-            if right.credit >= 1.0 {
-                // What was not looked at for long is no reason for several at once, nor for one that came so long ago
-                // that it is lost: the rights of many would else be used at the moment at which they all look.
-                right.credit %= 1.0;
-                let since = right.credit / grown * now.saturating_sub(at) as f64;
-                right.available_until = now.saturating_sub(since as u64) + warming.life();
+        let known_classes = self.classes.len();
+        // A class that is added later starts at its phase too.
+        self.classes
+            .extend((known_classes..classes.len()).map(initial_tokens));
+        // Work granted before the first refill is not counted: gateways that restart at the same
+        // moment, or get new parameters, would otherwise issue tokens for the engine's whole age.
+        let (previously_granted, last_refill_at) = self
+            .last_refill
+            .replace((granted_work, now))
+            .unwrap_or((granted_work, now));
+        let newly_granted = (granted_work - previously_granted).max(0.0);
+        for (tokens, (share, query_work)) in self.classes.iter_mut().zip(classes) {
+            let added_credit = newly_granted * share / query_work.max(1e-6);
+            tokens.credit += added_credit;
+            if tokens.credit >= 1.0 {
+                // After a long gap, at most one token is issued, and its lifetime counts from when
+                // it was due, so that it may have expired already. Otherwise gateways that all
+                // refill at the same moment would use their tokens together.
+                tokens.credit %= 1.0;
+                let overdue_us =
+                    tokens.credit / added_credit * now.saturating_sub(last_refill_at) as f64;
+                tokens.available_until =
+                    now.saturating_sub(overdue_us as u64) + slow_start.token_lifetime_us();
             }
         }
     }
 
-    /// What is granted goes by other terms from now on.
+    /// Makes the next refill count only work that is granted after it, under new parameters.
     pub fn reset_baseline(&mut self) {
-        self.granted = None;
+        self.last_refill = None;
     }
 
     pub fn is_available(&self, class: usize, now: u64) -> bool {
-        let right = self.classes.get(class);
-        right.is_some_and(|right| now < right.available_until)
+        let tokens = self.classes.get(class);
+        tokens.is_some_and(|tokens| now < tokens.available_until)
     }
 
     pub fn consume(&mut self, class: usize) {
-        if let Some(right) = self.classes.get_mut(class) {
-            right.available_until = 0;
+        if let Some(tokens) = self.classes.get_mut(class) {
+            tokens.available_until = 0;
         }
     }
 }
 
-/// Where a gateway begins: evenly spread over gateways, and at another place for each engine and class.
-pub fn phase(me: u32, gateways: f64, salt: u64) -> f64 {
+/// Initial credit of a gateway: evenly spread over the gateways, and shifted by `salt`, which
+/// differs for each engine and class.
+pub fn phase(gateway_index: u32, gateway_count: f64, salt: u64) -> f64 {
     let shift = salt as f64 / u64::MAX as f64;
-    (f64::from(me) / gateways.max(1.0) + shift).fract()
+    (f64::from(gateway_index) / gateway_count.max(1.0) + shift).fract()
 }
--- a/fleet/src/subset.rs
+++ b/fleet/src/subset.rs
@@ -1,75 +1,95 @@
-//! Which engines one of many gateways sends to, and how crowded each looks to it.
+//! Selects the subset of engines that one of many gateways sends to, and estimates how congested
+//! each engine is.
 //!
-//! A gateway among hundreds that spreads its requests over all engines hears of each every ten seconds or so:
-//! it can't tell one that pages from an idle one, and random placement leaves some engines with three times the
-//! mean. Instead each keeps to a few, its circle, so few that it hears of each about once a second, and leaves
-//! those that answer slowly for others. Circles of all gateways together cover the engines evenly.
+//! A gateway among hundreds that spreads its requests over all engines gets a response from each
+//! only about every ten seconds: it can't tell an engine that pages from an idle one, and random
+//! placement leaves some engines with three times the mean load. Each gateway therefore sends to a
+//! subset, small enough that it gets a response from each engine about once a second, and replaces
+//! engines that respond slowly. The subsets of all gateways together cover the engines evenly.
 
-/// How often a gateway wants to hear of each engine of its circle, in seconds: well under the time that a heavy
-/// query takes, since what is known of an engine is out of date by then.
-const HEARD_EVERY: f64 = 1.0;
-/// A circle holds at least this many: of fewer, two that are crowded leave no choice.
-const FEWEST: usize = 4;
-/// Ways to walk the ring of engines. What leaves an engine goes on to as many others.
-const STRIDES: usize = 5;
-/// What was seen of a crowd halves, as a log ratio, within this time, in seconds.
-const HALF_LIFE: f64 = 2.0;
-/// Weight of the newest answer against what is left of those before it.
-const NEWEST: f64 = 0.5;
-/// Most that one answer says.
-const MOST: f64 = 3.0;
+/// Target time between responses of each engine of the subset, in seconds: well under the time that
+/// a heavy query takes, since by then what is known of an engine is out of date.
+const TARGET_RESPONSE_INTERVAL_S: f64 = 1.0;
+/// With fewer engines than this, two congested ones would leave no choice.
+const MIN_SUBSET_SIZE: usize = 4;
+/// Number of different strides over the ring of engines. The load that leaves one engine is spread
+/// over as many others.
+const MAX_STRIDES: usize = 5;
+/// Half-life of the logarithm of an observed slowdown, in seconds.
+const CONGESTION_HALF_LIFE_S: f64 = 2.0;
+/// Weight of a new response against the decayed estimate.
+const SAMPLE_WEIGHT: f64 = 0.5;
+/// Upper bound of the logarithm of the slowdown that one response reports.
+const MAX_LOG_SLOWDOWN: f64 = 3.0;
 
-/// How slow an engine's answers were lately, against what their work takes alone.
+/// How slow an engine's recent responses were, relative to the time that their work takes on an
+/// idle engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Congestion {
-    level: f64,
-    at: u64,
+    log_slowdown: f64,
+    updated_at: u64,
 }
 
 impl Congestion {
-    fn level(&self, now: u64) -> f64 {
-        // Of most engines nothing is known, and each decision looks at all.
-        if self.level == 0.0 {
+    fn log_slowdown(&self, now: u64) -> f64 {
+        // Shortcut for engines without an estimate, which are most: each decision looks at all.
+        if self.log_slowdown == 0.0 {
             return 0.0;
         }
-        let passed = now.saturating_sub(self.at) as f64 / 1e6;
-        self.level * 0.5_f64.powf(passed / HALF_LIFE)
+        let elapsed_s = now.saturating_sub(self.updated_at) as f64 / 1e6;
+        self.log_slowdown * 0.5_f64.powf(elapsed_s / CONGESTION_HALF_LIFE_S)
     }
 
-    /// An answer took so many times what its work takes alone.
+    /// Records a response that took `slowdown` times as long as its work takes on an idle engine.
     pub fn record(&mut self, now: u64, slowdown: f64) {
-        let news = slowdown.max(1.0).ln().min(MOST);
-        let left = self.level(now);
-        (self.level, self.at) = (left + NEWEST * (news - left), now);
+        let sample = slowdown.max(1.0).ln().min(MAX_LOG_SLOWDOWN);
+        let decayed = self.log_slowdown(now);
+        (self.log_slowdown, self.updated_at) = (decayed + SAMPLE_WEIGHT * (sample - decayed), now);
     }
 
-    /// So many times as long as alone will an answer take, as far as is known; one where nothing is.
+    /// Estimates how many times as long as on an idle engine a response will take; 1 without an
+    /// estimate.
     pub fn slowdown(&self, now: u64) -> f64 {
-        let level = self.level(now);
-        if level == 0.0 { 1.0 } else { level.exp() }
+        let log_slowdown = self.log_slowdown(now);
+        if log_slowdown == 0.0 {
+            1.0
+        } else {
+            log_slowdown.exp()
+        }
     }
 }
 
-/// Engines in a circle of a gateway to which so many requests come a second.
-pub fn subset_size(rate: f64, engines: usize) -> usize {
-    let heard = (rate * HEARD_EVERY).ceil() as usize;
-    heard.max(FEWEST).min(engines)
+/// Number of engines in the subset of a gateway that receives `request_rate` requests per second.
+pub fn subset_size(request_rate: f64, engine_count: usize) -> usize {
+    let observable = (request_rate * TARGET_RESPONSE_INTERVAL_S).ceil() as usize;
+    observable.max(MIN_SUBSET_SIZE).min(engine_count)
 }
 
-fn divisor(a: usize, b: usize) -> usize {
-    if b == 0 { a } else { divisor(b, a % b) }
+fn greatest_common_divisor(a: usize, b: usize) -> usize {
+    if b == 0 {
+        a
+    } else {
+        greatest_common_divisor(b, a % b)
+    }
 }
 
-/// The engines of the ring, by place, in the order in which a gateway takes them into its circle: all gateways
-/// that walk it alike begin at even distances, so that any first part of their walks covers it evenly.
-pub fn selection_order(me: usize, gateways: usize, engines: usize) -> impl Iterator<Item = usize> {
-    let ways = STRIDES.min(gateways).max(1);
-    let (way, place) = (me % ways, me / ways);
-    let alike = gateways.div_ceil(ways).max(1);
-    let start = place * engines / alike;
-    let coprime = |stride: &usize| divisor(*stride, engines.max(1)) == 1;
-    let stride = (1 + way * engines / ways..).find(coprime).unwrap_or(1);
-    (0..engines).map(move |step| (start + step * stride) % engines)
+/// Positions on the ring of engines, in the order in which a gateway adds them to its subset.
+/// Gateways with the same stride start at even distances, so that prefixes of their orders of any
+/// length cover the ring evenly.
+pub fn selection_order(
+    gateway_index: usize,
+    gateway_count: usize,
+    engine_count: usize,
+) -> impl Iterator<Item = usize> {
+    let stride_count = MAX_STRIDES.min(gateway_count).max(1);
+    let (stride_index, start_index) = (gateway_index % stride_count, gateway_index / stride_count);
+    let gateways_per_stride = gateway_count.div_ceil(stride_count).max(1);
+    let start = start_index * engine_count / gateways_per_stride;
+    let is_coprime = |stride: &usize| greatest_common_divisor(*stride, engine_count.max(1)) == 1;
+    let stride = (1 + stride_index * engine_count / stride_count..)
+        .find(is_coprime)
+        .unwrap_or(1);
+    (0..engine_count).map(move |step| (start + step * stride) % engine_count)
 }
 
 #[cfg(test)]
@@ -77,46 +97,48 @@
     use super::*;
 
     #[test]
-    fn circles_of_all_gateways_cover_the_engines_evenly() {
-        for (gateways, engines) in [(300, 80), (270, 79), (100, 30), (350, 300), (64, 7)] {
-            let width = subset_size(7.0, engines);
-            let mut covered = vec![0; engines];
-            for me in 0..gateways {
-                selection_order(me, gateways, engines)
-                    .take(width)
-                    .for_each(|place| covered[place] += 1);
+    fn subsets_of_all_gateways_cover_the_engines_evenly() {
+        for (gateway_count, engine_count) in [(300, 80), (270, 79), (100, 30), (350, 300), (64, 7)]
+        {
+            let subset_size = subset_size(7.0, engine_count);
+            let mut covered = vec![0; engine_count];
+            for gateway_index in 0..gateway_count {
+                selection_order(gateway_index, gateway_count, engine_count)
+                    .take(subset_size)
+                    .for_each(|position| covered[position] += 1);
             }
-            let mean = (gateways * width) as f64 / engines as f64;
-            let (least, most) = (covered.iter().min(), covered.iter().max());
-            let within =
+            let mean = (gateway_count * subset_size) as f64 / engine_count as f64;
+            let (min, max) = (covered.iter().min(), covered.iter().max());
+            let is_near_mean =
                 |count: Option<&usize>| count.is_some_and(|c| (*c as f64 - mean).abs() <= 6.0);
             assert!(
-                within(least) && within(most),
-                "{gateways} {engines}: {covered:?}"
+                is_near_mean(min) && is_near_mean(max),
+                "{gateway_count} {engine_count}: {covered:?}"
             );
         }
     }
 
     #[test]
-    fn a_walk_comes_to_every_engine_once() {
-        for engines in 1..=100 {
-            for me in [0, 1, 2, 3, 4, 17, 299] {
-                let mut places: Vec<usize> = selection_order(me, 300, engines).collect();
-                places.sort();
-                assert_eq!(places, (0..engines).collect::<Vec<_>>());
+    fn selection_order_visits_every_engine_once() {
+        for engine_count in 1..=100 {
+            for gateway_index in [0, 1, 2, 3, 4, 17, 299] {
+                let mut positions: Vec<usize> =
+                    selection_order(gateway_index, 300, engine_count).collect();
+                positions.sort();
+                assert_eq!(positions, (0..engine_count).collect::<Vec<_>>());
             }
         }
     }
 
     #[test]
-    fn a_crowd_is_seen_at_once_and_forgotten_after_some_seconds() {
-        let mut crowd = Congestion::default();
-        crowd.record(0, 1.2);
-        assert!(crowd.slowdown(0) < 1.2);
-        crowd.record(0, 9.0);
-        crowd.record(100_000, 9.0);
-        assert!(crowd.slowdown(100_000) > 4.0);
-        assert!(crowd.slowdown(10_000_000) < 1.2);
-        assert!(crowd.slowdown(u64::MAX) >= 1.0);
+    fn congestion_is_detected_at_once_and_decays_within_seconds() {
+        let mut congestion = Congestion::default();
+        congestion.record(0, 1.2);
+        assert!(congestion.slowdown(0) < 1.2);
+        congestion.record(0, 9.0);
+        congestion.record(100_000, 9.0);
+        assert!(congestion.slowdown(100_000) > 4.0);
+        assert!(congestion.slowdown(10_000_000) < 1.2);
+        assert!(congestion.slowdown(u64::MAX) >= 1.0);
     }
 }
--- a/fleet/tests/cold.rs
+++ b/fleet/tests/cold.rs
@@ -1,68 +1,85 @@
-//! The rights of all gateways together, against the rule that they are made to keep.
+//! The load that the admission tokens of all gateways together permit on a starting engine, against
+//! its limit: in any window, at most `overload_factor` times the work that the engine can do.
 
 use proptest::prelude::*;
 use sedgebeam_fleet::slow_start::{AdmissionTokens, SlowStart, phase};
 
 const MS: u64 = 1000;
 
-fn warming(gateways: u32) -> SlowStart {
+fn slow_start(gateway_count: u32) -> SlowStart {
     SlowStart {
         initial_capacity: 0.3,
         warm_up_us: 14_000 * MS,
         overload_factor: 4.0,
         window_us: 1000 * MS,
-        gateway_count: f64::from(gateways),
+        gateway_count: f64::from(gateway_count),
     }
 }
 
-/// Sends of all gateways, as time and work: each uses a right at the end of a span as long as the caller says,
-/// which is the worst that chance can bring together, and at the latest when it would be lost.
-fn sends(gateways: u32, cores: f64, classes: &[(f64, f64)], hoard: u64) -> Vec<(u64, f64)> {
-    sends_with_restarts(gateways, cores, classes, hoard, (0, 0.0, 0))
+/// Sends of all gateways, as time and work. Gateways hold their tokens back and use them together at
+/// multiples of `hold_back_us`, which is the worst coincidence that chance can bring about; a token
+/// that expires before that is lost.
+fn sends(
+    gateway_count: u32,
+    cores: f64,
+    classes: &[(f64, f64)],
+    hold_back_us: u64,
+) -> Vec<(u64, f64)> {
+    sends_with_restarts(gateway_count, cores, classes, hold_back_us, (0, 0.0, 0))
 }
 
-/// The same, where a share of the gateways starts anew at a time, one after the other in so many steps.
+/// Like `sends`, where a share of the gateways restarts at a given time, spread over `steps` steps.
 fn sends_with_restarts(
-    gateways: u32,
+    gateway_count: u32,
     cores: f64,
     classes: &[(f64, f64)],
-    hoard: u64,
+    hold_back_us: u64,
     restarts: (u64, f64, u64),
 ) -> Vec<(u64, f64)> {
-    sends_under(warming(gateways), cores, classes, hoard, restarts)
+    sends_under(
+        slow_start(gateway_count),
+        cores,
+        classes,
+        hold_back_us,
+        restarts,
+    )
 }
 
-/// The same under any terms.
+/// Like `sends_with_restarts`, with other parameters of the slow start.
 fn sends_under(
-    warming: SlowStart,
+    slow_start: SlowStart,
     cores: f64,
     classes: &[(f64, f64)],
-    hoard: u64,
-    (at, share, steps): (u64, f64, u64),
+    hold_back_us: u64,
+    (restarts_at, share, steps): (u64, f64, u64),
 ) -> Vec<(u64, f64)> {
-    let gateways = warming.gateway_count as u32;
+    let gateway_count = slow_start.gateway_count as u32;
     let mut sends = Vec::new();
-    for me in 0..gateways {
-        let mut rights = AdmissionTokens::default();
-        let restarts = (f64::from(me * 7 % 10) < share * 10.0).then(|| {
-            let step = u64::from(me) * steps.max(1) / u64::from(gateways);
-            at + step * 1500 * MS
+    for gateway_index in 0..gateway_count {
+        let mut tokens = AdmissionTokens::default();
+        let restart_at = (f64::from(gateway_index * 7 % 10) < share * 10.0).then(|| {
+            let step = u64::from(gateway_index) * steps.max(1) / u64::from(gateway_count);
+            restarts_at + step * 1500 * MS
         });
-        for now in (0..warming.warm_up_us).step_by(20_000) {
-            if restarts.is_some_and(|at| now >= at && now < at + 20_000) {
-                rights = AdmissionTokens::default();
+        for now in (0..slow_start.warm_up_us).step_by(20_000) {
+            if restart_at.is_some_and(|at| now >= at && now < at + 20_000) {
+                tokens = AdmissionTokens::default();
             }
-            // Nothing goes to cold engines in the first window of a gateway's life.
-            if restarts.is_some_and(|at| now >= at && now < at + warming.window_us) {
+            // A gateway sends nothing to cold engines in the first window after its start.
+            if restart_at.is_some_and(|at| now >= at && now < at + slow_start.window_us) {
                 continue;
             }
-            let granted = warming.granted_work(now, cores);
-            rights.refill(now, granted, &warming, classes, |class| {
-                phase(me, f64::from(gateways), (class as u64 * 7919) << 40)
+            let granted_work = slow_start.granted_work(now, cores);
+            tokens.refill(now, granted_work, &slow_start, classes, |class| {
+                phase(
+                    gateway_index,
+                    f64::from(gateway_count),
+                    (class as u64 * 7919) << 40,
+                )
             });
             for (class, (_, work)) in classes.iter().enumerate() {
-                if rights.is_available(class, now) && now % hoard < 20_000 {
-                    rights.consume(class);
+                if tokens.is_available(class, now) && now % hold_back_us < 20_000 {
+                    tokens.consume(class);
                     sends.push((now, *work));
                 }
             }
@@ -72,22 +89,28 @@
     sends
 }
 
-/// The most work within a window, over what the rule allows there.
+/// The greatest work within a window, relative to its limit.
 fn worst(sends: &[(u64, f64)], cores: f64) -> f64 {
-    worst_under(warming(1), sends, cores)
+    worst_under(slow_start(1), sends, cores)
 }
 
-/// The same under any terms.
-fn worst_under(warming: SlowStart, sends: &[(u64, f64)], cores: f64) -> f64 {
-    let window = |at: u64| {
-        let within = sends
+/// Like `worst`, with other parameters of the slow start.
+fn worst_under(slow_start: SlowStart, sends: &[(u64, f64)], cores: f64) -> f64 {
+    let load_of_window = |at: u64| {
+        let within_window = sends
             .iter()
-            .filter(|(t, _)| *t <= at && t + warming.window_us > at);
-        let age = at.saturating_sub(warming.window_us) as f64 / warming.warm_up_us as f64;
-        let able = cores * (warming.initial_capacity + (1.0 - warming.initial_capacity) * age);
-        within.map(|(_, work)| work).sum::<f64>() / (warming.overload_factor * able)
+            .filter(|(sent_at, _)| *sent_at <= at && sent_at + slow_start.window_us > at);
+        let warm_up_progress =
+            at.saturating_sub(slow_start.window_us) as f64 / slow_start.warm_up_us as f64;
+        let capacity = cores
+            * (slow_start.initial_capacity
+                + (1.0 - slow_start.initial_capacity) * warm_up_progress);
+        within_window.map(|(_, work)| work).sum::<f64>() / (slow_start.overload_factor * capacity)
     };
-    sends.iter().map(|(at, _)| window(*at)).fold(0.0, f64::max)
+    sends
+        .iter()
+        .map(|(at, _)| load_of_window(*at))
+        .fold(0.0, f64::max)
 }
 
 proptest! {
@@ -109,39 +132,43 @@
     }
 }
 
-/// Sends of gateways that look at their rights only now and then, all at the same moments, and are told at a time that
-/// they are fewer by a factor than they were told before.
-fn sends_after_looks(
-    gateways: u32,
+/// Sends of gateways that refill their tokens only when `is_refill_time` is true, all at the same
+/// moments. Their number is configured as `count_factor` times the real one until `reconfigured_at`.
+fn sends_after_rare_refills(
+    gateway_count: u32,
     classes: &[(f64, f64)],
-    looks: impl Fn(u64) -> bool,
-    (at, fewer): (u64, f64),
+    is_refill_time: impl Fn(u64) -> bool,
+    (reconfigured_at, count_factor): (u64, f64),
 ) -> Vec<(u64, f64)> {
     let mut sends = Vec::new();
-    for me in 0..gateways {
-        let mut rights = AdmissionTokens::default();
-        let mut terms = SlowStart {
-            gateway_count: f64::from(gateways) * fewer,
-            ..warming(gateways)
+    for gateway_index in 0..gateway_count {
+        let mut tokens = AdmissionTokens::default();
+        let mut params = SlowStart {
+            gateway_count: f64::from(gateway_count) * count_factor,
+            ..slow_start(gateway_count)
         };
-        let mut settled = 0;
-        for now in (0..terms.warm_up_us).step_by(20_000) {
-            if now >= at && terms.gateway_count > f64::from(gateways) {
-                terms = warming(gateways);
-                // As at a start, with the quiet window of one.
-                rights = AdmissionTokens::default();
-                settled = now + terms.window_us;
+        let mut quiet_until = 0;
+        for now in (0..params.warm_up_us).step_by(20_000) {
+            if now >= reconfigured_at && params.gateway_count > f64::from(gateway_count) {
+                params = slow_start(gateway_count);
+                // As after a restart, with a quiet window.
+                tokens = AdmissionTokens::default();
+                quiet_until = now + params.window_us;
             }
-            if now > 0 && (!looks(now) || now < settled) {
+            if now > 0 && (!is_refill_time(now) || now < quiet_until) {
                 continue;
             }
-            let granted = terms.granted_work(now, 12.0);
-            rights.refill(now, granted, &terms, classes, |class| {
-                phase(me, terms.gateway_count, (class as u64 * 7919) << 40)
+            let granted_work = params.granted_work(now, 12.0);
+            tokens.refill(now, granted_work, &params, classes, |class| {
+                phase(
+                    gateway_index,
+                    params.gateway_count,
+                    (class as u64 * 7919) << 40,
+                )
             });
             for (class, (_, work)) in classes.iter().enumerate() {
-                if rights.is_available(class, now) {
-                    rights.consume(class);
+                if tokens.is_available(class, now) {
+                    tokens.consume(class);
                     sends.push((now, *work));
                 }
             }
@@ -153,20 +180,26 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
-    /// A gateway that nobody asks does not look; when all are asked at once, what came due long ago is lost.
+    /// A gateway without requests does not refill its tokens. When all gateways get requests at once,
+    /// tokens that were due long ago must have expired.
     #[test]
-    fn no_window_holds_more_where_gateways_look_seldom_or_hear_other_terms(
-        gateways in prop::sample::select(vec![8u32, 20, 30, 100, 300, 900]),
-        heavy in 1.0f64..4.5,
-        part in 0.1f64..0.9,
-        quiet in 1u64..13_000,
-        at in 0u64..13_000,
-        fewer in prop::sample::select(vec![1.0, 2.0, 10.0]),
+    fn no_window_exceeds_the_limit_with_rare_refills_or_changed_parameters(
+        gateway_count in prop::sample::select(vec![8u32, 20, 30, 100, 300, 900]),
+        heavy_work in 1.0f64..4.5,
+        light_share in 0.1f64..0.9,
+        quiet_ms in 1u64..13_000,
+        reconfigured_at_ms in 0u64..13_000,
+        count_factor in prop::sample::select(vec![1.0, 2.0, 10.0]),
     ) {
-        let classes = [(part, 0.08), (1.0 - part, heavy)];
-        // Nobody looks for a while; then all do, and go on.
-        let looks = |now: u64| now >= quiet * MS;
-        let sends = sends_after_looks(gateways, &classes, looks, (at * MS, fewer));
+        let classes = [(light_share, 0.08), (1.0 - light_share, heavy_work)];
+        // No gateway refills for a while; then all do at each step.
+        let is_refill_time = |now: u64| now >= quiet_ms * MS;
+        let sends = sends_after_rare_refills(
+            gateway_count,
+            &classes,
+            is_refill_time,
+            (reconfigured_at_ms * MS, count_factor),
+        );
         prop_assert!(worst(&sends, 12.0) <= 1.0, "{}", worst(&sends, 12.0));
     }
 }
@@ -174,81 +207,100 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
     #[test]
-    fn no_window_holds_more_than_the_rule_allows(
-        gateways in 7u32..150,
-        heavy in 1.0f64..4.5,
-        part in 0.1f64..0.9,
-        hoard in 1u64..2000,
+    fn no_window_exceeds_the_limit(
+        gateway_count in 7u32..150,
+        heavy_work in 1.0f64..4.5,
+        light_share in 0.1f64..0.9,
+        hold_back_ms in 1u64..2000,
     ) {
-        let classes = [(part, 0.08), (1.0 - part, heavy)];
-        let sends = sends(gateways, 12.0, &classes, hoard * MS);
+        let classes = [(light_share, 0.08), (1.0 - light_share, heavy_work)];
+        let sends = sends(gateway_count, 12.0, &classes, hold_back_ms * MS);
         prop_assert!(worst(&sends, 12.0) <= 1.0, "{}", worst(&sends, 12.0));
-        // And a cold engine does get work of both classes.
-        let heavies = sends.iter().filter(|(_, work)| *work >= 1.0).count();
-        prop_assert!(hoard > 100 || (sends.len() > 50 && heavies > 0), "{} {heavies}", sends.len());
+        // A cold engine still gets queries of both classes.
+        let heavy_count = sends.iter().filter(|(_, work)| *work >= 1.0).count();
+        prop_assert!(
+            hold_back_ms > 100 || (sends.len() > 50 && heavy_count > 0),
+            "{} {heavy_count}", sends.len()
+        );
     }
 }
 
-/// The check fails where each gateway sends one query whatever its part is.
+/// Proves that the check can fail: here each gateway sends one query whatever its share is.
 #[test]
-fn one_query_each_breaks_the_rule() {
-    let all: Vec<(u64, f64)> = (0..100).map(|_| (20 * MS, 2.4)).collect();
-    assert!(worst(&all, 12.0) > 1.0);
+fn one_query_from_each_gateway_exceeds_the_limit() {
+    let sends: Vec<(u64, f64)> = (0..100).map(|_| (20 * MS, 2.4)).collect();
+    assert!(worst(&sends, 12.0) > 1.0);
 }
 
-/// What is granted follows what the engine can do, up to its margin, and ends when it is warm.
+/// The granted work follows the engine's capacity, up to the margin, and stops growing when the engine
+/// is warm.
 #[test]
-fn what_is_granted_grows_with_what_the_engine_can_do() {
-    let warming = warming(100);
-    let granted = |age: u64| warming.granted_work(age * MS, 12.0);
-    let (first, last) = (granted(100), granted(14_000) - granted(13_900));
-    let part = first / last;
+fn granted_work_grows_with_the_capacity_of_the_engine() {
+    let slow_start = slow_start(100);
+    let granted_work = |age_ms: u64| slow_start.granted_work(age_ms * MS, 12.0);
+    let (first, last) = (
+        granted_work(100),
+        granted_work(14_000) - granted_work(13_900),
+    );
+    let ratio = first / last;
     assert!(
-        (part - 0.3).abs() < 0.01 && last <= 0.1 * 12.0 / 100.0,
+        (ratio - 0.3).abs() < 0.01 && last <= 0.1 * 12.0 / 100.0,
         "{first} {last}"
     );
-    assert_eq!(granted(60_000), granted(14_000));
+    assert_eq!(granted_work(60_000), granted_work(14_000));
 }
 
-/// A right that nobody comes for is lost: a class counts by how likely one of its requests comes in its life.
+/// An unused token is lost, so a class counts by how likely one of its requests arrives in time.
 #[test]
-fn a_right_is_met_by_what_comes_while_it_is_open() {
-    let warming = warming(100);
-    let met = [0.0, 0.25, 0.5, 3.0].map(|rate| warming.use_probability(rate));
-    assert!(met[0] == 0.0 && met[3] > 0.95 && met.is_sorted(), "{met:?}");
+fn use_probability_grows_with_the_request_rate() {
+    let slow_start = slow_start(100);
+    let probabilities = [0.0, 0.25, 0.5, 3.0].map(|rate| slow_start.use_probability(rate));
+    assert!(
+        probabilities[0] == 0.0 && probabilities[3] > 0.95 && probabilities.is_sorted(),
+        "{probabilities:?}"
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
-    /// Whatever multiple of its capacity the rule lets a cold engine bear: rights last longer the more it is.
+    /// The lifetime of tokens depends on the overload factor: it grows with what the limit permits.
     #[test]
-    fn no_window_holds_more_whatever_the_rule_allows(
-        gateways in prop::sample::select(vec![8u32, 32, 100, 300, 900]),
-        multiple in 2.0f64..6.0,
-        heavy in 1.0f64..4.5,
-        part in 0.1f64..0.9,
-        hoard in 1u64..2000,
+    fn no_window_exceeds_the_limit_for_any_overload_factor(
+        gateway_count in prop::sample::select(vec![8u32, 32, 100, 300, 900]),
+        overload_factor in 2.0f64..6.0,
+        heavy_work in 1.0f64..4.5,
+        light_share in 0.1f64..0.9,
+        hold_back_ms in 1u64..2000,
     ) {
-        let classes = [(part, 0.08), (1.0 - part, heavy)];
-        let terms = SlowStart { overload_factor: multiple, ..warming(gateways) };
-        let sends = sends_under(terms, 12.0, &classes, hoard * MS, (0, 0.0, 0));
-        let worst = worst_under(terms, &sends, 12.0);
+        let classes = [(light_share, 0.08), (1.0 - light_share, heavy_work)];
+        let params = SlowStart { overload_factor, ..slow_start(gateway_count) };
+        let sends = sends_under(params, 12.0, &classes, hold_back_ms * MS, (0, 0.0, 0));
+        let worst = worst_under(params, &sends, 12.0);
         prop_assert!(worst <= 1.0, "{worst}");
     }
 }
 
-/// Where the rule leaves room for it, all that a cold engine can do is granted.
+/// Where the limit permits it with short-lived tokens, all of a cold engine's capacity is granted.
 #[test]
-fn all_that_an_engine_can_do_is_granted_where_rights_may_be_short() {
-    let granted = |multiple| {
-        let terms = SlowStart {
-            overload_factor: multiple,
-            ..warming(1)
+fn full_capacity_is_granted_where_the_overload_factor_permits() {
+    let granted_share = |overload_factor| {
+        let params = SlowStart {
+            overload_factor,
+            ..slow_start(1)
         };
-        let second = terms.granted_work(14_000 * MS, 1.0) - terms.granted_work(13_000 * MS, 1.0);
-        second / terms.capacity_share(13_500 * MS)
+        let work_of_a_second =
+            params.granted_work(14_000 * MS, 1.0) - params.granted_work(13_000 * MS, 1.0);
+        work_of_a_second / params.capacity_share(13_500 * MS)
     };
-    assert!((granted(3.0) - 1.0).abs() < 0.01, "{}", granted(3.0));
-    assert!((granted(4.0) - 1.0).abs() < 0.01, "{}", granted(4.0));
-    assert!(granted(1.5) < 0.8, "{}", granted(1.5));
+    assert!(
+        (granted_share(3.0) - 1.0).abs() < 0.01,
+        "{}",
+        granted_share(3.0)
+    );
+    assert!(
+        (granted_share(4.0) - 1.0).abs() < 0.01,
+        "{}",
+        granted_share(4.0)
+    );
+    assert!(granted_share(1.5) < 0.8, "{}", granted_share(1.5));
 }
--- a/fleet/tests/reconnect.rs
+++ b/fleet/tests/reconnect.rs
@@ -1,4 +1,4 @@
-//! The limit on connects to an engine, for one dispatcher and for many that call the same engine.
+//! The limit on connects to one engine, for one dispatcher and for a fleet of them.
 
 use proptest::prelude::*;
 use sedgebeam_fleet::reconnect::{
@@ -9,77 +9,78 @@
 const MS: u64 = 1000;
 const SECOND: u64 = 1000 * MS;
 const CONNECT_TIMEOUT: u64 = 250 * MS;
-const FLEETS: [u64; 4] = [3, 30, 300, 800];
+const DISPATCHER_COUNTS: [u64; 4] = [3, 30, 300, 800];
 
-/// Connects that an engine that turns all away may see of one dispatcher in any window of this length.
-fn most_connects(config: &BackoffConfig, window: u64) -> u64 {
+/// Maximum connects of one dispatcher that an engine which rejects all connections may see in any
+/// window of this length.
+fn max_connects(config: &BackoffConfig, window_us: u64) -> u64 {
     let mut connects = MAX_IN_FLIGHT as u64;
-    let (mut at, mut bound) = (0, config.initial_us);
+    let (mut connect_at, mut max_pause_us) = (0, config.initial_us);
     loop {
-        at += bound / 2;
-        if at > window {
+        connect_at += max_pause_us / 2;
+        if connect_at > window_us {
             return connects;
         }
         connects += 1;
-        bound = (2 * bound).min(config.max_us);
+        max_pause_us = (2 * max_pause_us).min(config.max_us);
     }
 }
 
-/// How an engine that turns all away does so: a connect comes up after a time, and is closed after another.
+/// How an engine rejects connections: it accepts them after a delay, and closes them after another.
 #[derive(Clone, Copy, Debug)]
-struct Refusal {
-    up_after: u64,
-    closed_after: u64,
+struct Rejection {
+    accept_in_us: u64,
+    close_in_us: u64,
 }
 
-/// When each connect of one dispatcher began, where an attempt asks for one in each step.
-fn connects(seed: u64, refusal: Refusal, step: u64, until: u64) -> Vec<u64> {
+/// Times of the connects of one dispatcher that needs a connection in each step.
+fn connects(seed: u64, rejection: Rejection, step_us: u64, until_us: u64) -> Vec<u64> {
     let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(seed);
-    let mut begun = Vec::new();
+    let mut connect_times = Vec::new();
     let mut open: Vec<(u64, bool, TrackedConnection)> = Vec::new();
-    for now in (0..until).step_by(step as usize) {
-        let (ended, kept): (Vec<_>, Vec<_>) = open
+    for now in (0..until_us).step_by(step_us as usize) {
+        let (ended, still_open): (Vec<_>, Vec<_>) = open
             .into_iter()
-            .partition(|(at, ..)| now >= at + refusal.up_after + refusal.closed_after);
-        open = kept;
-        for (_, _, connect) in ended {
+            .partition(|(start, ..)| now >= start + rejection.accept_in_us + rejection.close_in_us);
+        open = still_open;
+        for (_, _, connection) in ended {
             assert_ne!(
-                backoff.record_end(connect, now, &config),
+                backoff.record_end(connection, now, &config),
                 ConnectionEnd::Proven
             );
         }
-        for (at, up, connect) in &mut open {
-            if !*up && now >= *at + refusal.up_after {
-                *up = true;
-                backoff.record_connected(connect, now, &config);
+        for (start, is_up, connection) in &mut open {
+            if !*is_up && now >= *start + rejection.accept_in_us {
+                *is_up = true;
+                backoff.record_connected(connection, now, &config);
             }
         }
-        let failing = backoff.is_failing();
+        let was_failing = backoff.is_failing();
         if backoff.permit(now) == Permit::Granted {
-            assert!(!failing || open.is_empty(), "one in flight at a time");
+            assert!(!was_failing || open.is_empty(), "one in flight at a time");
             open.push((now, false, backoff.begin(now)));
-            begun.push(now);
+            connect_times.push(now);
         }
         assert!(open.len() <= MAX_IN_FLIGHT);
     }
-    begun
+    connect_times
 }
 
-/// The most of these times, which are in order, within any window of this length.
-fn most_within(times: &[u64], window: u64) -> u64 {
-    let within = |(first, at): (usize, &u64)| {
-        let rest = &times[first..];
-        rest.partition_point(|time| *time <= at + window) as u64
+/// Maximum number of these sorted times within any window of this length.
+fn max_within(times: &[u64], window_us: u64) -> u64 {
+    let count_from = |(first, at): (usize, &u64)| {
+        let later = &times[first..];
+        later.partition_point(|time| *time <= at + window_us) as u64
     };
-    times.iter().enumerate().map(within).max().unwrap_or(0)
+    times.iter().enumerate().map(count_from).max().unwrap_or(0)
 }
 
-fn refusals() -> impl Strategy<Value = Refusal> {
-    (0..CONNECT_TIMEOUT, 0..CONNECT_TIMEOUT - 20 * MS).prop_map(|(up_after, closed_after)| {
-        Refusal {
-            up_after,
-            closed_after,
+fn rejections() -> impl Strategy<Value = Rejection> {
+    (0..CONNECT_TIMEOUT, 0..CONNECT_TIMEOUT - 20 * MS).prop_map(|(accept_in_us, close_in_us)| {
+        Rejection {
+            accept_in_us,
+            close_in_us,
         }
     })
 }
@@ -88,104 +89,115 @@
     #![proptest_config(ProptestConfig { cases: 40, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_window_sees_more_connects_of_one_dispatcher_than_stated(
+    fn no_window_exceeds_the_connect_limit_of_one_dispatcher(
         seed: u64,
-        refusal in refusals(),
-        step in MS..20 * MS,
+        rejection in rejections(),
+        step_us in MS..20 * MS,
     ) {
         let config = BackoffConfig::new(CONNECT_TIMEOUT);
-        let begun = connects(seed, refusal, step, 60 * SECOND);
-        for window in [0, 100 * MS, SECOND, 4 * SECOND, 24 * SECOND, 60 * SECOND] {
-            let (most, stated) = (most_within(&begun, window), most_connects(&config, window));
-            prop_assert!(most <= stated, "{most} in {window}, stated {stated}");
+        let connect_times = connects(seed, rejection, step_us, 60 * SECOND);
+        for window_us in [0, 100 * MS, SECOND, 4 * SECOND, 24 * SECOND, 60 * SECOND] {
+            let (count, limit) =
+                (max_within(&connect_times, window_us), max_connects(&config, window_us));
+            prop_assert!(count <= limit, "{count} in {window_us} us, limit {limit}");
         }
-        // It goes on being called, so that it is found when it is well again.
-        let waits = begun.windows(2).map(|pair| pair[1] - pair[0]);
-        let took = refusal.up_after + refusal.closed_after;
-        prop_assert!(waits.max() <= Some(config.max_us + took + 2 * step));
+        // Connects go on, so that a recovered engine is found.
+        let gaps = connect_times.windows(2).map(|pair| pair[1] - pair[0]);
+        let rejected_after_us = rejection.accept_in_us + rejection.close_in_us;
+        prop_assert!(gaps.max() <= Some(config.max_us + rejected_after_us + 2 * step_us));
     }
 
     #[test]
-    fn an_engine_that_neither_answers_nor_closes_sees_few_connects(
+    fn an_engine_that_neither_responds_nor_closes_gets_few_connects(
         seed: u64,
-        up_after in 0..CONNECT_TIMEOUT,
-        step in MS..20 * MS,
+        accept_in_us in 0..CONNECT_TIMEOUT,
+        step_us in MS..20 * MS,
     ) {
         let config = BackoffConfig::new(CONNECT_TIMEOUT);
         let mut backoff = Backoff::new(seed);
         let mut open: Vec<(u64, bool, TrackedConnection)> = Vec::new();
-        let mut begun = Vec::new();
-        for now in (0..5 * SECOND).step_by(step as usize) {
-            for (at, up, connect) in &mut open {
-                if !*up && now >= *at + up_after {
-                    *up = true;
-                    backoff.record_connected(connect, now, &config);
+        let mut connect_times = Vec::new();
+        for now in (0..5 * SECOND).step_by(step_us as usize) {
+            for (start, is_up, connection) in &mut open {
+                if !*is_up && now >= *start + accept_in_us {
+                    *is_up = true;
+                    backoff.record_connected(connection, now, &config);
                 }
             }
             while backoff.permit(now) == Permit::Granted {
                 open.push((now, false, backoff.begin(now)));
-                begun.push(now);
+                connect_times.push(now);
             }
         }
-        prop_assert!(most_within(&begun, config.rejection_window_us - 1) <= MAX_IN_FLIGHT as u64);
+        prop_assert!(max_within(&connect_times, config.rejection_window_us - 1) <= MAX_IN_FLIGHT as u64);
     }
 }
 
 proptest! {
-    // Each case plays 1133 dispatchers.
+    // Each case simulates 1133 dispatchers.
     #![proptest_config(ProptestConfig { cases: 6, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_window_sees_more_connects_of_a_fleet_than_stated(
+    fn no_window_exceeds_the_connect_limit_of_a_fleet(
         seed in 0..u64::MAX / 2,
-        closed_after in 0..5 * MS,
+        close_in_us in 0..5 * MS,
     ) {
         let config = BackoffConfig::new(CONNECT_TIMEOUT);
-        let refusal = Refusal { up_after: MS, closed_after };
-        for dispatchers in FLEETS {
-            let begun = (0..dispatchers)
-                .flat_map(|me| connects(seed + me, refusal, 10 * MS, 24 * SECOND));
-            let mut begun: Vec<u64> = begun.collect();
-            begun.sort_unstable();
-            for window in [100 * MS, SECOND, 24 * SECOND] {
-                let (most, stated) = (most_within(&begun, window), most_connects(&config, window));
-                prop_assert!(most <= dispatchers * stated, "{dispatchers}: {most} in {window}");
+        let rejection = Rejection { accept_in_us: MS, close_in_us };
+        for dispatcher_count in DISPATCHER_COUNTS {
+            let connect_times = (0..dispatcher_count)
+                .flat_map(|index| connects(seed + index, rejection, 10 * MS, 24 * SECOND));
+            let mut connect_times: Vec<u64> = connect_times.collect();
+            connect_times.sort_unstable();
+            for window_us in [100 * MS, SECOND, 24 * SECOND] {
+                let (count, limit) =
+                    (max_within(&connect_times, window_us), max_connects(&config, window_us));
+                prop_assert!(
+                    count <= dispatcher_count * limit,
+                    "{dispatcher_count}: {count} in {window_us} us"
+                );
             }
-            // Once pauses are at their longest, no dispatcher calls twice within half of one.
-            let late = begun.partition_point(|at| *at < 8 * SECOND);
-            let most = most_within(&begun[late..], config.max_us / 2 - 20 * MS);
-            prop_assert!(most <= dispatchers, "{dispatchers}: {most} in half of the longest pause");
-            // Nor do they call together: twice their mean, and what chance may add.
-            let mean = dispatchers as f64 * 100.0 * MS as f64 / (0.75 * config.max_us as f64);
-            let most = most_within(&begun[late..], 100 * MS) as f64;
-            prop_assert!(most <= 2.0 * mean + 8.0 * mean.sqrt() + 6.0, "{dispatchers}: {most}, mean {mean}");
+            // Once pauses have reached their maximum, no dispatcher connects twice within half of it.
+            let late_start = connect_times.partition_point(|at| *at < 8 * SECOND);
+            let count = max_within(&connect_times[late_start..], config.max_us / 2 - 20 * MS);
+            prop_assert!(
+                count <= dispatcher_count,
+                "{dispatcher_count}: {count} in half of the longest pause"
+            );
+            // Dispatchers do not connect together: at most twice the mean, plus a margin for chance.
+            let mean = dispatcher_count as f64 * 100.0 * MS as f64 / (0.75 * config.max_us as f64);
+            let count = max_within(&connect_times[late_start..], 100 * MS) as f64;
+            prop_assert!(
+                count <= 2.0 * mean + 8.0 * mean.sqrt() + 6.0,
+                "{dispatcher_count}: {count}, mean {mean}"
+            );
         }
     }
 }
 
-fn fail(backoff: &mut Backoff, now: u64) -> ConnectionEnd {
-    let connect = backoff.begin(now);
-    backoff.record_end(connect, now, &BackoffConfig::new(CONNECT_TIMEOUT))
+fn fail_connect(backoff: &mut Backoff, now: u64) -> ConnectionEnd {
+    let connection = backoff.begin(now);
+    backoff.record_end(connection, now, &BackoffConfig::new(CONNECT_TIMEOUT))
 }
 
 #[test]
-fn the_first_connect_goes_at_once_and_an_answer_after_failures_resets_the_backoff() {
+fn the_first_connect_is_immediate_and_a_response_resets_the_backoff() {
     let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(1);
     assert_eq!(backoff.permit(0), Permit::Granted);
-    assert_eq!(fail(&mut backoff, 0), ConnectionEnd::FirstFailure);
+    assert_eq!(fail_connect(&mut backoff, 0), ConnectionEnd::FirstFailure);
     assert_eq!(backoff.permit(0), Permit::BackingOff);
     assert_eq!(backoff.permit(CONNECT_TIMEOUT / 2 - 1), Permit::BackingOff);
     assert_eq!(backoff.permit(CONNECT_TIMEOUT), Permit::Granted);
     assert_eq!(
-        fail(&mut backoff, CONNECT_TIMEOUT),
+        fail_connect(&mut backoff, CONNECT_TIMEOUT),
         ConnectionEnd::RepeatedFailure,
-        "of the same run"
+        "in the same series"
     );
     let mut trial = backoff.begin(SECOND);
     assert_eq!(backoff.permit(SECOND), Permit::BackingOff, "one in flight");
     backoff.record_connected(&trial, SECOND, &config);
-    assert_eq!(backoff.permit(SECOND), Permit::BackingOff, "not proved yet");
+    assert_eq!(backoff.permit(SECOND), Permit::BackingOff, "not proven yet");
     assert!(!backoff.is_proven(&trial, SECOND));
     assert_eq!(backoff.record_response(&mut trial), Some(2));
     assert!(backoff.is_proven(&trial, SECOND) && !backoff.is_failing());
@@ -193,7 +205,7 @@
     assert_eq!(
         backoff.record_response(&mut trial),
         None,
-        "its first answer only"
+        "only the first response counts"
     );
     assert_eq!(
         backoff.record_end(trial, SECOND, &config),
@@ -203,22 +215,22 @@
 }
 
 #[test]
-fn answers_on_connections_older_than_the_failure_do_not_reset_the_backoff() {
+fn responses_on_connections_older_than_the_failure_do_not_reset_the_backoff() {
     let mut backoff = Backoff::new(1);
     let mut older = backoff.begin(0);
-    fail(&mut backoff, MS);
+    fail_connect(&mut backoff, MS);
     assert_eq!(backoff.record_response(&mut older), None);
     assert_eq!(backoff.permit(2 * MS), Permit::BackingOff);
 }
 
 #[test]
-fn connects_that_fail_together_are_one_failure() {
+fn connects_that_fail_together_count_as_one_failure() {
     let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(1);
     let burst: Vec<TrackedConnection> = (0..MAX_IN_FLIGHT).map(|_| backoff.begin(0)).collect();
     assert_eq!(backoff.permit(0), Permit::PreferReuse);
-    for connect in burst {
-        backoff.record_end(connect, MS, &config);
+    for connection in burst {
+        backoff.record_end(connection, MS, &config);
     }
     assert_eq!(backoff.permit(MS + config.initial_us), Permit::Granted);
     let mut trial = backoff.begin(SECOND);
@@ -229,34 +241,34 @@
 }
 
 #[test]
-fn a_connection_closed_by_its_dispatcher_or_long_after_it_came_up_is_no_failure() {
+fn a_connection_closed_locally_or_after_the_rejection_window_is_no_failure() {
     let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(1);
-    let connect = backoff.begin(0);
-    backoff.record_connected(&connect, 0, &config);
-    backoff.record_local_close(connect);
-    let connect = backoff.begin(0);
-    backoff.record_connected(&connect, 0, &config);
+    let connection = backoff.begin(0);
+    backoff.record_connected(&connection, 0, &config);
+    backoff.record_local_close(connection);
+    let connection = backoff.begin(0);
+    backoff.record_connected(&connection, 0, &config);
     assert_eq!(
-        backoff.record_end(connect, config.rejection_window_us, &config),
+        backoff.record_end(connection, config.rejection_window_us, &config),
         ConnectionEnd::Proven
     );
     assert!(!backoff.is_failing());
 }
 
 #[test]
-fn no_pause_outlasts_the_rest_of_an_engine_set_aside() {
-    for connect_timeout in [0, MS, CONNECT_TIMEOUT, 60 * SECOND] {
-        let config = BackoffConfig::new(connect_timeout);
+fn no_pause_outlasts_the_longest_ejection() {
+    for connect_timeout_us in [0, MS, CONNECT_TIMEOUT, 60 * SECOND] {
+        let config = BackoffConfig::new(connect_timeout_us);
         assert!(0 < config.initial_us && config.initial_us <= config.max_us);
         assert_eq!(config.max_us, MAX_BACKOFF_US);
     }
-    let rests = EjectionPolicy::new(1.0, 4.0, 0.1, false);
-    let (mut health, mut now, mut longest) = (Health::default(), 0, 0);
+    let policy = EjectionPolicy::new(1.0, 4.0, 0.1, false);
+    let (mut health, mut now, mut ejection_us) = (Health::default(), 0, 0);
     for _ in 0..5 {
-        health.record_failures(FAILURES_TO_EJECT, now, rests);
-        longest = health.ejected_until(false) - now;
-        now += longest;
+        health.record_failures(FAILURES_TO_EJECT, now, policy);
+        ejection_us = health.ejected_until(false) - now;
+        now += ejection_us;
     }
-    assert_eq!(longest, MAX_BACKOFF_US);
+    assert_eq!(ejection_us, MAX_BACKOFF_US);
 }
