--- a/fleet/src/reconnect.rs
+++ b/fleet/src/reconnect.rs
@@ -1,28 +1,29 @@
 //! When a dispatcher may connect to an engine: exponential backoff from an engine that rejects
 //! connections.
 //!
-//! An engine beyond its connection limit refuses connections, or accepts and closes them. That takes
-//! hardly more than a round trip, so callers that connect again for each attempt do so thousands of
-//! times per second, and together they keep the engine from recovering. Here, the number of
-//! connections that are not proven yet is limited, and each consecutive failure doubles the pause
-//! before the next connection. A connection is proven once it has received a response, or has been up
-//! for `BackoffConfig::rejection_window_us`.
+//! An engine beyond its connection limit refuses connections, or accepts and closes them. That
+//! takes hardly more than a round trip, so callers that connect again for each attempt do so
+//! thousands of times per second, and together they keep the engine from recovering. Here, the
+//! number of connections that are not proven yet is limited, and each consecutive failure doubles
+//! the pause before the next connection. A connection is proven once it has received a response, or
+//! has been up for `BackoffConfig::rejection_window_us`.
 //!
-//! An engine that rejects all connections sees at most `MAX_IN_FLIGHT` connects of one dispatcher in
-//! any window `w`, plus one for each pause that fits into `w`, where the pauses are at least half of
-//! `BackoffConfig::initial_us`, twice that, and so on up to half of `BackoffConfig::max_us`. With
-//! several dispatchers, or several shards of one, it sees the sum; the pauses are random, so that
-//! they do not connect at the same time. An engine that neither responds nor closes early sees at
-//! most `MAX_IN_FLIGHT` connects of each in `BackoffConfig::rejection_window_us`.
+//! An engine that rejects all connections sees at most `MAX_IN_FLIGHT` connects of one dispatcher
+//! in any window `w`, plus one for each pause that fits into `w`, where the pauses are at least
+//! half of `BackoffConfig::initial_us`, twice that, and so on up to half of
+//! `BackoffConfig::max_us`. With several dispatchers, or several shards of one, it sees the sum;
+//! the pauses are random, so that they do not connect at the same time. An engine that neither
+//! responds nor closes early sees at most `MAX_IN_FLIGHT` connects of each in
+//! `BackoffConfig::rejection_window_us`.
 
 /// Connects to one engine that may be in flight at once while none has failed; further attempts
-/// share connections. Few enough that a burst at an engine that rejects all connections is harmless,
-/// and enough that a burst is spread over several connections.
+/// share connections. Few enough that a burst at an engine that rejects all connections is
+/// harmless, and enough that a burst is spread over several connections.
 pub const MAX_IN_FLIGHT: usize = 8;
 
 /// Upper bound of a pause: no longer than the longest ejection of an engine by `Health` among few
-/// gateways. Otherwise a trial after such an ejection could find connects still in backoff, and count
-/// as another failure although the engine was not contacted.
+/// gateways. Otherwise a trial after such an ejection could find connects still in backoff, and
+/// count as another failure although the engine was not contacted.
 pub const MAX_BACKOFF_US: u64 = 4_000_000;
 
 /// Durations that are derived from the settings.
@@ -38,8 +39,8 @@
 
 impl BackoffConfig {
     /// Derives the durations from the connect timeout: a connect that is not established within it
-    /// has failed, so it is the shortest time in which a dispatcher may learn that the engine's state
-    /// has changed.
+    /// has failed, so it is the shortest time in which a dispatcher may learn that the engine's
+    /// state has changed.
     pub fn new(connect_timeout_us: u64) -> BackoffConfig {
         BackoffConfig {
             initial_us: connect_timeout_us.clamp(1, MAX_BACKOFF_US),
--- a/leases/src/engine_leases.rs
+++ b/leases/src/engine_leases.rs
@@ -1,165 +1,177 @@
-//! What all shards hold on one engine.
+//! The leases and the usage of all shards on one engine.
 
 use sedgebeam_core::{EngineWish, Micros, Out};
 use std::collections::VecDeque;
 
-/// What a shard asks of each engine alike.
+/// The part of a shard's request for leases that is the same for all engines.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseRequest {
     pub now: Micros,
-    /// What comes free on an engine that is nearly full is lent again after this.
+    /// Threads that become free on a nearly full engine are leased again after this time.
     pub redistribution_interval: Micros,
-    /// Its part of what is free, from 0 to 1.
-    pub part: f64,
-    /// Threads of all that it waits for, and of the heaviest query.
-    pub most: f64,
-    pub heaviest: f64,
+    /// The shard's share of the free threads, from 0 to 1.
+    pub share: f64,
+    /// Threads of all waiting requests, and of the heaviest query.
+    pub max_threads: f64,
+    pub heaviest_threads: f64,
 }
 
-/// What one shard holds there.
+/// One shard's usage of the engine.
 #[derive(Clone, Debug, Default)]
-struct Holding {
-    out: Out,
-    /// Threads that it has borrowed and not settled.
-    lent: f64,
-    /// Threads of what had ended when it borrowed, and of which it has not told yet.
-    ended: f64,
+struct ShardEntry {
+    usage: Out,
+    /// Threads leased and not yet committed.
+    leased_threads: f64,
+    /// Threads of attempts that had ended when the shard acquired its lease; `usage` contains them
+    /// until the commit.
+    ended_threads: f64,
 }
 
-/// An engine's page of the ledger.
+/// The usage of one engine by all shards.
 #[derive(Debug, Default)]
 pub(crate) struct EngineLeases {
-    holdings: Vec<Holding>,
-    /// Work sent lately: when, by whom, and how much in core seconds. It outlives the shard that sent it.
-    sends: VecDeque<(Micros, usize, f64)>,
-    /// What was free when the engine was last looked at anew, less what was sent since, and when that was.
-    open: f64,
-    opened_at: Option<Micros>,
+    entries: Vec<ShardEntry>,
+    /// Recently sent work: time, shard, and core seconds. Kept when the shard that sent it crashes.
+    sent_work: VecDeque<(Micros, usize, f64)>,
+    /// Threads that were free at the last redistribution, less those used since, and the time of
+    /// that redistribution.
+    redistributable_threads: f64,
+    redistributed_at: Option<Micros>,
 }
 
 impl EngineLeases {
-    fn holding(&mut self, shard: usize) -> &mut Holding {
-        if self.holdings.len() <= shard {
-            self.holdings.resize(shard + 1, Holding::default());
+    fn entry(&mut self, shard: usize) -> &mut ShardEntry {
+        if self.entries.len() <= shard {
+            self.entries.resize(shard + 1, ShardEntry::default());
         }
-        &mut self.holdings[shard]
+        &mut self.entries[shard]
     }
 
-    fn others(&self, shard: usize) -> impl Iterator<Item = &Holding> {
-        let holdings = self.holdings.iter().enumerate();
-        holdings.filter_map(move |(place, holding)| (place != shard).then_some(holding))
+    fn siblings(&self, shard: usize) -> impl Iterator<Item = &ShardEntry> {
+        let entries = self.entries.iter().enumerate();
+        entries.filter_map(move |(index, entry)| (index != shard).then_some(entry))
     }
 
     pub fn threads(&self) -> f64 {
-        self.holdings
-            .iter()
-            .map(|holding| holding.out.threads)
-            .sum()
+        self.entries.iter().map(|entry| entry.usage.threads).sum()
     }
 
-    pub fn lent(&self) -> f64 {
-        self.holdings.iter().map(|holding| holding.lent).sum()
+    pub fn leased_threads(&self) -> f64 {
+        self.entries.iter().map(|entry| entry.leased_threads).sum()
     }
 
-    /// Lends a part of the threads that are free below the limit. One query always has room on an engine
-    /// on which there is nothing, whatever the limit; on a cold one, only one shard borrows at a time, since
-    /// what it will send is known only afterwards.
-    pub fn lend(&mut self, shard: usize, wished: &EngineWish, claim: &LeaseRequest) -> f64 {
+    /// Leases a part of the threads that are free below the limit, and returns their number. An
+    /// unused engine always accepts one query, whatever the limit. On a cold engine only one shard
+    /// at a time holds a lease, because the work that it will send is known only afterwards.
+    pub fn acquire(&mut self, shard: usize, demand: &EngineWish, request: &LeaseRequest) -> f64 {
         let LeaseRequest {
             now,
             redistribution_interval,
-            part,
-            most,
-            heaviest,
-        } = *claim;
-        let own = self.holding(shard).out.threads;
-        let held = self.threads() + self.lent() - wished.ended.min(own);
-        let (limit, cold) = (wished.limit, wished.cold);
-        let busy = self.others(shard).any(|holding| holding.lent > 0.0);
-        let free = if held == 0.0 {
-            limit.max(heaviest)
+            share,
+            max_threads,
+            heaviest_threads,
+        } = *request;
+        let own_threads = self.entry(shard).usage.threads;
+        let used_threads = self.threads() + self.leased_threads() - demand.ended.min(own_threads);
+        let (limit, is_cold) = (demand.limit, demand.cold);
+        let has_sibling_lease = self.siblings(shard).any(|entry| entry.leased_threads > 0.0);
+        let free = if used_threads == 0.0 {
+            limit.max(heaviest_threads)
         } else {
-            limit - held
+            limit - used_threads
         };
-        // Pieces of what is nearly full would fit light queries only, and keep heavy ones out for good.
-        let tight = free < 2.0 * heaviest;
+        // Fractions of the free threads of a nearly full engine would fit light queries only, and
+        // keep heavy ones out permanently.
+        let is_nearly_full = free < 2.0 * heaviest_threads;
         if self
-            .opened_at
+            .redistributed_at
             .is_none_or(|at| now >= at + redistribution_interval)
         {
-            (self.open, self.opened_at) = (free, Some(now));
+            (self.redistributable_threads, self.redistributed_at) = (free, Some(now));
         }
-        // As with one gateway, what comes free is gathered for a tick: many shards that each look at another
-        // moment would find one slot at a time, and give it to a light query.
-        let free = if tight { free.min(self.open) } else { free };
-        self.holding(shard).ended = wished.ended.min(own);
-        let room = if free <= 0.0 || (busy && (cold || tight)) {
+        // As in a single gateway, threads that become free are collected for an interval: shards
+        // that decide at different moments would each find one slot, and use it for a light query.
+        let free = if is_nearly_full {
+            free.min(self.redistributable_threads)
+        } else {
+            free
+        };
+        self.entry(shard).ended_threads = demand.ended.min(own_threads);
+        let quota = if free <= 0.0 || (has_sibling_lease && (is_cold || is_nearly_full)) {
             0.0
-        } else if tight {
-            free.min(most)
+        } else if is_nearly_full {
+            free.min(max_threads)
         } else {
-            (free * part).max(heaviest).min(free).min(most)
+            (free * share)
+                .max(heaviest_threads)
+                .min(free)
+                .min(max_threads)
         };
-        self.holding(shard).lent = room;
-        room
+        self.entry(shard).leased_threads = quota;
+        quota
     }
 
-    /// What the others have out there, and what they may be sending.
-    pub fn elsewhere(&self, shard: usize) -> Out {
+    /// What the other shards have in flight on the engine, and what they may be sending.
+    pub fn sibling_usage(&self, shard: usize) -> Out {
         let mut sum = Out::default();
-        for holding in self.others(shard) {
-            sum.threads += holding.out.threads + holding.lent;
-            sum.memory_mb += holding.out.memory_mb;
-            sum.groups.extend_from_slice(&holding.out.groups);
+        for entry in self.siblings(shard) {
+            sum.threads += entry.usage.threads + entry.leased_threads;
+            sum.memory_mb += entry.usage.memory_mb;
+            sum.groups.extend_from_slice(&entry.usage.groups);
         }
         sum
     }
 
-    pub fn work_of_others(&self, shard: usize, now: Micros, window: Micros) -> f64 {
-        let recent = self.sends.iter().filter(|(at, _, _)| *at + window > now);
-        let others = recent.filter(|(_, by, _)| *by != shard);
-        others.map(|(_, _, work)| work).sum()
+    /// Core seconds that other shards, including crashed ones, sent within the window.
+    pub fn sibling_work(&self, shard: usize, now: Micros, window: Micros) -> f64 {
+        let recent = self
+            .sent_work
+            .iter()
+            .filter(|(at, _, _)| *at + window > now);
+        let by_siblings = recent.filter(|(_, sender, _)| *sender != shard);
+        by_siblings.map(|(_, _, work)| work).sum()
     }
 
-    pub fn publish(&mut self, shard: usize, out: Out) {
-        let holding = self.holding(shard);
-        let sent = out.threads - (holding.out.threads - holding.ended);
-        (holding.out, holding.ended) = (out, 0.0);
-        self.open -= sent.max(0.0);
+    pub fn set_usage(&mut self, shard: usize, usage: Out) {
+        let entry = self.entry(shard);
+        let added_threads = usage.threads - (entry.usage.threads - entry.ended_threads);
+        (entry.usage, entry.ended_threads) = (usage, 0.0);
+        self.redistributable_threads -= added_threads.max(0.0);
     }
 
-    pub fn sent(&mut self, shard: usize, now: Micros, window: Micros, work: f64) {
+    pub fn record_sent_work(&mut self, shard: usize, now: Micros, window: Micros, work: f64) {
         while self
-            .sends
+            .sent_work
             .front()
             .is_some_and(|(at, _, _)| *at + window <= now)
         {
-            self.sends.pop_front();
+            self.sent_work.pop_front();
         }
-        self.sends.push_back((now, shard, work));
+        self.sent_work.push_back((now, shard, work));
     }
 
-    pub fn take_back(&mut self, shard: usize) {
-        if let Some(holding) = self.holdings.get_mut(shard) {
-            holding.lent = 0.0;
+    pub fn release(&mut self, shard: usize) {
+        if let Some(entry) = self.entries.get_mut(shard) {
+            entry.leased_threads = 0.0;
         }
     }
 
-    /// Nothing of the shard is out there; what it sent counts on, under a name that no living shard has: one
-    /// that is started anew remembers nothing of it.
-    pub fn forget(&mut self, shard: usize) {
-        if let Some(holding) = self.holdings.get_mut(shard) {
-            *holding = Holding::default();
+    /// Removes the usage of a shard. The work that it sent still counts, under an index that no
+    /// shard has: a shard that is restarted does not know of it.
+    pub fn remove_shard(&mut self, shard: usize) {
+        if let Some(entry) = self.entries.get_mut(shard) {
+            *entry = ShardEntry::default();
         }
-        for (_, by, _) in &mut self.sends {
-            if *by == shard {
-                *by = usize::MAX;
+        for (_, sender, _) in &mut self.sent_work {
+            if *sender == shard {
+                *sender = usize::MAX;
             }
         }
     }
 
-    pub fn is_empty(&self, now: Micros, window: Micros) -> bool {
-        let held = |holding: &Holding| holding.out.threads > 0.0 || holding.lent > 0.0;
-        !self.holdings.iter().any(held) && self.sends.iter().all(|(at, _, _)| *at + window <= now)
+    pub fn is_unused(&self, now: Micros, window: Micros) -> bool {
+        let is_used = |entry: &ShardEntry| entry.usage.threads > 0.0 || entry.leased_threads > 0.0;
+        !self.entries.iter().any(is_used)
+            && self.sent_work.iter().all(|(at, _, _)| *at + window <= now)
     }
 }
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -1,25 +1,27 @@
-//! Leases of what is divided among the shards of one dispatcher.
+//! Leases of the resources that the shards of one dispatcher share.
 //!
-//! A shard is a gateway of its own with a part of the requests. Before each decision it borrows room at
-//! the [`Ledger`], decides, and settles: it tells what it holds now and gives back the rest. What is
-//! borrowed counts to all others as if it were out, so whatever shards decide at the same moment, the sum
-//! is never more than one gateway would have sent. There is no clock and no I/O here; the caller tells the
-//! time in microseconds of one clock for all shards.
+//! A shard is a gateway that decides about a part of the requests. Before each decision it acquires
+//! a lease from the [`LeaseTable`]; after it, it commits the lease, which publishes its usage and
+//! returns what it did not use. Leased resources count for all other shards as if they were in
+//! flight, so whatever shards decide at the same moment, the sum never exceeds what one gateway
+//! would have sent. There is no clock and no I/O here; the caller passes the time in microseconds,
+//! of one clock for all shards.
 //!
-//! | divided | how |
+//! | shared resource | how it is divided |
 //! | --- | --- |
-//! | threads of an engine, of the fleet | borrowed for one decision, and counted while they are out |
-//! | memory of an engine, its loads' groups | counted while they are out |
-//! | what a cold engine may be sent | only one shard at a time may borrow there; what was sent counts for a window |
-//! | credit of classes and tenants | one credit for all, to which each adds its changes |
-//! | open requests | a lease of a number, renewed at each decision ([`counts`]) |
+//! | threads of an engine, and of the fleet | leased for one decision, and counted while in flight |
+//! | memory of an engine, table groups held by loads | counted while in flight |
+//! | work that a cold engine may be sent | leased by only one shard at a time; sent work counts for a window |
+//! | credit of classes and tenants | one balance for all shards, to which each adds its changes |
+//! | open requests | a quota, renewed with each lease ([`quota`]) |
 //!
-//! Another process of the same dispatcher, during an upgrade, counts as one more shard that never borrows.
+//! Another process of the same dispatcher, during an upgrade, counts as one more shard that never
+//! acquires a lease.
 //!
-//! A lease that is not settled in time is void: its room goes to others, and the caller must not send what
-//! it decided. What was out of a shard that is silent counts until the last of it must have ended; of a
-//! shard that died, whose connections are closed, it counts no more. What was sent to a cold engine counts
-//! on in both cases.
+//! A lease that is not committed in time expires: its resources become free for others, and the
+//! caller must not send what it decided. The attempts of a shard that is silent count until the
+//! last of them must have ended. Those of a crashed shard, whose connections are closed, no longer
+//! count. Work sent to a cold engine still counts in both cases.
 
 mod engine_leases;
 pub mod placement;
@@ -32,330 +34,347 @@
 };
 use std::collections::BTreeMap;
 
-/// Names a shard, from 0.
+/// Index of a shard, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardId(pub usize);
 
-/// Names one borrowing; one that has been settled, voided or crashed is of no further use.
+/// Identifies one lease; invalid once the lease is committed or expired, or its shard has crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseId(u64);
 
-/// The figures of a ledger.
+/// Limits and durations of a lease table.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTerms {
     pub shard_count: usize,
-    /// A borrowing that is not settled within this time is void.
+    /// A lease that is not committed within this time expires.
     pub lease_duration: Micros,
-    /// What comes free on an engine that is nearly full is lent again after this.
+    /// Threads that become free on a nearly full engine are leased again after this time.
     pub redistribution_interval: Micros,
-    /// How long what was sent to an engine counts against what a cold one can bear.
+    /// How long work sent to an engine counts against the limit of a cold engine.
     pub cold_window: Micros,
-    /// The most credit or debt of a class or tenant.
+    /// Maximum credit or debt of a class or tenant.
     pub max_credit: f64,
-    /// Requests that may be open at once, over all shards.
+    /// Maximum number of open requests over all shards.
     pub max_open_requests: usize,
 }
 
-/// What a shard has borrowed.
+/// A shard's lease for one decision.
 #[derive(Debug)]
 pub struct Lease {
     pub id: LeaseId,
     pub siblings: Siblings,
-    /// Requests that the shard may have open until it borrows again.
+    /// Maximum number of open requests of the shard until its next lease.
     pub max_open_requests: usize,
 }
 
-/// What a settlement came to.
+/// Result of a commit.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct CommitResult {
-    /// Whether the lease was good to the end; else nothing that was decided on it may be sent.
+    /// Whether the lease was valid until the commit; otherwise nothing that was decided under it
+    /// may be sent.
     pub is_valid: bool,
-    /// Shards that wait for what has become free.
+    /// Shards that may be waiting for resources that the commit has freed.
     pub shards_to_wake: Vec<ShardId>,
 }
 
-/// A borrowing that is not settled yet.
+/// A lease that is not committed yet.
 #[derive(Clone, Copy, Debug)]
-struct Lent {
-    ticket: LeaseId,
-    at: Micros,
-    /// Threads that the shard may send to the fleet on it.
+struct ActiveLease {
+    id: LeaseId,
+    acquired_at: Micros,
+    /// Threads that the shard may send to the fleet under the lease.
     threads: f64,
 }
 
-/// A shard as the ledger knows it.
+/// What is known of a shard.
 #[derive(Clone, Debug, Default)]
-struct Shard {
-    lent: Option<Lent>,
-    wants: f64,
+struct ShardState {
+    lease: Option<ActiveLease>,
+    demanded_threads: f64,
     classes: Vec<ClassOut>,
     waiting: Vec<Vec<usize>>,
-    /// By when all that it has out has ended.
-    until: Micros,
+    /// By when all of its attempts in flight must have ended.
+    attempts_end_by: Micros,
     threads: f64,
 }
 
-impl Shard {
-    fn waits(&self) -> bool {
+impl ShardState {
+    fn has_waiting_requests(&self) -> bool {
         self.waiting.iter().flatten().any(|count| *count > 0)
     }
 }
 
-/// What all shards hold.
+/// The leases and the usage of all shards of one dispatcher.
 #[derive(Debug)]
 pub struct LeaseTable {
     terms: LeaseTerms,
-    shards: Vec<Shard>,
+    shards: Vec<ShardState>,
     engines: BTreeMap<EngineId, EngineLeases>,
     class_credit: Vec<f64>,
     tenant_credit: Vec<Vec<f64>>,
-    open: SharedQuota,
-    tickets: u64,
-    /// Leases that were voided because they were not settled in time.
-    voided: u64,
+    open_requests: SharedQuota,
+    last_lease_id: u64,
+    /// Leases that expired before they were committed.
+    expired_leases: u64,
 }
 
 impl LeaseTable {
     pub fn new(terms: LeaseTerms) -> LeaseTable {
         LeaseTable {
             terms,
-            // One more for the other processes of this dispatcher, which borrow nothing here.
-            shards: vec![Shard::default(); terms.shard_count + 1],
+            // One more for the other processes of this dispatcher, which acquire no leases here.
+            shards: vec![ShardState::default(); terms.shard_count + 1],
             engines: BTreeMap::new(),
             class_credit: Vec::new(),
             tenant_credit: Vec::new(),
-            open: SharedQuota::new(terms.shard_count, terms.max_open_requests),
-            tickets: 0,
-            voided: 0,
+            open_requests: SharedQuota::new(terms.shard_count, terms.max_open_requests),
+            last_lease_id: 0,
+            expired_leases: 0,
         }
     }
 
-    /// Takes other terms for the same shards.
+    /// Applies new terms to the same shards.
     pub fn reconfigure(&mut self, terms: LeaseTerms) {
-        self.open.reconfigure(terms.max_open_requests);
+        self.open_requests.reconfigure(terms.max_open_requests);
         self.terms = terms;
     }
 
-    /// Hears what other processes of this dispatcher hold, all of them added up. It counts for every shard, until something
-    /// else is told or all that is out there must have ended.
-    pub fn set_peer_process_usage(&mut self, now: Micros, told: Published) {
-        self.publish(self.terms.shard_count, now, told);
+    /// Sets the total usage of the other processes of this dispatcher. It counts for every shard
+    /// until the next update, or until all of their attempts must have ended.
+    pub fn set_peer_process_usage(&mut self, now: Micros, usage: Published) {
+        self.set_usage(self.terms.shard_count, now, usage);
     }
 
-    /// How many leases were void before they were settled.
+    /// Number of leases that expired before they were committed.
     pub fn expired_lease_count(&self) -> u64 {
-        self.voided
+        self.expired_leases
     }
 
-    /// Lends room for one decision. `open` tells how many requests the shard has open.
-    pub fn acquire(&mut self, shard: ShardId, now: Micros, wish: &Wish, open: usize) -> Lease {
+    /// Leases resources for one decision of a shard that has `open_requests`.
+    pub fn acquire(
+        &mut self,
+        shard: ShardId,
+        now: Micros,
+        demand: &Wish,
+        open_requests: usize,
+    ) -> Lease {
         self.expire_leases(now);
-        self.take_back(shard);
-        self.tickets += 1;
-        let ticket = LeaseId(self.tickets);
-        let own = shard.0;
-        let wants = wish.threads.max(0.0);
-        self.shards[own].wants = wants;
-        let others: f64 = self.others(shard).map(|other| other.wants).sum();
-        // Its part of what is free, by what it waits for against what all wait for.
-        let part = if wants > 0.0 {
-            wants / (wants + others)
+        self.release(shard);
+        self.last_lease_id += 1;
+        let id = LeaseId(self.last_lease_id);
+        let index = shard.0;
+        let demanded_threads = demand.threads.max(0.0);
+        self.shards[index].demanded_threads = demanded_threads;
+        let sibling_demand: f64 = self
+            .siblings(shard)
+            .map(|sibling| sibling.demanded_threads)
+            .sum();
+        // The shard's share of what is free, by its part of the total demand.
+        let share = if demanded_threads > 0.0 {
+            demanded_threads / (demanded_threads + sibling_demand)
         } else {
             0.0
         };
-        let most = wants.max(wish.heaviest);
-        let claim = LeaseRequest {
+        let max_threads = demanded_threads.max(demand.heaviest);
+        let request = LeaseRequest {
             now,
             redistribution_interval: self.terms.redistribution_interval,
-            part,
-            most,
-            heaviest: wish.heaviest,
+            share,
+            max_threads,
+            heaviest_threads: demand.heaviest,
         };
-        let engines = wish.engines.iter().map(|wished| {
-            let book = self.engines.entry(wished.engine).or_default();
-            let room = book.lend(own, wished, &claim);
+        let engines = demand.engines.iter().map(|engine_demand| {
+            let engine_leases = self.engines.entry(engine_demand.engine).or_default();
+            let quota = engine_leases.acquire(index, engine_demand, &request);
             EngineShare {
-                engine: wished.engine,
-                out: book.elsewhere(own),
-                cold_work: book.work_of_others(own, now, self.terms.cold_window),
-                room: Room(room),
+                engine: engine_demand.engine,
+                out: engine_leases.sibling_usage(index),
+                cold_work: engine_leases.sibling_work(index, now, self.terms.cold_window),
+                room: Room(quota),
             }
         });
         let engines: Vec<EngineShare> = engines.collect();
-        let (classes, waiting) = (self.classes(shard), self.waiting(shard));
-        self.shards[own].lent = Some(Lent {
-            ticket,
-            at: now,
-            threads: most,
+        let (classes, waiting) = (self.sibling_classes(shard), self.waiting_at_siblings(shard));
+        self.shards[index].lease = Some(ActiveLease {
+            id,
+            acquired_at: now,
+            threads: max_threads,
         });
         Lease {
-            id: ticket,
+            id,
             siblings: Siblings {
                 engines,
                 classes,
                 waiting,
-                room: Room(most),
+                room: Room(max_threads),
                 class_credit: self.class_credit.clone(),
                 tenant_credit: self.tenant_credit.clone(),
             },
-            max_open_requests: self.open.renew(own, open),
+            max_open_requests: self.open_requests.renew(index, open_requests),
         }
     }
 
-    /// Takes what the shard holds now, and back what it has borrowed. Where the lease was void, what it
-    /// tells is of no use either: it speaks of sends that must not be made.
+    /// Ends a lease and sets the shard's usage. The usage is ignored if the lease has expired,
+    /// because it contains attempts that must not be sent.
     pub fn commit(
         &mut self,
         shard: ShardId,
-        ticket: LeaseId,
+        id: LeaseId,
         now: Micros,
-        told: Published,
+        usage: Published,
     ) -> CommitResult {
         self.expire_leases(now);
-        let own = shard.0;
-        let lent = self.shards[own].lent;
-        if lent.is_none_or(|lent| lent.ticket != ticket) {
+        let index = shard.0;
+        let lease = self.shards[index].lease;
+        if lease.is_none_or(|lease| lease.id != id) {
             return CommitResult::default();
         }
-        self.take_back(shard);
-        let before = self.shards[own].threads;
-        self.publish(own, now, told);
-        let freed = self.shards[own].threads < before;
-        let wake = if freed {
-            self.waiters(shard)
+        self.release(shard);
+        let threads_before = self.shards[index].threads;
+        self.set_usage(index, now, usage);
+        let has_freed_threads = self.shards[index].threads < threads_before;
+        let shards_to_wake = if has_freed_threads {
+            self.waiting_siblings(shard)
         } else {
             Vec::new()
         };
         CommitResult {
             is_valid: true,
-            shards_to_wake: wake,
+            shards_to_wake,
         }
     }
 
-    /// A shard has died and its connections to engines are closed: nothing of it is out any more. Gives
-    /// the shards that may be waiting for that.
+    /// Removes all usage of a shard that has crashed and whose connections to engines are closed.
+    /// Returns the shards that may be waiting for what it used.
     pub fn remove_crashed_shard(&mut self, shard: ShardId) -> Vec<ShardId> {
-        self.forget(shard);
-        self.open.release(shard.0);
-        self.waiters(shard)
+        self.remove_usage(shard);
+        self.open_requests.release(shard.0);
+        self.waiting_siblings(shard)
     }
 
-    /// Leases that ran out become void; what was out of a silent shard counts until it must have ended.
+    /// Ends leases that were not committed in time, and removes the usage of silent shards whose
+    /// attempts must have ended.
     pub fn expire_leases(&mut self, now: Micros) {
-        for place in 0..self.shards.len() {
-            let shard = &self.shards[place];
-            let late = |lent: Lent| now > lent.at + self.terms.lease_duration;
-            if shard.lent.is_some_and(late) {
-                self.voided += 1;
-                self.take_back(ShardId(place));
-                self.shards[place].wants = 0.0;
+        for index in 0..self.shards.len() {
+            let shard = &self.shards[index];
+            let is_late = |lease: ActiveLease| now > lease.acquired_at + self.terms.lease_duration;
+            if shard.lease.is_some_and(is_late) {
+                self.expired_leases += 1;
+                self.release(ShardId(index));
+                self.shards[index].demanded_threads = 0.0;
             }
-            // A shard that lives publishes again long before.
-            let shard = &self.shards[place];
-            if shard.threads > 0.0 && now > shard.until + self.terms.lease_duration {
-                self.forget(ShardId(place));
+            // A live shard publishes its usage again long before this.
+            let shard = &self.shards[index];
+            if shard.threads > 0.0 && now > shard.attempts_end_by + self.terms.lease_duration {
+                self.remove_usage(ShardId(index));
             }
         }
     }
 
-    /// Threads out on an engine, and threads lent there, over all shards.
+    /// Threads in flight on an engine, and threads leased there, over all shards.
     pub fn engine_threads(&self, engine: EngineId) -> (f64, f64) {
-        let book = self.engines.get(&engine);
-        book.map_or((0.0, 0.0), |book| (book.threads(), book.lent()))
+        let row = self.engines.get(&engine);
+        row.map_or((0.0, 0.0), |row| (row.threads(), row.leased_threads()))
     }
 
-    fn others(&self, shard: ShardId) -> impl Iterator<Item = &Shard> {
+    fn siblings(&self, shard: ShardId) -> impl Iterator<Item = &ShardState> {
         let shards = self.shards.iter().enumerate();
-        shards.filter_map(move |(place, other)| (place != shard.0).then_some(other))
+        shards.filter_map(move |(index, sibling)| (index != shard.0).then_some(sibling))
     }
 
-    fn waiters(&self, shard: ShardId) -> Vec<ShardId> {
+    fn waiting_siblings(&self, shard: ShardId) -> Vec<ShardId> {
         let shards = self.shards.iter().enumerate();
-        let waits = shards.filter(|(place, other)| *place != shard.0 && other.waits());
-        waits.map(|(place, _)| ShardId(place)).collect()
+        let waiting =
+            shards.filter(|(index, sibling)| *index != shard.0 && sibling.has_waiting_requests());
+        waiting.map(|(index, _)| ShardId(index)).collect()
     }
 
-    /// Ends what the shard has borrowed.
-    fn take_back(&mut self, shard: ShardId) {
-        if self.shards[shard.0].lent.take().is_some() {
+    /// Ends the lease of the shard, if it has one.
+    fn release(&mut self, shard: ShardId) {
+        if self.shards[shard.0].lease.take().is_some() {
             self.engines
                 .values_mut()
-                .for_each(|book| book.take_back(shard.0));
+                .for_each(|engine_leases| engine_leases.release(shard.0));
         }
     }
 
-    fn forget(&mut self, shard: ShardId) {
-        self.take_back(shard);
+    fn remove_usage(&mut self, shard: ShardId) {
+        self.release(shard);
         self.engines
             .values_mut()
-            .for_each(|book| book.forget(shard.0));
-        self.shards[shard.0] = Shard::default();
+            .for_each(|engine_leases| engine_leases.remove_shard(shard.0));
+        self.shards[shard.0] = ShardState::default();
     }
 
-    fn publish(&mut self, own: usize, now: Micros, mut told: Published) {
-        told.engines.sort_by_key(|(id, _)| *id);
-        let threads: f64 = told.engines.iter().map(|(_, out)| out.threads).sum();
+    fn set_usage(&mut self, index: usize, now: Micros, mut usage: Published) {
+        usage.engines.sort_by_key(|(id, _)| *id);
+        let threads: f64 = usage.engines.iter().map(|(_, out)| out.threads).sum();
         let window = self.terms.cold_window;
-        let engines = &told.engines;
-        self.engines.retain(|id, book| {
-            let known = engines
+        let engines = &usage.engines;
+        self.engines.retain(|id, engine_leases| {
+            let is_known = engines
                 .binary_search_by_key(id, |(engine, _)| *engine)
                 .is_ok();
-            if !known {
-                // An engine that the shard no longer knows has nothing of it out.
-                book.publish(own, Out::default());
+            if !is_known {
+                // The shard has nothing in flight on an engine that it no longer knows.
+                engine_leases.set_usage(index, Out::default());
             }
-            known || !book.is_empty(now, window)
+            is_known || !engine_leases.is_unused(now, window)
         });
-        for (id, out) in told.engines {
-            self.engines.entry(id).or_default().publish(own, out);
+        for (id, engine_usage) in usage.engines {
+            self.engines
+                .entry(id)
+                .or_default()
+                .set_usage(index, engine_usage);
         }
-        for (id, work) in told.sent {
-            let book = self.engines.entry(id).or_default();
-            book.sent(own, now, window, work);
+        for (id, work) in usage.sent {
+            let engine_leases = self.engines.entry(id).or_default();
+            engine_leases.record_sent_work(index, now, window, work);
         }
-        let shard = &mut self.shards[own];
-        (shard.classes, shard.waiting) = (told.classes, told.waiting);
-        shard.until = told.until;
-        // What it could not send it still waits for.
-        let sent = (threads - shard.threads).max(0.0);
-        shard.wants = if shard.waits() {
-            (shard.wants - sent).max(0.0)
+        let shard = &mut self.shards[index];
+        (shard.classes, shard.waiting) = (usage.classes, usage.waiting);
+        shard.attempts_end_by = usage.until;
+        // Demand that the shard could not send remains.
+        let sent_threads = (threads - shard.threads).max(0.0);
+        shard.demanded_threads = if shard.has_waiting_requests() {
+            (shard.demanded_threads - sent_threads).max(0.0)
         } else {
             0.0
         };
         shard.threads = threads;
-        let cap = self.terms.max_credit;
-        add(&mut self.class_credit, &told.class_credit, cap);
-        let classes = told.tenant_credit.len().max(self.tenant_credit.len());
-        self.tenant_credit.resize(classes, Vec::new());
-        for (credit, change) in self.tenant_credit.iter_mut().zip(&told.tenant_credit) {
-            add(credit, change, cap);
+        let max_credit = self.terms.max_credit;
+        add_credit(&mut self.class_credit, &usage.class_credit, max_credit);
+        let class_count = usage.tenant_credit.len().max(self.tenant_credit.len());
+        self.tenant_credit.resize(class_count, Vec::new());
+        for (credit, change) in self.tenant_credit.iter_mut().zip(&usage.tenant_credit) {
+            add_credit(credit, change, max_credit);
         }
     }
 
-    /// By class, what the others have out, and might be sending.
-    fn classes(&self, shard: ShardId) -> Vec<ClassOut> {
+    /// By class, what the other shards have in flight or may be sending.
+    fn sibling_classes(&self, shard: ShardId) -> Vec<ClassOut> {
         let mut sum: Vec<ClassOut> = Vec::new();
-        for other in self.others(shard) {
-            sum.resize(sum.len().max(other.classes.len()), ClassOut::default());
-            for (sum, out) in sum.iter_mut().zip(&other.classes) {
-                sum.threads += out.threads;
-                sum.memory_mb += out.memory_mb;
+        for sibling in self.siblings(shard) {
+            sum.resize(sum.len().max(sibling.classes.len()), ClassOut::default());
+            for (sum, class_usage) in sum.iter_mut().zip(&sibling.classes) {
+                sum.threads += class_usage.threads;
+                sum.memory_mb += class_usage.memory_mb;
             }
         }
-        // What others may be sending at this moment may be of any class.
-        let lent = self.others(shard).filter_map(|other| other.lent);
-        let reserved: f64 = lent.map(|lent| lent.threads).sum();
-        sum.iter_mut().for_each(|class| class.threads += reserved);
+        // Queries sent under active leases may be of any class.
+        let leases = self.siblings(shard).filter_map(|sibling| sibling.lease);
+        let leased_threads: f64 = leases.map(|lease| lease.threads).sum();
+        sum.iter_mut()
+            .for_each(|class_usage| class_usage.threads += leased_threads);
         sum
     }
 
-    fn waiting(&self, shard: ShardId) -> Vec<Vec<usize>> {
+    /// By class and tenant, how many requests wait at the other shards.
+    fn waiting_at_siblings(&self, shard: ShardId) -> Vec<Vec<usize>> {
         let mut sum: Vec<Vec<usize>> = Vec::new();
-        for other in self.others(shard) {
-            sum.resize(sum.len().max(other.waiting.len()), Vec::new());
-            for (sum, class) in sum.iter_mut().zip(&other.waiting) {
+        for sibling in self.siblings(shard) {
+            sum.resize(sum.len().max(sibling.waiting.len()), Vec::new());
+            for (sum, class) in sum.iter_mut().zip(&sibling.waiting) {
                 sum.resize(sum.len().max(class.len()), 0);
                 sum.iter_mut()
                     .zip(class)
@@ -366,10 +385,10 @@
     }
 }
 
-/// Adds changes to credits, within the cap.
-fn add(credit: &mut Vec<f64>, change: &[f64], cap: f64) {
+/// Adds changes to credits, within `-max_credit..=max_credit`.
+fn add_credit(credit: &mut Vec<f64>, change: &[f64], max_credit: f64) {
     credit.resize(credit.len().max(change.len()), 0.0);
     for (credit, change) in credit.iter_mut().zip(change) {
-        *credit = (*credit + change).clamp(-cap, cap);
+        *credit = (*credit + change).clamp(-max_credit, max_credit);
     }
 }
--- a/leases/src/quota.rs
+++ b/leases/src/quota.rs
@@ -1,37 +1,43 @@
-//! A number that is divided among shards: each holds a lease of so many, and renews it as it goes.
+//! A quota that is divided among shards: each shard leases a part of it, and renews the lease with
+//! each decision.
 
-/// Leases of a whole number, such as of requests that may be open. The sum of what is granted is never
-/// more than the whole; what a shard does not use moves to those that do at its next renewal.
+/// Leases of a whole number, such as the number of open requests. The sum of what is granted never
+/// exceeds the limit; what a shard does not use moves to shards that need it at their next renewal.
 #[derive(Debug)]
 pub struct SharedQuota {
-    most: usize,
-    /// What each shard has been granted.
+    limit: usize,
+    /// Granted to each shard.
     granted: Vec<usize>,
 }
 
 impl SharedQuota {
-    pub fn new(shards: usize, most: usize) -> SharedQuota {
+    pub fn new(shard_count: usize, limit: usize) -> SharedQuota {
         SharedQuota {
-            most,
-            granted: vec![0; shards],
+            limit,
+            granted: vec![0; shard_count],
         }
     }
 
-    /// So many from now on; a shard that has more gives them back as it renews.
-    pub fn reconfigure(&mut self, most: usize) {
-        self.most = most;
+    /// Changes the limit; a shard that has more than its part returns the excess when it renews.
+    pub fn reconfigure(&mut self, limit: usize) {
+        self.limit = limit;
     }
 
-    /// Renews a shard's lease, of which it uses so many, and gives the new one: what it uses, and its part
-    /// of what is free. It is less than what is used only where the shard has gone beyond its lease.
+    /// Renews the lease of a shard that uses `used`, and returns the new lease: what the shard uses
+    /// and its part of what is free. The result is less than `used` only where the shard has
+    /// exceeded its lease.
     pub fn renew(&mut self, shard: usize, used: usize) -> usize {
-        let taken = self.granted.iter().sum::<usize>() - self.granted[shard];
-        let mine = self.most.saturating_sub(taken);
-        // Half of what is free stays for those that come next, so that it moves to where it is asked for.
-        let free = mine.saturating_sub(used);
-        let alone = self.granted.len() == 1;
-        let spare = if alone { free } else { free.div_ceil(2) };
-        let granted = (used + spare).min(mine);
+        let granted_to_siblings = self.granted.iter().sum::<usize>() - self.granted[shard];
+        let available = self.limit.saturating_sub(granted_to_siblings);
+        // Half of what is free stays for the next renewals, so that it moves to where it is needed.
+        let free = available.saturating_sub(used);
+        let is_only_shard = self.granted.len() == 1;
+        let spare = if is_only_shard {
+            free
+        } else {
+            free.div_ceil(2)
+        };
+        let granted = (used + spare).min(available);
         self.granted[shard] = granted;
         granted
     }
@@ -47,17 +53,17 @@
     use super::*;
 
     #[test]
-    fn what_is_free_moves_to_the_shard_that_asks_for_it() {
-        let mut counts = SharedQuota::new(2, 100);
-        assert_eq!(counts.renew(0, 0), 50);
-        assert_eq!(counts.renew(1, 0), 25);
+    fn free_quota_moves_to_the_shard_that_needs_it() {
+        let mut quota = SharedQuota::new(2, 100);
+        assert_eq!(quota.renew(0, 0), 50);
+        assert_eq!(quota.renew(1, 0), 25);
         let mut used = 0;
         for _ in 0..8 {
-            used = counts.renew(0, used);
-            counts.renew(1, 0);
+            used = quota.renew(0, used);
+            quota.renew(1, 0);
         }
         assert!(used >= 90, "{used} of 100 after eight renewals");
-        counts.release(0);
-        assert!(counts.renew(1, 0) >= 50);
+        quota.release(0);
+        assert!(quota.renew(1, 0) >= 50);
     }
 }
--- a/leases/tests/interleavings.rs
+++ b/leases/tests/interleavings.rs
@@ -1,4 +1,5 @@
-//! Random interleavings of shards that borrow, settle, stall and die, beside a model of what is really out.
+//! Random interleavings of shards that acquire and commit leases, stall and crash, checked against
+//! a model of what is really in flight.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -6,29 +7,30 @@
 use sedgebeam_leases::{Lease, LeaseTable, LeaseTerms, ShardId};
 use std::collections::BTreeMap;
 
-const SHARDS: usize = 4;
-const ENGINES: u64 = 3;
-const LIMIT: f64 = 10.0;
-const HEAVIEST: f64 = 4.0;
-/// What adding fractions loses.
+const SHARD_COUNT: usize = 4;
+const ENGINE_COUNT: u64 = 3;
+const ENGINE_LIMIT: f64 = 10.0;
+const HEAVIEST_THREADS: f64 = 4.0;
+/// Tolerance for floating-point rounding.
 const ROUNDING: f64 = 1e-9;
-/// What all may send to the cold engine within a window, in core seconds.
-const COLD_PART: f64 = 3.0;
-const COLD: EngineId = EngineId(0);
-const LEASE: Micros = Micros(50);
-const WINDOW: Micros = Micros(400);
-const OPEN: usize = 40;
+/// What all shards together may send to the cold engine within a window, in core seconds.
+const COLD_LIMIT: f64 = 3.0;
+const COLD_ENGINE: EngineId = EngineId(0);
+const LEASE_DURATION: Micros = Micros(50);
+const COLD_WINDOW: Micros = Micros(400);
+const MAX_OPEN_REQUESTS: usize = 40;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Ends so many queries on each engine, and borrows.
-    Borrow {
+    /// Ends up to `ended` queries on each engine, and acquires a lease.
+    Acquire {
         shard: usize,
-        wants: u8,
-        ends: u8,
+        demanded_threads: u8,
+        ended: u8,
     },
-    /// Sends up to so many queries of so many threads to each engine that has room, and settles.
-    Settle {
+    /// Sends up to `queries` queries of `threads` threads to each engine within its quota, and
+    /// commits.
+    Commit {
         shard: usize,
         queries: u8,
         threads: u8,
@@ -38,40 +40,45 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let shard = 0..SHARDS;
+    let shard = 0..SHARD_COUNT;
     prop_oneof![
-        4 => (shard.clone(), 0..30u8, 0..3u8).prop_map(|(shard, wants, ends)| {
-            Step::Borrow { shard, wants, ends }
+        4 => (shard.clone(), 0..30u8, 0..3u8).prop_map(|(shard, demanded_threads, ended)| {
+            Step::Acquire { shard, demanded_threads, ended }
         }),
         5 => (shard.clone(), 0..6u8, 1..=4u8).prop_map(|(shard, queries, threads)| {
-            Step::Settle { shard, queries, threads }
+            Step::Commit { shard, queries, threads }
         }),
         2 => (1..60u8).prop_map(Step::Wait),
         1 => shard.prop_map(Step::Crash),
     ]
 }
 
-/// A shard as it really is: its queries out, by engine.
+/// The model of a shard, with the threads of its queries in flight by engine.
 #[derive(Default)]
 struct Shard {
-    out: BTreeMap<EngineId, Vec<f64>>,
-    loan: Option<(Lease, Micros)>,
-    open: usize,
+    in_flight: BTreeMap<EngineId, Vec<f64>>,
+    lease: Option<(Lease, Micros)>,
+    open_requests: usize,
     sent: Vec<(Micros, f64)>,
 }
 
 impl Shard {
     fn threads(&self, engine: EngineId) -> f64 {
-        self.out.get(&engine).map_or(0.0, |out| out.iter().sum())
+        self.in_flight
+            .get(&engine)
+            .map_or(0.0, |queries| queries.iter().sum())
     }
 
-    fn publish(&self, sent: f64) -> Published {
-        let out = |engine| Out {
+    fn usage(&self, sent: f64) -> Published {
+        let engine_usage = |engine| Out {
             threads: self.threads(engine),
             ..Out::default()
         };
-        let engines: Vec<_> = (0..ENGINES).map(EngineId).map(|id| (id, out(id))).collect();
-        let threads = engines.iter().map(|(_, out)| out.threads).sum();
+        let engines: Vec<_> = (0..ENGINE_COUNT)
+            .map(EngineId)
+            .map(|id| (id, engine_usage(id)))
+            .collect();
+        let threads = engines.iter().map(|(_, usage)| usage.threads).sum();
         Published {
             engines,
             classes: vec![ClassOut {
@@ -79,139 +86,165 @@
                 memory_mb: 0.0,
             }],
             waiting: vec![vec![1]],
-            sent: vec![(COLD, sent)],
+            sent: vec![(COLD_ENGINE, sent)],
             until: Micros::MAX,
             ..Published::default()
         }
     }
 }
 
-struct World {
-    ledger: LeaseTable,
+struct Model {
+    lease_table: LeaseTable,
     shards: Vec<Shard>,
     now: Micros,
-    /// All that was ever sent to the cold engine, whoever sent it.
-    cold: Vec<(Micros, f64)>,
+    /// All work sent to the cold engine, by any shard.
+    sent_to_cold: Vec<(Micros, f64)>,
 }
 
-fn recent(sent: &[(Micros, f64)], now: Micros) -> f64 {
-    let recent = sent.iter().filter(|(at, _)| *at + WINDOW > now);
-    recent.map(|(_, work)| work).sum()
+fn work_in_window(sent: &[(Micros, f64)], now: Micros) -> f64 {
+    let in_window = sent.iter().filter(|(at, _)| *at + COLD_WINDOW > now);
+    in_window.map(|(_, work)| work).sum()
 }
 
-impl World {
-    fn new() -> World {
-        World {
-            ledger: LeaseTable::new(terms(SHARDS)),
-            shards: (0..SHARDS).map(|_| Shard::default()).collect(),
+impl Model {
+    fn new() -> Model {
+        Model {
+            lease_table: LeaseTable::new(terms(SHARD_COUNT)),
+            shards: (0..SHARD_COUNT).map(|_| Shard::default()).collect(),
             now: Micros(1000),
-            cold: Vec::new(),
+            sent_to_cold: Vec::new(),
         }
     }
 
-    fn borrow(&mut self, place: usize, wants: u8, ends: u8) {
-        let shard = &mut self.shards[place];
-        let mut wished = Vec::new();
-        for id in (0..ENGINES).map(EngineId) {
-            let before = shard.threads(id);
-            if let Some(out) = shard.out.get_mut(&id) {
-                out.truncate(out.len().saturating_sub(usize::from(ends)));
+    fn acquire(&mut self, index: usize, demanded_threads: u8, ended: u8) {
+        let shard = &mut self.shards[index];
+        let mut engines = Vec::new();
+        for id in (0..ENGINE_COUNT).map(EngineId) {
+            let threads_before = shard.threads(id);
+            if let Some(queries) = shard.in_flight.get_mut(&id) {
+                queries.truncate(queries.len().saturating_sub(usize::from(ended)));
             }
-            wished.push(engine(id, id == COLD, before - shard.threads(id)));
+            engines.push(engine_demand(
+                id,
+                id == COLD_ENGINE,
+                threads_before - shard.threads(id),
+            ));
         }
-        shard.open = shard.open.saturating_sub(usize::from(ends));
-        let wish = Wish {
-            threads: f64::from(wants),
-            heaviest: HEAVIEST,
-            engines: wished,
+        shard.open_requests = shard.open_requests.saturating_sub(usize::from(ended));
+        let demand = Wish {
+            threads: f64::from(demanded_threads),
+            heaviest: HEAVIEST_THREADS,
+            engines,
         };
-        let loan = self
-            .ledger
-            .acquire(ShardId(place), self.now, &wish, shard.open);
-        // It opens as many requests as it may.
-        shard.open = (shard.open + usize::from(wants)).min(loan.max_open_requests);
-        shard.loan = Some((loan, self.now));
+        let lease =
+            self.lease_table
+                .acquire(ShardId(index), self.now, &demand, shard.open_requests);
+        // The shard opens as many requests as it may.
+        shard.open_requests =
+            (shard.open_requests + usize::from(demanded_threads)).min(lease.max_open_requests);
+        shard.lease = Some((lease, self.now));
     }
 
-    /// Decides as a gateway does: within its room and the limit, by what it was told of the others.
-    fn settle(&mut self, place: usize, queries: u8, threads: u8) {
-        let shard = &mut self.shards[place];
-        let Some((loan, _)) = shard.loan.take() else {
+    /// Decides as a gateway does: within its thread quota and the limit, by the usage of its
+    /// siblings.
+    fn commit(&mut self, index: usize, queries: u8, threads: u8) {
+        let shard = &mut self.shards[index];
+        let Some((lease, _)) = shard.lease.take() else {
             return;
         };
         let threads = f64::from(threads);
-        let (mut sends, mut work, mut fleet) = (Vec::new(), 0.0, loan.siblings.room.0);
-        for share in &loan.siblings.engines {
-            let (mut room, mut own) = (share.room.0, shard.threads(share.engine));
+        let (mut sends, mut cold_work, mut fleet_quota) = (Vec::new(), 0.0, lease.siblings.room.0);
+        for sibling_usage in &lease.siblings.engines {
+            let (mut quota, mut own_threads) =
+                (sibling_usage.room.0, shard.threads(sibling_usage.engine));
             for _ in 0..queries {
-                let all = own + share.out.threads;
-                let fits = all == 0.0 || all + threads <= LIMIT;
-                let cold = recent(&shard.sent, self.now) + share.cold_work + work + 0.5;
-                let bears = share.engine != COLD || cold <= COLD_PART;
-                if threads <= room && threads <= fleet && fits && bears {
-                    sends.push(share.engine);
-                    (room, fleet, own) = (room - threads, fleet - threads, own + threads);
-                    work += if share.engine == COLD { 0.5 } else { 0.0 };
+                let total_threads = own_threads + sibling_usage.out.threads;
+                let fits_limit = total_threads == 0.0 || total_threads + threads <= ENGINE_LIMIT;
+                let cold_total = work_in_window(&shard.sent, self.now)
+                    + sibling_usage.cold_work
+                    + cold_work
+                    + 0.5;
+                let fits_cold_limit =
+                    sibling_usage.engine != COLD_ENGINE || cold_total <= COLD_LIMIT;
+                if threads <= quota && threads <= fleet_quota && fits_limit && fits_cold_limit {
+                    sends.push(sibling_usage.engine);
+                    (quota, fleet_quota, own_threads) = (
+                        quota - threads,
+                        fleet_quota - threads,
+                        own_threads + threads,
+                    );
+                    cold_work += if sibling_usage.engine == COLD_ENGINE {
+                        0.5
+                    } else {
+                        0.0
+                    };
                 }
             }
         }
-        // What would be out if the sends were made.
-        let before = shard.out.clone();
+        // The usage as if the sends were made; an invalid commit reverts it.
+        let in_flight_before = shard.in_flight.clone();
         sends
             .iter()
-            .for_each(|to| shard.out.entry(*to).or_default().push(threads));
-        let told = shard.publish(work);
+            .for_each(|to| shard.in_flight.entry(*to).or_default().push(threads));
+        let usage = shard.usage(cold_work);
         if self
-            .ledger
-            .commit(ShardId(place), loan.id, self.now, told)
+            .lease_table
+            .commit(ShardId(index), lease.id, self.now, usage)
             .is_valid
         {
-            shard.sent.push((self.now, work));
-            self.cold.push((self.now, work));
+            shard.sent.push((self.now, cold_work));
+            self.sent_to_cold.push((self.now, cold_work));
         } else {
-            self.shards[place].out = before;
+            self.shards[index].in_flight = in_flight_before;
         }
     }
 
-    fn crash(&mut self, place: usize) {
-        self.shards[place] = Shard::default();
-        self.ledger.remove_crashed_shard(ShardId(place));
+    fn crash(&mut self, index: usize) {
+        self.shards[index] = Shard::default();
+        self.lease_table.remove_crashed_shard(ShardId(index));
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
-            Step::Borrow { shard, wants, ends } => self.borrow(shard, wants, ends),
-            Step::Settle {
+            Step::Acquire {
+                shard,
+                demanded_threads,
+                ended,
+            } => self.acquire(shard, demanded_threads, ended),
+            Step::Commit {
                 shard,
                 queries,
                 threads,
-            } => self.settle(shard, queries, threads),
-            Step::Wait(time) => self.now = self.now + Micros(u64::from(time)),
+            } => self.commit(shard, queries, threads),
+            Step::Wait(duration) => self.now = self.now + Micros(u64::from(duration)),
             Step::Crash(shard) => self.crash(shard),
         }
     }
 
-    /// Nothing is handed out twice, whatever has happened.
+    /// Checks that nothing is leased or used beyond its limit.
     fn check(&self) -> Result<(), TestCaseError> {
-        for engine in (0..ENGINES).map(EngineId) {
-            let out: f64 = self.shards.iter().map(|shard| shard.threads(engine)).sum();
-            let (_, lent) = self.ledger.engine_threads(engine);
+        for engine in (0..ENGINE_COUNT).map(EngineId) {
+            let in_flight: f64 = self.shards.iter().map(|shard| shard.threads(engine)).sum();
+            let (_, leased) = self.lease_table.engine_threads(engine);
             prop_assert!(
-                out <= LIMIT + ROUNDING,
-                "{out} threads are out on {engine:?}"
+                in_flight <= ENGINE_LIMIT + ROUNDING,
+                "{in_flight} threads are in flight on {engine:?}"
             );
             prop_assert!(
-                out + lent <= LIMIT + ROUNDING,
-                "{out} out and {lent} lent on {engine:?}"
+                in_flight + leased <= ENGINE_LIMIT + ROUNDING,
+                "{in_flight} threads in flight and {leased} leased on {engine:?}"
             );
         }
-        let cold = recent(&self.cold, self.now);
+        let cold_work = work_in_window(&self.sent_to_cold, self.now);
+        prop_assert!(
+            cold_work <= COLD_LIMIT + ROUNDING,
+            "{cold_work} core seconds sent to a cold engine"
+        );
+        let open_requests: usize = self.shards.iter().map(|shard| shard.open_requests).sum();
         prop_assert!(
-            cold <= COLD_PART + ROUNDING,
-            "{cold} core seconds sent to a cold engine"
+            open_requests <= MAX_OPEN_REQUESTS,
+            "{open_requests} requests are open"
         );
-        let open: usize = self.shards.iter().map(|shard| shard.open).sum();
-        prop_assert!(open <= OPEN, "{open} requests are open");
         Ok(())
     }
 }
@@ -220,69 +253,70 @@
     #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn shards_together_never_hold_more_than_one_gateway_may(steps in vec(step(), 1..120)) {
-        let mut world = World::new();
+    fn shards_together_never_exceed_the_limits_of_one_gateway(steps in vec(step(), 1..120)) {
+        let mut model = Model::new();
         for step in steps {
-            world.play(step);
-            world.check()?;
+            model.apply(step);
+            model.check()?;
         }
     }
 
-    /// What a shard is told of the others is what they told, whatever was lent and voided in between.
+    /// Whatever was leased and has expired before, in the end only the committed usage counts.
     #[test]
-    fn what_has_been_lent_comes_back(steps in vec(step(), 1..60)) {
-        let mut world = World::new();
+    fn expired_leases_are_returned(steps in vec(step(), 1..60)) {
+        let mut model = Model::new();
         for step in steps {
-            world.play(step);
+            model.apply(step);
         }
-        world.now = world.now + LEASE + Micros(1);
-        world.ledger.expire_leases(world.now);
-        for engine in (0..ENGINES).map(EngineId) {
-            let out: f64 = world.shards.iter().map(|shard| shard.threads(engine)).sum();
-            let (told, lent) = world.ledger.engine_threads(engine);
-            prop_assert_eq!(lent, 0.0);
-            // What ended on a lease that was void is told with the next one that stands.
-            prop_assert!(out <= told, "{} out, {} known", out, told);
+        model.now = model.now + LEASE_DURATION + Micros(1);
+        model.lease_table.expire_leases(model.now);
+        for engine in (0..ENGINE_COUNT).map(EngineId) {
+            let in_flight: f64 = model.shards.iter().map(|shard| shard.threads(engine)).sum();
+            let (known, leased) = model.lease_table.engine_threads(engine);
+            prop_assert_eq!(leased, 0.0);
+            // Ended queries reported under an expired lease are reported again under the next valid
+            // one.
+            prop_assert!(in_flight <= known, "{} in flight, {} known", in_flight, known);
         }
     }
 }
 
-fn engine(engine: EngineId, cold: bool, ended: f64) -> EngineWish {
+fn engine_demand(engine: EngineId, is_cold: bool, ended: f64) -> EngineWish {
     EngineWish {
         engine,
-        limit: LIMIT,
-        cold,
+        limit: ENGINE_LIMIT,
+        cold: is_cold,
         ended,
     }
 }
 
-fn terms(shards: usize) -> LeaseTerms {
+fn terms(shard_count: usize) -> LeaseTerms {
     LeaseTerms {
-        shard_count: shards,
-        lease_duration: LEASE,
+        shard_count,
+        lease_duration: LEASE_DURATION,
         redistribution_interval: Micros(0),
-        cold_window: WINDOW,
+        cold_window: COLD_WINDOW,
         max_credit: 4.0,
-        max_open_requests: OPEN,
+        max_open_requests: MAX_OPEN_REQUESTS,
     }
 }
 
-fn wish(threads: f64, cold: bool) -> Wish {
+fn demand(threads: f64, is_cold: bool) -> Wish {
     Wish {
         threads,
-        heaviest: HEAVIEST,
-        engines: vec![engine(EngineId(1), cold, 0.0)],
+        heaviest: HEAVIEST_THREADS,
+        engines: vec![engine_demand(EngineId(1), is_cold, 0.0)],
     }
 }
 
-fn holds(threads: f64, until: Micros) -> Published {
-    let out = Out {
+fn usage(threads: f64, until: Micros) -> Published {
+    let engine_usage = Out {
         threads,
         groups: vec![GroupId(7)],
         ..Out::default()
     };
     Published {
-        engines: vec![(EngineId(1), out)],
+        engines: vec![(EngineId(1), engine_usage)],
         classes: vec![ClassOut {
             threads,
             memory_mb: 0.0,
@@ -293,159 +327,173 @@
     }
 }
 
-fn room(loan: &Lease) -> f64 {
-    loan.siblings.engines[0].room.0
+fn quota(lease: &Lease) -> f64 {
+    lease.siblings.engines[0].room.0
 }
 
 #[test]
-fn what_is_free_goes_to_the_shard_that_waits_at_its_next_decision() {
-    let mut ledger = LeaseTable::new(terms(2));
+fn free_threads_go_to_the_waiting_shard_at_its_next_decision() {
+    let mut lease_table = LeaseTable::new(terms(2));
     let (first, second) = (ShardId(0), ShardId(1));
-    let loan = ledger.acquire(first, Micros(0), &wish(30.0, false), 0);
-    assert_eq!(room(&loan), LIMIT, "nobody else wants any");
+    let lease = lease_table.acquire(first, Micros(0), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), ENGINE_LIMIT, "no other shard has any demand");
     assert!(
-        ledger
-            .commit(first, loan.id, Micros(1), holds(8.0, Micros(900)))
+        lease_table
+            .commit(first, lease.id, Micros(1), usage(8.0, Micros(900)))
             .is_valid
     );
-    let loan = ledger.acquire(second, Micros(2), &wish(30.0, false), 0);
-    assert_eq!(room(&loan), 2.0);
-    assert_eq!(loan.siblings.engines[0].out.threads, 8.0);
-    assert_eq!(loan.siblings.waiting, [[0, 2]]);
+    let lease = lease_table.acquire(second, Micros(2), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), 2.0);
+    assert_eq!(lease.siblings.engines[0].out.threads, 8.0);
+    assert_eq!(lease.siblings.waiting, [[0, 2]]);
     assert!(
-        ledger
-            .commit(second, loan.id, Micros(3), holds(2.0, Micros(900)))
+        lease_table
+            .commit(second, lease.id, Micros(3), usage(2.0, Micros(900)))
             .is_valid
     );
-    // Its end is told to the one that waits, which then has the room.
-    let loan = ledger.acquire(first, Micros(4), &wish(0.0, false), 0);
-    let settled = ledger.commit(first, loan.id, Micros(5), holds(0.0, Micros(900)));
-    assert_eq!(settled.shards_to_wake, [second]);
-    let loan = ledger.acquire(second, Micros(6), &wish(30.0, false), 0);
-    assert_eq!(room(&loan), 8.0);
+    // The waiting shard is woken when the queries end, and then gets the threads.
+    let lease = lease_table.acquire(first, Micros(4), &demand(0.0, false), 0);
+    let result = lease_table.commit(first, lease.id, Micros(5), usage(0.0, Micros(900)));
+    assert_eq!(result.shards_to_wake, [second]);
+    let lease = lease_table.acquire(second, Micros(6), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), 8.0);
 }
 
 #[test]
-fn a_lease_that_ran_out_is_void_and_its_room_is_lent_again() {
-    let mut ledger = LeaseTable::new(terms(2));
+fn an_expired_lease_is_invalid_and_its_threads_are_leased_again() {
+    let mut lease_table = LeaseTable::new(terms(2));
     let (first, second) = (ShardId(0), ShardId(1));
-    let stalled = ledger.acquire(first, Micros(0), &wish(30.0, false), 0);
-    let loan = ledger.acquire(second, Micros(10), &wish(30.0, false), 0);
-    assert_eq!(room(&loan), 0.0);
+    let stalled = lease_table.acquire(first, Micros(0), &demand(30.0, false), 0);
+    let lease = lease_table.acquire(second, Micros(10), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), 0.0);
     assert!(
-        ledger
-            .commit(second, loan.id, Micros(11), holds(0.0, Micros(0)))
+        lease_table
+            .commit(second, lease.id, Micros(11), usage(0.0, Micros(0)))
             .is_valid
     );
-    let loan = ledger.acquire(second, Micros(60), &wish(30.0, false), 0);
-    assert_eq!(room(&loan), LIMIT);
-    let late = ledger.commit(first, stalled.id, Micros(61), holds(8.0, Micros(900)));
-    assert!(!late.is_valid, "what it decided must not be sent");
-    assert_eq!(ledger.expired_lease_count(), 1);
+    let lease = lease_table.acquire(second, Micros(60), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), ENGINE_LIMIT);
+    let late = lease_table.commit(first, stalled.id, Micros(61), usage(8.0, Micros(900)));
+    assert!(!late.is_valid, "its decisions must not be sent");
+    assert_eq!(lease_table.expired_lease_count(), 1);
     assert!(
-        ledger
-            .commit(second, loan.id, Micros(62), holds(8.0, Micros(900)))
+        lease_table
+            .commit(second, lease.id, Micros(62), usage(8.0, Micros(900)))
             .is_valid
     );
 }
 
 #[test]
-fn what_a_silent_shard_has_out_counts_until_it_must_have_ended() {
-    let mut ledger = LeaseTable::new(terms(2));
+fn attempts_of_a_silent_shard_count_until_they_must_have_ended() {
+    let mut lease_table = LeaseTable::new(terms(2));
     let (silent, other) = (ShardId(0), ShardId(1));
-    let loan = ledger.acquire(silent, Micros(0), &wish(8.0, false), 0);
+    let lease = lease_table.acquire(silent, Micros(0), &demand(8.0, false), 0);
     assert!(
-        ledger
-            .commit(silent, loan.id, Micros(1), holds(8.0, Micros(500)))
+        lease_table
+            .commit(silent, lease.id, Micros(1), usage(8.0, Micros(500)))
             .is_valid
     );
-    let loan = ledger.acquire(other, Micros(400), &wish(30.0, false), 0);
+    let lease = lease_table.acquire(other, Micros(400), &demand(30.0, false), 0);
     assert_eq!(
-        (room(&loan), loan.siblings.engines[0].out.groups.len()),
+        (quota(&lease), lease.siblings.engines[0].out.groups.len()),
         (2.0, 1)
     );
-    let loan = ledger.acquire(other, Micros(600), &wish(30.0, false), 0);
-    assert_eq!(room(&loan), LIMIT);
+    let lease = lease_table.acquire(other, Micros(600), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), ENGINE_LIMIT);
 }
 
 #[test]
-fn of_a_shard_that_died_nothing_is_out_but_what_it_sent_to_a_cold_engine_counts() {
-    let mut ledger = LeaseTable::new(terms(2));
-    let (dead, other) = (ShardId(0), ShardId(1));
-    let loan = ledger.acquire(dead, Micros(0), &wish(8.0, true), 0);
-    let mut told = holds(8.0, Micros(500));
-    told.sent = vec![(EngineId(1), 2.5)];
-    assert!(ledger.commit(dead, loan.id, Micros(1), told).is_valid);
-    ledger.remove_crashed_shard(dead);
-    for shard in [other, dead] {
-        let loan = ledger.acquire(shard, Micros(100), &wish(8.0, true), 0);
-        let share = &loan.siblings.engines[0];
-        assert_eq!((share.out.threads, share.cold_work), (0.0, 2.5));
+fn a_crashed_shard_has_nothing_in_flight_but_its_work_sent_to_a_cold_engine_counts() {
+    let mut lease_table = LeaseTable::new(terms(2));
+    let (crashed, other) = (ShardId(0), ShardId(1));
+    let lease = lease_table.acquire(crashed, Micros(0), &demand(8.0, true), 0);
+    let mut published = usage(8.0, Micros(500));
+    published.sent = vec![(EngineId(1), 2.5)];
+    assert!(
+        lease_table
+            .commit(crashed, lease.id, Micros(1), published)
+            .is_valid
+    );
+    lease_table.remove_crashed_shard(crashed);
+    for shard in [other, crashed] {
+        let lease = lease_table.acquire(shard, Micros(100), &demand(8.0, true), 0);
+        let sibling_usage = &lease.siblings.engines[0];
+        assert_eq!(
+            (sibling_usage.out.threads, sibling_usage.cold_work),
+            (0.0, 2.5)
+        );
         assert!(
-            ledger
-                .commit(shard, loan.id, Micros(101), holds(0.0, Micros(0)))
+            lease_table
+                .commit(shard, lease.id, Micros(101), usage(0.0, Micros(0)))
                 .is_valid
         );
     }
 }
 
 #[test]
-fn only_one_shard_at_a_time_borrows_room_on_a_cold_engine() {
-    let mut ledger = LeaseTable::new(terms(2));
-    let first = ledger.acquire(ShardId(0), Micros(0), &wish(4.0, true), 0);
-    let second = ledger.acquire(ShardId(1), Micros(0), &wish(4.0, true), 0);
-    assert_eq!((room(&first), room(&second)), (4.0, 0.0));
+fn only_one_shard_at_a_time_holds_a_lease_on_a_cold_engine() {
+    let mut lease_table = LeaseTable::new(terms(2));
+    let first = lease_table.acquire(ShardId(0), Micros(0), &demand(4.0, true), 0);
+    let second = lease_table.acquire(ShardId(1), Micros(0), &demand(4.0, true), 0);
+    assert_eq!((quota(&first), quota(&second)), (4.0, 0.0));
     assert!(
-        ledger
-            .commit(ShardId(0), first.id, Micros(1), holds(0.0, Micros(0)))
+        lease_table
+            .commit(ShardId(0), first.id, Micros(1), usage(0.0, Micros(0)))
             .is_valid
     );
-    let second = ledger.acquire(ShardId(1), Micros(2), &wish(4.0, true), 0);
-    assert_eq!(room(&second), 4.0);
+    let second = lease_table.acquire(ShardId(1), Micros(2), &demand(4.0, true), 0);
+    assert_eq!(quota(&second), 4.0);
 }
 
 #[test]
-fn credit_is_one_for_all_shards() {
-    let mut ledger = LeaseTable::new(terms(2));
+fn all_shards_share_one_credit() {
+    let mut lease_table = LeaseTable::new(terms(2));
     for (shard, change) in [(0, 0.5), (1, 0.75)] {
-        let loan = ledger.acquire(ShardId(shard), Micros(0), &wish(0.0, false), 0);
-        let told = Published {
+        let lease = lease_table.acquire(ShardId(shard), Micros(0), &demand(0.0, false), 0);
+        let published = Published {
             class_credit: vec![change, -change],
             tenant_credit: vec![vec![], vec![change]],
             ..Published::default()
         };
         assert!(
-            ledger
-                .commit(ShardId(shard), loan.id, Micros(1), told)
+            lease_table
+                .commit(ShardId(shard), lease.id, Micros(1), published)
                 .is_valid
         );
     }
-    let loan = ledger.acquire(ShardId(0), Micros(2), &wish(0.0, false), 0);
-    assert_eq!(loan.siblings.class_credit, [1.25, -1.25]);
-    assert_eq!(loan.siblings.tenant_credit, [vec![], vec![1.25]]);
+    let lease = lease_table.acquire(ShardId(0), Micros(2), &demand(0.0, false), 0);
+    assert_eq!(lease.siblings.class_credit, [1.25, -1.25]);
+    assert_eq!(lease.siblings.tenant_credit, [vec![], vec![1.25]]);
 }
 
 #[test]
-fn what_another_process_holds_counts_for_every_shard_until_it_must_have_ended() {
-    let mut ledger = LeaseTable::new(terms(2));
-    let beside = |threads, until| Published {
+fn usage_of_a_peer_process_counts_for_every_shard_until_it_must_have_ended() {
+    let mut lease_table = LeaseTable::new(terms(2));
+    let peer_usage = |threads, until| Published {
         waiting: Vec::new(),
-        ..holds(threads, until)
+        ..usage(threads, until)
     };
-    ledger.set_peer_process_usage(Micros(0), beside(8.0, Micros(900)));
+    lease_table.set_peer_process_usage(Micros(0), peer_usage(8.0, Micros(900)));
     for shard in [ShardId(0), ShardId(1)] {
-        let loan = ledger.acquire(shard, Micros(1), &wish(30.0, false), 0);
-        let told = &loan.siblings.engines[0].out;
-        assert_eq!((room(&loan), told.threads), (LIMIT - 8.0, 8.0));
-        assert_eq!(loan.siblings.classes[0].threads, 8.0);
-        assert!(told.groups.contains(&GroupId(7)));
-        let nothing = beside(0.0, Micros(0));
-        assert!(ledger.commit(shard, loan.id, Micros(2), nothing).is_valid);
+        let lease = lease_table.acquire(shard, Micros(1), &demand(30.0, false), 0);
+        let sibling_usage = &lease.siblings.engines[0].out;
+        assert_eq!(
+            (quota(&lease), sibling_usage.threads),
+            (ENGINE_LIMIT - 8.0, 8.0)
+        );
+        assert_eq!(lease.siblings.classes[0].threads, 8.0);
+        assert!(sibling_usage.groups.contains(&GroupId(7)));
+        let no_usage = peer_usage(0.0, Micros(0));
+        assert!(
+            lease_table
+                .commit(shard, lease.id, Micros(2), no_usage)
+                .is_valid
+        );
     }
-    // It tells of less, and then nothing more: it may have died without a word.
-    ledger.set_peer_process_usage(Micros(3), beside(4.0, Micros(900)));
-    let loan = ledger.acquire(ShardId(0), Micros(4), &wish(30.0, false), 0);
-    assert_eq!(room(&loan), LIMIT - 4.0);
-    let loan = ledger.acquire(ShardId(0), Micros(1000), &wish(30.0, false), 0);
-    assert_eq!(room(&loan), LIMIT);
+    // The peer process reports less usage and then nothing more: it may have crashed.
+    lease_table.set_peer_process_usage(Micros(3), peer_usage(4.0, Micros(900)));
+    let lease = lease_table.acquire(ShardId(0), Micros(4), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), ENGINE_LIMIT - 4.0);
+    let lease = lease_table.acquire(ShardId(0), Micros(1000), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), ENGINE_LIMIT);
 }
--- a/leases/tests/sharded_gateways.rs
+++ b/leases/tests/sharded_gateways.rs
@@ -1,5 +1,5 @@
-//! Real gateways as shards of one, in virtual time before engines of a simple kind: what all together do
-//! beside what one gateway does with the same traffic.
+//! Simulation of gateways as shards of one dispatcher, in virtual time and with simple engines,
+//! compared with a single gateway under the same traffic.
 
 use sedgebeam_core::{
     Action, AttemptNo, Class, ClassId, Effect, Ended, Engine, EngineId, Event, Gateway, GroupId,
@@ -8,32 +8,32 @@
 use sedgebeam_leases::{Lease, LeaseTable, LeaseTerms, ShardId};
 use std::collections::{BTreeMap, HashMap};
 
-const TICK: u64 = 5_000;
-const LOAD: usize = 2;
-/// Threads, and what a request takes on an engine, in microseconds.
+const TICK_US: u64 = 5_000;
+const LOAD_CLASS: usize = 2;
+/// Threads of a request, and its duration on an engine in microseconds.
 const CLASSES: [(f64, u64); 3] = [(1.0, 20_000), (4.0, 60_000), (2.0, 60_000)];
-const FIRMS: [f64; 3] = [0.62, 0.26, 0.12];
-const ENGINES: u64 = 4;
+const TENANT_SHARES: [f64; 3] = [0.62, 0.26, 0.12];
+const ENGINE_COUNT: u64 = 4;
 const CORES: f64 = 8.0;
-/// Threads that one gateway of one may have on an engine while it is under no pressure.
-const MOST: f64 = CORES * 4.0;
-const FALLS: f64 = 4.0;
-const START: f64 = 0.3;
+/// Threads that a single gateway may have in flight on an engine without pressure.
+const MAX_THREADS_IN_FLIGHT: f64 = CORES * 4.0;
+const OVERLOAD_FACTOR: f64 = 4.0;
+const START_CAPACITY: f64 = 0.3;
 
 fn ms(millis: u64) -> Micros {
     Micros::from_millis(millis)
 }
 
 fn settings() -> Settings {
-    let class = |name: &str, worth, place: usize, on_time, effect| Class {
+    let class = |name: &str, worth, index: usize, on_time, effect| Class {
         name: name.to_string(),
         worth,
-        threads: CLASSES[place].0,
+        threads: CLASSES[index].0,
         on_time: ms(on_time),
         give_up: ms(20_000),
         effect,
-        holds_group: place == LOAD,
-        waits_for_load: place != LOAD,
+        holds_group: index == LOAD_CLASS,
+        waits_for_load: index != LOAD_CLASS,
         ..Class::default()
     };
     Settings {
@@ -41,9 +41,9 @@
         classes: vec![
             class("lookup", 1.0, 0, 500, Effect::Repeatable),
             class("report", 12.0, 1, 3000, Effect::Repeatable),
-            class("journal-load", 12.0, LOAD, 3000, Effect::Once),
+            class("journal-load", 12.0, LOAD_CLASS, 3000, Effect::Once),
         ],
-        tenants: FIRMS
+        tenants: TENANT_SHARES
             .map(|share| Tenant {
                 share,
                 ..Tenant::default()
@@ -55,17 +55,17 @@
         }],
         max_attempts: 3,
         may_cancel: true,
-        start_capacity: START,
+        start_capacity: START_CAPACITY,
         warm_after: ms(14_000),
-        fall_multiple: FALLS,
+        fall_multiple: OVERLOAD_FACTOR,
         overload_for: ms(1000),
         answer_slack: ms(20),
-        tick: Micros(TICK),
+        tick: Micros(TICK_US),
         ..Settings::default()
     }
 }
 
-/// Numbers from a seed (splitmix64).
+/// Pseudo-random numbers (splitmix64).
 struct Random(u64);
 
 impl Random {
@@ -81,95 +81,96 @@
     gateway: Gateway,
     events: Vec<Event>,
     timer: Option<u64>,
-    woken: bool,
-    /// It does nothing until then.
-    stopped_until: u64,
+    is_woken: bool,
+    /// The shard makes no decisions until this time.
+    stalled_until: u64,
 }
 
 #[derive(Clone, Copy)]
-struct Out {
+struct RunningAttempt {
     shard: usize,
     engine: EngineId,
     attempt: AttemptNo,
     class: usize,
-    firm: usize,
+    tenant: usize,
 }
 
 #[derive(Default)]
 struct Counts {
-    /// By class and firm.
+    /// By class and tenant.
     served: [[u64; 3]; 3],
     refused: u64,
-    most_out: f64,
-    most_cold: f64,
-    loads: HashMap<RequestId, u32>,
-    doubled: u32,
-    two_out: u32,
+    max_threads_in_flight: f64,
+    max_cold_work: f64,
+    load_attempts: HashMap<RequestId, u32>,
+    repeated_loads: u32,
+    second_attempts: u32,
 }
 
-struct World {
+struct Simulation {
     shards: Vec<Shard>,
-    ledger: Option<LeaseTable>,
+    lease_table: Option<LeaseTable>,
     now: u64,
     random: Random,
     next_id: u64,
-    class_of: HashMap<RequestId, (usize, usize)>,
-    out: HashMap<RequestId, Out>,
+    class_and_tenant: HashMap<RequestId, (usize, usize)>,
+    in_flight: HashMap<RequestId, RunningAttempt>,
+    /// By end time and a unique number.
     ends: BTreeMap<(u64, u64), RequestId>,
     counts: Counts,
-    /// A cold engine, and what was sent to it: when, and how many core seconds.
-    cold: Option<EngineId>,
-    sent: Vec<(u64, f64)>,
-    /// Requests a second.
-    rate: f64,
-    groups: u64,
+    /// The cold engine, and the work sent to it: time and core seconds.
+    cold_engine: Option<EngineId>,
+    cold_sends: Vec<(u64, f64)>,
+    /// Requests per second.
+    request_rate: f64,
+    group_count: u64,
 }
 
-impl World {
-    fn new(shards: usize, rate: f64, groups: u64) -> World {
+impl Simulation {
+    fn new(shard_count: usize, request_rate: f64, group_count: u64) -> Simulation {
         let shard = |_| Shard {
             gateway: Gateway::new(settings(), 1),
             events: Vec::new(),
             timer: None,
-            woken: false,
-            stopped_until: 0,
+            is_woken: false,
+            stalled_until: 0,
         };
         let terms = LeaseTerms {
-            shard_count: shards,
+            shard_count,
             lease_duration: ms(250),
-            redistribution_interval: Micros(TICK),
+            redistribution_interval: Micros(TICK_US),
             cold_window: settings().overload_for,
             max_credit: sedgebeam_core::CREDIT_CAP,
             max_open_requests: 1_000_000,
         };
-        let mut world = World {
-            shards: (0..shards).map(shard).collect(),
-            ledger: (shards > 1).then(|| LeaseTable::new(terms)),
+        let mut simulation = Simulation {
+            shards: (0..shard_count).map(shard).collect(),
+            lease_table: (shard_count > 1).then(|| LeaseTable::new(terms)),
             now: 100_000_000,
             random: Random(42),
             next_id: 0,
-            class_of: HashMap::new(),
-            out: HashMap::new(),
+            class_and_tenant: HashMap::new(),
+            in_flight: HashMap::new(),
             ends: BTreeMap::new(),
             counts: Counts::default(),
-            cold: None,
-            sent: Vec::new(),
-            rate,
-            groups,
+            cold_engine: None,
+            cold_sends: Vec::new(),
+            request_rate,
+            group_count,
         };
-        let engines: Vec<Engine> = (1..=ENGINES).map(|id| listed(id, Micros(0))).collect();
-        world.list(ListKind::Complete, engines);
-        world
+        let engines: Vec<Engine> = (1..=ENGINE_COUNT).map(|id| listed(id, Micros(0))).collect();
+        simulation.send_list(ListKind::Complete, engines);
+        simulation
     }
 
-    fn list(&mut self, kind: ListKind, engines: Vec<Engine>) {
+    fn send_list(&mut self, kind: ListKind, engines: Vec<Engine>) {
         for shard in &mut self.shards {
             let engines = engines.clone();
             shard.events.push(Event::List { kind, engines });
         }
     }
 
-    fn arrive(&mut self) {
+    fn add_request(&mut self) {
         self.next_id += 1;
         let id = RequestId((self.random.next() * 1e18) as u64);
         let draw = self.random.next();
@@ -178,174 +179,182 @@
         } else if draw < 0.94 {
             1
         } else {
-            LOAD
+            LOAD_CLASS
         };
-        let firm = ((self.random.next() * 3.0) as usize).min(2);
-        let group = GroupId((self.random.next() * self.groups as f64) as u64);
-        let count = self.shards.len() as u64;
-        let shard = (id.0 % count) as usize;
+        let tenant = ((self.random.next() * 3.0) as usize).min(2);
+        let group = GroupId((self.random.next() * self.group_count as f64) as u64);
+        let shard_count = self.shards.len() as u64;
+        let shard = (id.0 % shard_count) as usize;
         let query = Query {
-            tenant: Some(TenantId(firm)),
+            tenant: Some(TenantId(tenant)),
             group,
             work: Micros((CLASSES[class].0 * CLASSES[class].1 as f64) as u64),
             memory_mb: 1.0,
             ..Query::new(id, ClassId(class), ms(20_000))
         };
-        self.class_of.insert(id, (class, firm));
+        self.class_and_tenant.insert(id, (class, tenant));
         self.shards[shard].events.push(Event::Request(query));
     }
 
-    /// Lets time pass, in steps of a millisecond.
+    /// Advances the time in steps of a millisecond.
     fn run(&mut self, millis: u64) {
-        let mut owed = 0.0;
+        let mut due_requests = 0.0;
         for _ in 0..millis {
             self.now += 1000;
-            owed += self.rate / 1000.0 * 2.0 * self.random.next();
-            while owed >= 1.0 {
-                owed -= 1.0;
-                self.arrive();
+            due_requests += self.request_rate / 1000.0 * 2.0 * self.random.next();
+            while due_requests >= 1.0 {
+                due_requests -= 1.0;
+                self.add_request();
             }
-            while let Some(first) = self
+            while let Some(next_end) = self
                 .ends
                 .first_entry()
                 .filter(|end| end.key().0 <= self.now)
             {
-                let id = first.remove();
+                let id = next_end.remove();
                 self.end(id);
             }
-            // Their ticks are not in step, but some of them decide at the same time: what one has borrowed the
-            // others of that moment don't have.
+            // Shards decide at different ticks, but some at the same time: what one of them has
+            // leased is not available to the others.
             let mut deciding = Vec::new();
-            for place in 0..self.shards.len() {
-                let turn = self.now / 1000 % 5 == place as u64 / 2 % 5;
-                let shard = &mut self.shards[place];
+            for index in 0..self.shards.len() {
+                let is_its_turn = self.now / 1000 % 5 == index as u64 / 2 % 5;
+                let shard = &mut self.shards[index];
                 if shard.timer.is_some_and(|at| at <= self.now) {
                     shard.timer = None;
                     shard.events.push(Event::Timer(TimerId(0)));
                 }
-                let news = shard.woken || !shard.events.is_empty();
-                if turn && news && self.now >= shard.stopped_until {
-                    deciding.push(self.borrow(place));
+                let has_events = shard.is_woken || !shard.events.is_empty();
+                if is_its_turn && has_events && self.now >= shard.stalled_until {
+                    deciding.push(self.acquire(index));
                 }
             }
-            for (place, events, loan) in deciding {
-                self.decide(place, events, loan);
+            for (index, events, lease) in deciding {
+                self.decide(index, events, lease);
             }
             let mut threads: HashMap<EngineId, f64> = HashMap::new();
-            for out in self.out.values() {
-                *threads.entry(out.engine).or_default() += CLASSES[out.class].0;
+            for attempt in self.in_flight.values() {
+                *threads.entry(attempt.engine).or_default() += CLASSES[attempt.class].0;
             }
-            let most = threads.values().copied().fold(0.0, f64::max);
-            self.counts.most_out = self.counts.most_out.max(most);
-            let recent = self.sent.iter().filter(|(at, _)| at + 1_000_000 > self.now);
-            let cold: f64 = recent.map(|(_, work)| work).sum();
-            self.counts.most_cold = self.counts.most_cold.max(cold);
+            let max_threads = threads.values().copied().fold(0.0, f64::max);
+            self.counts.max_threads_in_flight = self.counts.max_threads_in_flight.max(max_threads);
+            let recent = self
+                .cold_sends
+                .iter()
+                .filter(|(at, _)| at + 1_000_000 > self.now);
+            let cold_work: f64 = recent.map(|(_, work)| work).sum();
+            self.counts.max_cold_work = self.counts.max_cold_work.max(cold_work);
         }
     }
 
     fn end(&mut self, id: RequestId) {
-        let Some(out) = self.out.remove(&id) else {
+        let Some(attempt) = self.in_flight.remove(&id) else {
             return;
         };
-        self.counts.served[out.class][out.firm] += 1;
-        let took = Micros(CLASSES[out.class].1);
-        self.shards[out.shard].events.push(Event::Ended(Ended {
+        self.counts.served[attempt.class][attempt.tenant] += 1;
+        let duration = Micros(CLASSES[attempt.class].1);
+        self.shards[attempt.shard].events.push(Event::Ended(Ended {
             request: id,
-            attempt: out.attempt,
-            engine: out.engine,
+            attempt: attempt.attempt,
+            engine: attempt.engine,
             outcome: Outcome::Ok,
-            took,
+            took: duration,
             finished: true,
-            work: Some(Micros((took.0 as f64 * CLASSES[out.class].0) as u64)),
+            work: Some(Micros(
+                (duration.0 as f64 * CLASSES[attempt.class].0) as u64,
+            )),
             load: None,
         }));
     }
 
-    fn borrow(&mut self, place: usize) -> (usize, Vec<Event>, Option<Lease>) {
+    fn acquire(&mut self, index: usize) -> (usize, Vec<Event>, Option<Lease>) {
         let now = Micros(self.now);
-        let shard = &mut self.shards[place];
-        shard.woken = false;
+        let shard = &mut self.shards[index];
+        shard.is_woken = false;
         let events = std::mem::take(&mut shard.events);
-        let loan = self.ledger.as_mut().map(|ledger| {
-            let wish = shard.gateway.wish(now, &events);
-            ledger.acquire(ShardId(place), now, &wish, 0)
+        let lease = self.lease_table.as_mut().map(|lease_table| {
+            let demand = shard.gateway.wish(now, &events);
+            lease_table.acquire(ShardId(index), now, &demand, 0)
         });
-        (place, events, loan)
+        (index, events, lease)
     }
 
-    fn decide(&mut self, place: usize, events: Vec<Event>, loan: Option<Lease>) {
+    fn decide(&mut self, index: usize, events: Vec<Event>, lease: Option<Lease>) {
         let now = Micros(self.now);
-        let shard = &mut self.shards[place];
-        let ticket = loan.as_ref().map(|loan| loan.id);
-        if let Some(loan) = loan {
-            shard.gateway.hear(loan.siblings);
+        let shard = &mut self.shards[index];
+        let lease_id = lease.as_ref().map(|lease| lease.id);
+        if let Some(lease) = lease {
+            shard.gateway.hear(lease.siblings);
         }
         let actions = shard.gateway.handle(now, events);
-        if let (Some(ledger), Some(ticket)) = (&mut self.ledger, ticket) {
-            let told = shard.gateway.publish();
-            let settled = ledger.commit(ShardId(place), ticket, now, told);
-            assert!(settled.is_valid);
-            for waiter in settled.shards_to_wake {
-                self.shards[waiter.0].woken = true;
+        if let (Some(lease_table), Some(lease_id)) = (&mut self.lease_table, lease_id) {
+            let usage = shard.gateway.publish();
+            let result = lease_table.commit(ShardId(index), lease_id, now, usage);
+            assert!(result.is_valid);
+            for waiter in result.shards_to_wake {
+                self.shards[waiter.0].is_woken = true;
             }
         }
         for action in actions {
-            self.act(place, action);
+            self.act(index, action);
         }
     }
 
-    fn act(&mut self, place: usize, action: Action) {
+    fn act(&mut self, index: usize, action: Action) {
         match action {
             Action::Send {
                 request, engine, ..
             } => {
-                let (class, firm) = self.class_of[&request];
+                let (class, tenant) = self.class_and_tenant[&request];
                 let attempt = AttemptNo(0);
-                let out = Out {
-                    shard: place,
+                let running = RunningAttempt {
+                    shard: index,
                     engine,
                     attempt,
                     class,
-                    firm,
+                    tenant,
                 };
-                if self.out.insert(request, out).is_some() {
-                    self.counts.two_out += 1;
+                if self.in_flight.insert(request, running).is_some() {
+                    self.counts.second_attempts += 1;
                 }
-                if class == LOAD {
-                    let sent = self.counts.loads.entry(request).or_default();
-                    *sent += 1;
-                    self.counts.doubled += u32::from(*sent > 1);
+                if class == LOAD_CLASS {
+                    let attempts = self.counts.load_attempts.entry(request).or_default();
+                    *attempts += 1;
+                    self.counts.repeated_loads += u32::from(*attempts > 1);
                 }
-                let (threads, takes) = CLASSES[class];
-                if self.cold == Some(engine) {
-                    self.sent.push((self.now, threads * takes as f64 / 1e6));
+                let (threads, duration_us) = CLASSES[class];
+                if self.cold_engine == Some(engine) {
+                    self.cold_sends
+                        .push((self.now, threads * duration_us as f64 / 1e6));
                 }
                 self.next_id += 1;
-                // Spread, so that slots come free one by one and not in the pieces in which they were taken.
-                let takes = (takes as f64 * (0.5 + self.random.next())) as u64;
-                self.ends.insert((self.now + takes, self.next_id), request);
+                // Random, so that slots become free one by one and not in the groups in which they
+                // were taken.
+                let duration_us = (duration_us as f64 * (0.5 + self.random.next())) as u64;
+                self.ends
+                    .insert((self.now + duration_us, self.next_id), request);
             }
             Action::Refuse { .. } => self.counts.refused += 1,
-            Action::Timer { at, .. } => self.shards[place].timer = Some(at.0),
+            Action::Timer { at, .. } => self.shards[index].timer = Some(at.0),
             _ => {}
         }
     }
 
-    /// By firm, its part of the thread time that was served, in points.
-    fn firms(&self) -> [f64; 3] {
-        let time = |firm: usize| -> f64 {
+    /// Each tenant's share of the served thread time, in percent.
+    fn tenant_shares(&self) -> [f64; 3] {
+        let thread_time = |tenant: usize| -> f64 {
             let classes = self.counts.served.iter().zip(CLASSES);
             classes
-                .map(|(counts, (threads, takes))| counts[firm] as f64 * threads * takes as f64)
+                .map(|(counts, (threads, micros))| counts[tenant] as f64 * threads * micros as f64)
                 .sum()
         };
-        let times = [0, 1, 2].map(time);
+        let times = [0, 1, 2].map(thread_time);
         let sum: f64 = times.iter().sum();
         times.map(|time| 100.0 * time / sum)
     }
 
-    /// By class, its part of the thread time that was served, in points.
-    fn classes(&self) -> [f64; 3] {
+    /// Each class's share of the served thread time, in percent.
+    fn class_shares(&self) -> [f64; 3] {
         let times = [0, 1, 2].map(|class| {
             let count: u64 = self.counts.served[class].iter().sum();
             count as f64 * CLASSES[class].0 * CLASSES[class].1 as f64
@@ -367,96 +376,111 @@
     }
 }
 
-/// Three times what the engines bear, for twenty seconds.
-fn overload(shards: usize) -> World {
-    let mut world = World::new(shards, 6000.0, 40);
-    world.run(5_000);
-    world.counts.served = Default::default();
-    world.run(20_000);
-    world
+/// Runs at three times the capacity of the engines; counts twenty seconds after a warm-up.
+fn overload(shard_count: usize) -> Simulation {
+    let mut simulation = Simulation::new(shard_count, 6000.0, 40);
+    simulation.run(5_000);
+    simulation.counts.served = Default::default();
+    simulation.run(20_000);
+    simulation
 }
 
-fn off(parts: [f64; 3], owed: [f64; 3]) -> f64 {
-    let off = parts
+fn max_difference(shares: [f64; 3], expected: [f64; 3]) -> f64 {
+    let differences = shares
         .iter()
-        .zip(owed)
-        .map(|(part, owed)| (part - owed).abs());
-    off.fold(0.0, f64::max)
+        .zip(expected)
+        .map(|(share, expected)| (share - expected).abs());
+    differences.fold(0.0, f64::max)
 }
 
 #[test]
-fn shares_of_classes_and_firms_hold_over_shards_as_in_one_gateway() {
-    let one = overload(1);
-    println!("1: {:?} {:?} {}", one.firms(), one.classes(), one.served());
-    for shards in [2, 4, 8] {
+fn shares_of_classes_and_tenants_over_shards_match_a_single_gateway() {
+    let single = overload(1);
+    println!(
+        "1: {:?} {:?} {}",
+        single.tenant_shares(),
+        single.class_shares(),
+        single.served()
+    );
+    for shard_count in [2, 4, 8] {
         {
-            let world = overload(shards);
-            let (firms, classes) = (world.firms(), world.classes());
-            println!("{shards}: {firms:?} {classes:?} {}", world.served());
+            let simulation = overload(shard_count);
+            let (tenants, classes) = (simulation.tenant_shares(), simulation.class_shares());
+            println!(
+                "{shard_count}: {tenants:?} {classes:?} {}",
+                simulation.served()
+            );
             assert!(
-                off(firms, one.firms()) < 3.0,
-                "{shards} shards: firms {firms:?}"
+                max_difference(tenants, single.tenant_shares()) < 3.0,
+                "{shard_count} shards: tenants {tenants:?}"
             );
             assert!(
-                off(classes, one.classes()) < 3.0,
-                "{shards} shards: classes {classes:?}"
+                max_difference(classes, single.class_shares()) < 3.0,
+                "{shard_count} shards: classes {classes:?}"
             );
-            let kept = world.served() as f64 / one.served() as f64;
+            let served_ratio = simulation.served() as f64 / single.served() as f64;
             assert!(
-                kept > 0.97,
-                "{shards} shards serve {kept} of what one gateway does"
+                served_ratio > 0.97,
+                "{shard_count} shards serve {served_ratio} of what one gateway does"
             );
             assert!(
-                world.counts.most_out <= MOST,
-                "{} threads out",
-                world.counts.most_out
+                simulation.counts.max_threads_in_flight <= MAX_THREADS_IN_FLIGHT,
+                "{} threads in flight",
+                simulation.counts.max_threads_in_flight
             );
         }
     }
 }
 
 #[test]
-fn a_cold_engine_gets_no_more_from_busy_shards_than_from_one_gateway() {
-    let budget = FALLS * START * CORES;
-    for shards in [1, 8] {
-        let mut world = World::new(shards, 6000.0, 40);
-        world.run(3_000);
-        let joins = ENGINES + 1;
-        world.cold = Some(EngineId(joins));
-        let engine = listed(joins, Micros(world.now));
-        world.list(ListKind::Changes, vec![engine]);
-        world.run(12_000);
-        let most = world.counts.most_cold;
-        println!("{shards}: {most} of {budget}");
+fn busy_shards_together_keep_the_limit_of_a_cold_engine() {
+    let limit = OVERLOAD_FACTOR * START_CAPACITY * CORES;
+    for shard_count in [1, 8] {
+        let mut simulation = Simulation::new(shard_count, 6000.0, 40);
+        simulation.run(3_000);
+        let new_engine = ENGINE_COUNT + 1;
+        simulation.cold_engine = Some(EngineId(new_engine));
+        let engine = listed(new_engine, Micros(simulation.now));
+        simulation.send_list(ListKind::Changes, vec![engine]);
+        simulation.run(12_000);
+        let max_work = simulation.counts.max_cold_work;
+        println!("{shard_count}: {max_work} of {limit}");
         assert!(
-            most > 0.0 && most <= budget,
-            "{most} core seconds of {budget}"
+            max_work > 0.0 && max_work <= limit,
+            "{max_work} core seconds of {limit}"
         );
     }
 }
 
 #[test]
-fn with_all_traffic_on_one_group_no_load_is_sent_twice_and_none_has_two_attempts_out() {
-    for shards in [1, 4, 8] {
-        let mut world = World::new(shards, 2000.0, 1);
-        world.run(10_000);
-        let counts = &world.counts;
-        assert!(counts.loads.len() > 20, "{} loads", counts.loads.len());
-        assert_eq!((counts.doubled, counts.two_out), (0, 0));
+fn with_all_traffic_on_one_group_no_load_is_sent_twice_or_has_two_attempts_in_flight() {
+    for shard_count in [1, 4, 8] {
+        let mut simulation = Simulation::new(shard_count, 2000.0, 1);
+        simulation.run(10_000);
+        let counts = &simulation.counts;
+        assert!(
+            counts.load_attempts.len() > 20,
+            "{} loads",
+            counts.load_attempts.len()
+        );
+        assert_eq!((counts.repeated_loads, counts.second_attempts), (0, 0));
     }
 }
 
 #[test]
-fn while_a_shard_stands_still_the_others_go_on_and_its_loads_are_not_sent_again() {
-    let mut world = World::new(4, 2000.0, 40);
-    world.run(3_000);
-    world.shards[1].stopped_until = world.now + 2_000_000;
-    let before = world.served();
-    world.run(2_000);
-    let during = world.served() - before;
-    world.run(4_000);
-    assert!(during > 1000, "{during} served meanwhile");
-    let counts = &world.counts;
-    assert_eq!((counts.doubled, counts.two_out), (0, 0));
-    assert!(counts.most_out <= MOST);
+fn while_a_shard_is_stalled_the_others_continue_and_its_loads_are_not_sent_again() {
+    let mut simulation = Simulation::new(4, 2000.0, 40);
+    simulation.run(3_000);
+    simulation.shards[1].stalled_until = simulation.now + 2_000_000;
+    let served_before = simulation.served();
+    simulation.run(2_000);
+    let served_during_stall = simulation.served() - served_before;
+    simulation.run(4_000);
+    assert!(
+        served_during_stall > 1000,
+        "{served_during_stall} served meanwhile"
+    );
+    let counts = &simulation.counts;
+    assert_eq!((counts.repeated_loads, counts.second_attempts), (0, 0));
+    assert!(counts.max_threads_in_flight <= MAX_THREADS_IN_FLIGHT);
 }
