--- a/fleet/src/subset.rs
+++ b/fleet/src/subset.rs
@@ -32,7 +32,7 @@
 
 impl Congestion {
     fn log_slowdown(&self, now: u64) -> f64 {
-        // Shortcut for engines without an estimate, which are most: each decision looks at all.
+        // Shortcut: each decision looks at all engines, and most have no estimate.
         if self.log_slowdown == 0.0 {
             return 0.0;
         }
--- a/handover/src/freshness.rs
+++ b/handover/src/freshness.rs
@@ -1,30 +1,34 @@
-//! How long a process has told nothing new.
+//! Detects processes that no longer write new messages.
 
 use crate::process_pair::Incarnation;
 use sedgebeam_core::Micros;
 use std::collections::HashMap;
 
-/// Processes write several times a second; one that has written nothing for this long stands still.
-const LASTS: Micros = Micros::from_millis(2000);
+/// Processes write several times per second; one that has written nothing new for this long is
+/// stalled.
+const MAX_MESSAGE_AGE: Micros = Micros::from_millis(2000);
 
-/// What each process has told last, and when that was first read, by the reader's monotonic clock.
+/// The timestamp of each process's last message, and when the reader first saw it, by the reader's
+/// monotonic clock.
 #[derive(Debug, Default)]
 pub struct Freshness {
-    read: HashMap<Incarnation, (u64, Micros)>,
+    last_seen: HashMap<Incarnation, (u64, Micros)>,
 }
 
 impl Freshness {
-    /// Whether what a process tells, known by this mark, is still to be believed: each of its shares has another mark.
-    pub fn is_fresh(&mut self, life: Incarnation, mark: u64, now: Micros) -> bool {
-        let (known, since) = self.read.entry(life).or_insert((mark, now));
-        if *known != mark {
-            (*known, *since) = (mark, now);
+    /// Whether the last message of a process is still valid. `timestamp` only has to differ between
+    /// the messages of a process.
+    pub fn is_fresh(&mut self, process: Incarnation, timestamp: u64, now: Micros) -> bool {
+        let (known_timestamp, seen_at) = self.last_seen.entry(process).or_insert((timestamp, now));
+        if *known_timestamp != timestamp {
+            (*known_timestamp, *seen_at) = (timestamp, now);
         }
-        now - *since <= LASTS
+        now - *seen_at <= MAX_MESSAGE_AGE
     }
 
-    /// Forgets all processes but these.
-    pub fn retain(&mut self, living: &[Incarnation]) {
-        self.read.retain(|life, _| living.contains(life));
+    /// Removes all processes but these.
+    pub fn retain(&mut self, live_processes: &[Incarnation]) {
+        self.last_seen
+            .retain(|process, _| live_processes.contains(process));
     }
 }
--- a/handover/src/lib.rs
+++ b/handover/src/lib.rs
@@ -1,5 +1,6 @@
-//! Two processes of one dispatcher, as during an upgrade: what the one tells the other, and what each may do
-//! meanwhile. No I/O, no clock: files are bytes here, and times come in, in microseconds.
+//! State that the processes of one dispatcher exchange, as during an upgrade, and what each process
+//! may do meanwhile. No I/O and no clock: files are bytes here, and the caller passes the time in
+//! microseconds.
 
 mod freshness;
 mod message;
--- a/handover/src/message.rs
+++ b/handover/src/message.rs
@@ -1,4 +1,5 @@
-//! What a process tells the others of its dispatcher, as a file: a head of one line, and JSON.
+//! The message that a process leaves for the other processes of its dispatcher in a file: a header
+//! line with format, version, length and checksum, followed by JSON.
 
 use crate::process_pair::{Incarnation, Phase};
 use miniserde::{Deserialize, Serialize, json};
@@ -7,58 +8,61 @@
 };
 use sedgebeam_roster::Target;
 
-/// Processes of another version say nothing to each other.
+/// Processes ignore messages of another format version.
 pub const FORMAT_VERSION: u32 = 1;
-const MARK: &str = "sedgebeam-share";
-/// The longest share: that of some thousands of engines.
-const MOST_BYTES: usize = 8 << 20;
-/// A share of a version that does not say whom it answers is out of date when its wall clock time is this far off.
-const LASTS: Micros = Micros::from_millis(2000);
+const FORMAT_NAME: &str = "sedgebeam-share";
+/// Maximum length of a message: enough for several thousand engines.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
+/// Maximum difference in wall-clock time of a message from a version that does not list the
+/// processes it is addressed to.
+const MAX_CLOCK_SKEW: Micros = Micros::from_millis(2000);
 
-/// What a process tells.
+/// The state that a process hands over to the other processes of its dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandoverMessage {
     pub status: ProcessStatus,
     pub handover_state: Held,
 }
 
-/// All of it but what the gateway holds.
+/// What a process reports of itself, apart from the state of its gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessStatus {
-    /// The dispatcher's name.
     pub dispatcher_name: String,
-    /// When it was written, in Unix microseconds: for versions that go by the wall clock. Others only see that it changes.
+    /// For versions that compare the wall clock; the current version only checks that it changes.
     pub written_at_unix_us: u64,
-    /// The time of the writer's own clock by which the times in what it holds are told; where it is missing, the reader's.
+    /// The writer's clock at the time of writing, to which times in the handover state refer.
+    /// Without it, they refer to the reader's clock.
     pub writer_clock: Option<Micros>,
-    /// Whom the writer had found when it wrote. Missing in what versions wrote that go by the wall clock.
+    /// The processes that the writer had found when it wrote. `None` in messages of versions that
+    /// compare the wall clock.
     pub known_processes: Option<Vec<Incarnation>>,
     pub phase: Phase,
-    /// The change log's number, and the list that it left.
+    /// Sequence number of the change log, and the engine list at that number.
     pub change_log_seq: u64,
     pub targets: Vec<Target>,
-    /// Sessions of clients.
+    /// Number of client sessions.
     pub session_count: usize,
-    /// What the administration has set: engines that it drained, and shares of tenants with their rates.
+    /// Set by operators at run time: drained engines, and the shares and rates of tenants.
     pub drained_engines: Vec<String>,
     pub tenants: Vec<Tenant>,
-    /// The platform's file that is in use, as text.
+    /// Text of the configuration file that is in use.
     pub config_text: String,
 }
 
-/// Why a share is not taken.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// It is no share of this version.
+    /// Not a message of this format version.
     UnsupportedFormat,
-    /// It is not whole.
+    /// Incomplete or damaged.
     Corrupt,
-    /// It is of another dispatcher.
+    /// Written by a process of another dispatcher.
     OtherDispatcher,
 }
 
+/// The JSON form of a message. The names of the fields are part of the format.
 #[derive(Serialize, Deserialize)]
-struct Record {
+struct MessageRecord {
     name: String,
     at: u64,
     clock: Option<u64>,
@@ -127,16 +131,16 @@
 }
 
 impl From<&EngineHeld> for EngineRecord {
-    fn from(held: &EngineHeld) -> EngineRecord {
-        let (rests, jammed) = held.rests_until;
+    fn from(engine: &EngineHeld) -> EngineRecord {
+        let (ejected_until, stalled_until) = engine.rests_until;
         EngineRecord {
-            engine: held.engine.0,
-            threads: held.out.threads,
-            memory_mb: held.out.memory_mb,
-            groups: held.out.groups.iter().map(|group| group.0).collect(),
-            sent: held.sent.iter().map(|(at, work)| (at.0, *work)).collect(),
-            pace: held.pace,
-            rests_until: (rests.0, jammed.0),
+            engine: engine.engine.0,
+            threads: engine.out.threads,
+            memory_mb: engine.out.memory_mb,
+            groups: engine.out.groups.iter().map(|group| group.0).collect(),
+            sent: engine.sent.iter().map(|(at, work)| (at.0, *work)).collect(),
+            pace: engine.pace,
+            rests_until: (ejected_until.0, stalled_until.0),
         }
     }
 }
@@ -159,17 +163,17 @@
 }
 
 impl From<&ClassHeld> for ClassRecord {
-    fn from(held: &ClassHeld) -> ClassRecord {
+    fn from(class: &ClassHeld) -> ClassRecord {
         ClassRecord {
-            name: held.name.clone(),
-            threads: held.out.threads,
-            memory_mb: held.out.memory_mb,
-            ratio: held.ratio,
-            pace: held.pace,
-            took: held.took,
-            work: held.work,
-            taken: held.taken,
-            spilled: held.spilled,
+            name: class.name.clone(),
+            threads: class.out.threads,
+            memory_mb: class.out.memory_mb,
+            ratio: class.ratio,
+            pace: class.pace,
+            took: class.took,
+            work: class.work,
+            taken: class.taken,
+            spilled: class.spilled,
         }
     }
 }
@@ -192,7 +196,7 @@
     }
 }
 
-fn lives(names: &[String]) -> Vec<Incarnation> {
+fn parse_incarnations(names: &[String]) -> Vec<Incarnation> {
     names
         .iter()
         .filter_map(|name| Incarnation::parse(name))
@@ -214,11 +218,12 @@
             tenants,
             config_text,
         } = self.status.clone();
-        let record = Record {
+        let record = MessageRecord {
             name: dispatcher_name,
             at: written_at_unix_us,
             clock: writer_clock.map(|clock| clock.0),
-            found: known_processes.map(|found| found.iter().map(Incarnation::name).collect()),
+            found: known_processes
+                .map(|processes| processes.iter().map(Incarnation::name).collect()),
             phase,
             seq: change_log_seq,
             targets,
@@ -241,31 +246,36 @@
             multiple: self.handover_state.multiple,
         };
         let body = json::to_string(&record);
-        let sum = crc32fast::hash(body.as_bytes());
-        format!("{MARK} {FORMAT_VERSION} {} {sum:08x}\n{body}", body.len()).into_bytes()
+        let checksum = crc32fast::hash(body.as_bytes());
+        format!(
+            "{FORMAT_NAME} {FORMAT_VERSION} {} {checksum:08x}\n{body}",
+            body.len()
+        )
+        .into_bytes()
     }
 
-    /// Reads a share of the dispatcher of this name.
-    pub fn decode(bytes: &[u8], name: &str) -> Result<HandoverMessage, MessageError> {
-        if bytes.len() > MOST_BYTES {
+    /// Decodes a message of the dispatcher `dispatcher_name`.
+    pub fn decode(bytes: &[u8], dispatcher_name: &str) -> Result<HandoverMessage, MessageError> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::UnsupportedFormat);
         }
         let text = std::str::from_utf8(bytes).map_err(|_| MessageError::Corrupt)?;
-        let (head, body) = text.split_once('\n').ok_or(MessageError::Corrupt)?;
-        let words: Vec<&str> = head.split(' ').collect();
-        let [mark, version, length, sum] = words[..] else {
+        let (header, body) = text.split_once('\n').ok_or(MessageError::Corrupt)?;
+        let fields: Vec<&str> = header.split(' ').collect();
+        let [format_name, version, length, checksum] = fields[..] else {
             return Err(MessageError::UnsupportedFormat);
         };
-        if mark != MARK || version.parse() != Ok(FORMAT_VERSION) {
+        if format_name != FORMAT_NAME || version.parse() != Ok(FORMAT_VERSION) {
             return Err(MessageError::UnsupportedFormat);
         }
-        let whole = length.parse() == Ok(body.len())
-            && u32::from_str_radix(sum, 16) == Ok(crc32fast::hash(body.as_bytes()));
-        if !whole {
+        let is_intact = length.parse() == Ok(body.len())
+            && u32::from_str_radix(checksum, 16) == Ok(crc32fast::hash(body.as_bytes()));
+        if !is_intact {
             return Err(MessageError::Corrupt);
         }
-        let record: Record = json::from_str(body).map_err(|_| MessageError::UnsupportedFormat)?;
-        if record.name != name {
+        let record: MessageRecord =
+            json::from_str(body).map_err(|_| MessageError::UnsupportedFormat)?;
+        if record.name != dispatcher_name {
             return Err(MessageError::OtherDispatcher);
         }
         Ok(HandoverMessage {
@@ -273,7 +283,7 @@
                 dispatcher_name: record.name,
                 written_at_unix_us: record.at,
                 writer_clock: record.clock.map(Micros),
-                known_processes: record.found.map(|found| lives(&found)),
+                known_processes: record.found.map(|names| parse_incarnations(&names)),
                 phase: record.phase,
                 change_log_seq: record.seq,
                 targets: record.targets,
@@ -290,18 +300,19 @@
         })
     }
 
-    /// Whether it was written since this reader came, at this Unix time: a file that was left by an earlier meeting was not.
+    /// Whether the message was written after `reader` started, at the Unix time `unix_now`: a file
+    /// that was left over from an earlier upgrade was not.
     pub fn is_addressed_to(&self, reader: Incarnation, unix_now: Micros) -> bool {
         match &self.status.known_processes {
-            Some(found) => found.contains(&reader),
-            None => self.status.written_at_unix_us.abs_diff(unix_now.0) <= LASTS.0,
+            Some(processes) => processes.contains(&reader),
+            None => self.status.written_at_unix_us.abs_diff(unix_now.0) <= MAX_CLOCK_SKEW.0,
         }
     }
 
-    /// What it holds, with times by the clock of a reader at which it is now this time.
+    /// The handover state, with its times converted to the clock of the reader, which shows `now`.
     pub fn handover_state_at(&self, now: Micros) -> Held {
         match self.status.writer_clock {
-            Some(clock) => self.handover_state.clone().on_clock(clock, now),
+            Some(writer_now) => self.handover_state.clone().on_clock(writer_now, now),
             None => self.handover_state.clone(),
         }
     }
--- a/handover/src/process_pair.rs
+++ b/handover/src/process_pair.rs
@@ -1,36 +1,38 @@
-//! What a process may do beside others of its dispatcher, from who lives and in which phase.
+//! What a process may do next to other processes of its dispatcher, by which of them run and in
+//! which phase.
 
 use miniserde::{Deserialize, Serialize};
 
-/// What a process is at.
+/// Phase of a process's lifetime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     Starting,
     Serving,
-    /// It was told to end: it takes nothing new, and sends nothing to cold engines.
+    /// The process was told to end: it accepts no new work, and sends nothing to cold engines.
     Ending,
 }
 
-/// Names a process; the older one is the lesser. No clock tells which that is: each generation comes after all that
-/// its process found when it began.
+/// Identifies one run of a process; an older process compares as less. The order needs no clock:
+/// the generation is greater than those of all processes that existed at the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
     pub generation: u64,
-    /// Drawn: tells apart those that began at one moment.
+    /// Random: distinguishes processes that start at the same time.
     pub nonce: u32,
 }
 
 impl Incarnation {
-    /// One that begins now, after all of these. Versions before this one have their Unix microsecond for a generation.
+    /// An incarnation that starts now, after all `known` ones. Earlier versions use their Unix time
+    /// in microseconds as generation.
     pub fn after(known: impl Iterator<Item = Incarnation>, nonce: u32) -> Incarnation {
-        let newest = known.map(|life| life.generation).max();
+        let newest = known.map(|incarnation| incarnation.generation).max();
         Incarnation {
             generation: newest.unwrap_or_default().saturating_add(1),
             nonce,
         }
     }
 
-    /// The name under which others find it.
+    /// The name in file names and messages, by which other processes find this one.
     pub fn name(&self) -> String {
         format!("{:020}-{}", self.generation, self.nonce)
     }
@@ -44,13 +46,13 @@
     }
 }
 
-/// A process and the others of its dispatcher that live.
+/// A process and the other live processes of its dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProcessPair {
     own: Incarnation,
     phase: Phase,
-    /// The phase of one of which nothing could be read is not known.
-    others: Vec<(Incarnation, Option<Phase>)>,
+    /// The phase is `None` for a process whose message could not be read.
+    peers: Vec<(Incarnation, Option<Phase>)>,
 }
 
 impl ProcessPair {
@@ -58,34 +60,36 @@
         ProcessPair {
             own,
             phase: Phase::Starting,
-            others: Vec::new(),
+            peers: Vec::new(),
         }
     }
 
-    /// Takes what is seen now.
-    pub fn update(&mut self, phase: Phase, others: Vec<(Incarnation, Option<Phase>)>) {
-        (self.phase, self.others) = (phase, others);
+    /// Sets the own phase and the peers that are seen now.
+    pub fn update(&mut self, phase: Phase, peers: Vec<(Incarnation, Option<Phase>)>) {
+        (self.phase, self.peers) = (phase, peers);
     }
 
-    /// Among how many the limits of one dispatcher are divided.
+    /// Number of processes among which the limits of the dispatcher are divided.
     pub fn process_count(&self) -> usize {
-        1 + self.others.len()
+        1 + self.peers.len()
     }
 
-    /// Whether this one may send to cold engines: at no time may two. The oldest may that is not ending; of one
-    /// whose phase is not known that is not believed. One that ends may not even if it sees no other: the next may
-    /// have come since it looked.
+    /// Whether this process may send to cold engines; at most one process may at any time. It is
+    /// the oldest process that is not ending; a process whose phase is unknown counts as not
+    /// ending. An ending process may not, even if it sees no peer: a successor may have started
+    /// since it looked.
     pub fn may_use_cold_engines(&self) -> bool {
-        let older = |(life, _): &&(Incarnation, Option<Phase>)| *life < self.own;
-        let mut older = self.others.iter().filter(older);
-        let ends = self.phase == Phase::Ending;
-        !ends && older.all(|(_, phase)| *phase == Some(Phase::Ending))
+        let is_older = |(peer, _): &&(Incarnation, Option<Phase>)| *peer < self.own;
+        let mut older_peers = self.peers.iter().filter(is_older);
+        let is_ending = self.phase == Phase::Ending;
+        !is_ending && older_peers.all(|(_, phase)| *phase == Some(Phase::Ending))
     }
 
-    /// Whom to begin from: the youngest of those that serve, or did.
+    /// The process from which this one takes over state: the youngest older one that serves or has
+    /// served.
     pub fn predecessor(&self) -> Option<Incarnation> {
-        let older = self.others.iter().filter(|(life, _)| *life < self.own);
-        let older = older.filter(|(_, phase)| *phase != Some(Phase::Starting));
-        older.map(|(life, _)| *life).max()
+        let older_peers = self.peers.iter().filter(|(peer, _)| *peer < self.own);
+        let older_peers = older_peers.filter(|(_, phase)| *phase != Some(Phase::Starting));
+        older_peers.map(|(peer, _)| *peer).max()
     }
 }
--- a/handover/tests/message.rs
+++ b/handover/tests/message.rs
@@ -1,4 +1,4 @@
-//! What is told is read as it was told, or not at all.
+//! Handover messages are decoded as they were encoded, or rejected.
 
 use proptest::prelude::*;
 use sedgebeam_core::{
@@ -9,14 +9,14 @@
 };
 use sedgebeam_roster::Target;
 
-const NOW: u64 = 1_800_000_000_000_000;
-const HOUR: u64 = 3_600_000_000;
+const NOW_US: u64 = 1_800_000_000_000_000;
+const HOUR_US: u64 = 3_600_000_000;
 const READER: Incarnation = Incarnation {
     generation: 7,
     nonce: 3,
 };
 
-fn share() -> HandoverMessage {
+fn message() -> HandoverMessage {
     let target = Target {
         uid: "s-00000001".to_string(),
         endpoint: "127.0.0.1:1".to_string(),
@@ -31,9 +31,9 @@
             memory_mb: 0.1 + 0.2,
             groups: vec![GroupId(4), GroupId(4)],
         },
-        sent: vec![(Micros(NOW - 5), 1.25)],
+        sent: vec![(Micros(NOW_US - 5), 1.25)],
         pace: -0.3,
-        rests_until: (Micros(0), Micros(NOW + 9)),
+        rests_until: (Micros(0), Micros(NOW_US + 9)),
     };
     let class = ClassHeld {
         name: "a \"class\"\n".to_string(),
@@ -51,8 +51,8 @@
     HandoverMessage {
         status: ProcessStatus {
             dispatcher_name: "n0".to_string(),
-            written_at_unix_us: NOW,
-            writer_clock: Some(Micros(NOW)),
+            written_at_unix_us: NOW_US,
+            writer_clock: Some(Micros(NOW_US)),
             known_processes: Some(vec![READER]),
             phase: Phase::Serving,
             change_log_seq: 42,
@@ -75,88 +75,92 @@
 }
 
 #[test]
-fn a_share_is_read_as_it_was_told() {
+fn an_encoded_message_is_decoded_unchanged() {
     assert_eq!(
-        HandoverMessage::decode(&share().encode(), "n0"),
-        Ok(share())
+        HandoverMessage::decode(&message().encode(), "n0"),
+        Ok(message())
     );
 }
 
 #[test]
-fn what_is_foreign_torn_or_another_s_is_refused() {
-    let bytes = share().encode();
-    let read = |bytes: &[u8], name| HandoverMessage::decode(bytes, name).map(|_| ());
-    assert_eq!(read(&bytes, "n1"), Err(MessageError::OtherDispatcher));
+fn unsupported_corrupt_and_foreign_messages_are_rejected() {
+    let bytes = message().encode();
+    let decode = |bytes: &[u8], name| HandoverMessage::decode(bytes, name).map(|_| ());
+    assert_eq!(decode(&bytes, "n1"), Err(MessageError::OtherDispatcher));
     let text = String::from_utf8(bytes).expect("text");
-    let foreign = text.replacen("share 1 ", "share 2 ", 1);
+    let unsupported = text.replacen("share 1 ", "share 2 ", 1);
     assert_eq!(
-        read(foreign.as_bytes(), "n0"),
+        decode(unsupported.as_bytes(), "n0"),
         Err(MessageError::UnsupportedFormat)
     );
-    for torn in ["", "sedgebeam-share 1 0 00000000", &text[..text.len() / 2]] {
-        assert_eq!(read(torn.as_bytes(), "n0"), Err(MessageError::Corrupt));
+    for corrupt in ["", "sedgebeam-share 1 0 00000000", &text[..text.len() / 2]] {
+        assert_eq!(decode(corrupt.as_bytes(), "n0"), Err(MessageError::Corrupt));
     }
 }
 
-/// Whatever the wall clock says, a share answers those that its writer had found when it wrote, and no others.
+/// Whatever the wall clock shows, a message is addressed to the processes that its writer had
+/// found.
 #[test]
-fn a_share_answers_whom_its_writer_had_found() {
+fn a_message_is_addressed_to_the_processes_that_its_writer_had_found() {
     let later = Incarnation {
         generation: 8,
         ..READER
     };
-    for now in [NOW - HOUR, NOW, NOW + HOUR] {
-        assert!(share().is_addressed_to(READER, Micros(now)));
+    for now in [NOW_US - HOUR_US, NOW_US, NOW_US + HOUR_US] {
+        assert!(message().is_addressed_to(READER, Micros(now)));
         assert!(
-            !share().is_addressed_to(later, Micros(now)),
-            "left by another meeting"
+            !message().is_addressed_to(later, Micros(now)),
+            "left over from an earlier upgrade"
         );
     }
-    // One of a version that goes by the wall clock.
-    let mut earlier = share();
+    // A message of a version that compares the wall clock.
+    let mut earlier = message();
     earlier.status.known_processes = None;
-    let answers = |at| earlier.is_addressed_to(READER, Micros(at));
-    assert!(answers(NOW + 1_000_000) && answers(NOW - 1_000_000));
-    assert!(!answers(NOW + 3_000_000) && !answers(NOW - 3_000_000));
+    let is_addressed_at = |at| earlier.is_addressed_to(READER, Micros(at));
+    assert!(is_addressed_at(NOW_US + 1_000_000) && is_addressed_at(NOW_US - 1_000_000));
+    assert!(!is_addressed_at(NOW_US + 3_000_000) && !is_addressed_at(NOW_US - 3_000_000));
 }
 
 #[test]
-fn what_is_told_anew_is_believed_for_two_seconds_of_the_reader_s_clock() {
+fn a_new_message_is_fresh_for_two_seconds_of_the_readers_clock() {
     let mut freshness = Freshness::default();
     let start = Micros::from_millis(50);
     let after = |millis| start + Micros::from_millis(millis);
-    assert!(freshness.is_fresh(READER, NOW, start));
-    assert!(freshness.is_fresh(READER, NOW, after(2000)));
-    assert!(!freshness.is_fresh(READER, NOW, after(2001)));
-    // A wall clock that was set back is a new mark like any other.
-    assert!(freshness.is_fresh(READER, NOW - HOUR, after(2001)));
-    assert!(freshness.is_fresh(READER, NOW - HOUR, after(4001)));
+    assert!(freshness.is_fresh(READER, NOW_US, start));
+    assert!(freshness.is_fresh(READER, NOW_US, after(2000)));
+    assert!(!freshness.is_fresh(READER, NOW_US, after(2001)));
+    // A timestamp from a clock that was set back counts as new too.
+    assert!(freshness.is_fresh(READER, NOW_US - HOUR_US, after(2001)));
+    assert!(freshness.is_fresh(READER, NOW_US - HOUR_US, after(4001)));
     freshness.retain(&[]);
     assert!(
-        freshness.is_fresh(READER, NOW - HOUR, after(9000)),
-        "forgotten"
+        freshness.is_fresh(READER, NOW_US - HOUR_US, after(9000)),
+        "removed before"
     );
 }
 
 #[test]
-fn times_are_on_the_clock_of_the_reader() {
-    for now in [NOW - HOUR, NOW, NOW + HOUR] {
-        let held = share().handover_state_at(Micros(now));
-        assert_eq!(held.engines[0].sent, [(Micros(now - 5), 1.25)]);
-        // No rest is not one that ends at some time.
-        assert_eq!(held.engines[0].rests_until, (Micros(0), Micros(now + 9)));
+fn times_are_converted_to_the_clock_of_the_reader() {
+    for now in [NOW_US - HOUR_US, NOW_US, NOW_US + HOUR_US] {
+        let state = message().handover_state_at(Micros(now));
+        assert_eq!(state.engines[0].sent, [(Micros(now - 5), 1.25)]);
+        // Zero, which stands for no ejection, is not converted.
+        assert_eq!(state.engines[0].rests_until, (Micros(0), Micros(now + 9)));
     }
 }
 
 proptest! {
     #[test]
-    fn a_share_that_is_cut_or_changed_anywhere_is_refused(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
-        let bytes = share().encode();
-        let at = at.index(bytes.len());
-        prop_assert!(HandoverMessage::decode(&bytes[..at], "n0").is_err());
+    fn a_truncated_or_changed_message_is_rejected(
+        position in any::<prop::sample::Index>(),
+        byte in any::<u8>(),
+    ) {
+        let bytes = message().encode();
+        let position = position.index(bytes.len());
+        prop_assert!(HandoverMessage::decode(&bytes[..position], "n0").is_err());
         let mut changed = bytes.clone();
-        changed[at] = byte;
-        let read = HandoverMessage::decode(&changed, "n0");
-        prop_assert!(read.is_err() || changed == bytes || read == Ok(share()));
+        changed[position] = byte;
+        let decoded = HandoverMessage::decode(&changed, "n0");
+        prop_assert!(decoded.is_err() || changed == bytes || decoded == Ok(message()));
     }
 }
--- a/handover/tests/process_pair.rs
+++ b/handover/tests/process_pair.rs
@@ -1,173 +1,174 @@
-//! Processes that come, serve, end and die in any order, each seeing the others as late as it looks: no two send
-//! to cold engines, and one always may again.
+//! Processes that start, serve, end and crash in any order, each with an outdated view of the
+//! others: no two may send to cold engines at the same time, and in the end one may again.
 
 use proptest::prelude::*;
 use sedgebeam_handover::{Incarnation, Phase, ProcessPair};
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Starts,
-    /// One of those that live is ready, is told to end, or dies.
-    Serves(usize),
-    Ends(usize),
-    Dies(usize),
-    /// One looks at the others; whether it can read what they tell.
-    Looks(usize, bool),
+    Start,
+    /// A live process becomes ready, is told to end, or crashes.
+    Serve(usize),
+    End(usize),
+    Crash(usize),
+    /// A process looks at the others; the flag is whether it can read their messages.
+    Look(usize, bool),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let which = 0usize..4;
+    let index = 0usize..4;
     prop_oneof![
-        2 => Just(Step::Starts),
-        2 => which.clone().prop_map(Step::Serves),
-        2 => which.clone().prop_map(Step::Ends),
-        1 => which.clone().prop_map(Step::Dies),
-        6 => (which, prop::bool::weighted(0.8)).prop_map(|(which, reads)| Step::Looks(which, reads)),
+        2 => Just(Step::Start),
+        2 => index.clone().prop_map(Step::Serve),
+        2 => index.clone().prop_map(Step::End),
+        1 => index.clone().prop_map(Step::Crash),
+        6 => (index, prop::bool::weighted(0.8))
+            .prop_map(|(index, can_read)| Step::Look(index, can_read)),
     ]
 }
 
 struct Process {
-    life: Incarnation,
+    incarnation: Incarnation,
     phase: Phase,
-    /// The phase that it has told last; what it is at now may be ahead of that.
-    told: Option<Phase>,
+    /// The phase in its last message; `phase` may be ahead of it.
+    published_phase: Option<Phase>,
     pair: ProcessPair,
 }
 
-type MayWarm = fn(&ProcessPair, Phase) -> bool;
+type MayUseColdEngines = fn(&ProcessPair, Phase) -> bool;
 
-struct House {
+struct Dispatcher {
     processes: Vec<Process>,
-    count: u32,
+    started_count: u32,
 }
 
-impl House {
-    fn look(&mut self, at: usize, reads: bool) {
-        let own = self.processes[at].life;
-        let others = self.processes.iter().filter(|other| other.life != own);
-        let seen = others.map(|other| (other.life, other.told.filter(|_| reads)));
+impl Dispatcher {
+    fn look(&mut self, index: usize, can_read: bool) {
+        let own = self.processes[index].incarnation;
+        let peers = self.processes.iter().filter(|peer| peer.incarnation != own);
+        let seen = peers.map(|peer| (peer.incarnation, peer.published_phase.filter(|_| can_read)));
         let seen = seen.collect();
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[index];
         process.pair.update(process.phase, seen);
-        process.told = Some(process.phase);
+        process.published_phase = Some(process.phase);
     }
 
-    fn warming(&self, may_warm: MayWarm) -> Vec<Incarnation> {
-        let may = self.processes.iter();
-        let may = may.filter(|process| may_warm(&process.pair, process.phase));
-        may.map(|process| process.life).collect()
+    fn cold_engine_users(&self, may_use_cold_engines: MayUseColdEngines) -> Vec<Incarnation> {
+        let users = self.processes.iter();
+        let users = users.filter(|process| may_use_cold_engines(&process.pair, process.phase));
+        users.map(|process| process.incarnation).collect()
     }
 }
 
-fn play(steps: &[Step], may_warm: MayWarm) -> Result<(), String> {
-    let mut house = House {
+fn run(steps: &[Step], may_use_cold_engines: MayUseColdEngines) -> Result<(), String> {
+    let mut dispatcher = Dispatcher {
         processes: Vec::new(),
-        count: 0,
+        started_count: 0,
     };
     for step in steps {
-        let living = house.processes.len().max(1);
+        let live_count = dispatcher.processes.len().max(1);
         match *step {
-            Step::Starts if house.processes.len() < 4 => {
-                house.count += 1;
-                let life = Incarnation {
-                    generation: u64::from(house.count / 2),
-                    nonce: house.count,
+            Step::Start if dispatcher.processes.len() < 4 => {
+                dispatcher.started_count += 1;
+                let incarnation = Incarnation {
+                    generation: u64::from(dispatcher.started_count / 2),
+                    nonce: dispatcher.started_count,
                 };
-                house.processes.push(Process {
-                    life,
+                dispatcher.processes.push(Process {
+                    incarnation,
                     phase: Phase::Starting,
-                    told: None,
-                    pair: ProcessPair::new(life),
+                    published_phase: None,
+                    pair: ProcessPair::new(incarnation),
                 });
-                // It looks before it does anything.
-                house.look(house.processes.len() - 1, true);
+                // A process looks before it does anything.
+                dispatcher.look(dispatcher.processes.len() - 1, true);
             }
-            Step::Serves(which) => {
-                if let Some(process) = house.processes.get_mut(which % living)
+            Step::Serve(index) => {
+                if let Some(process) = dispatcher.processes.get_mut(index % live_count)
                     && process.phase == Phase::Starting
                 {
                     process.phase = Phase::Serving;
                 }
             }
-            Step::Ends(which) => {
-                if let Some(process) = house.processes.get_mut(which % living) {
+            Step::End(index) => {
+                if let Some(process) = dispatcher.processes.get_mut(index % live_count) {
                     process.phase = Phase::Ending;
                 }
             }
-            Step::Dies(which) if !house.processes.is_empty() => {
-                house.processes.remove(which % living);
+            Step::Crash(index) if !dispatcher.processes.is_empty() => {
+                dispatcher.processes.remove(index % live_count);
             }
-            Step::Looks(which, reads) if !house.processes.is_empty() => {
-                house.look(which % living, reads);
+            Step::Look(index, can_read) if !dispatcher.processes.is_empty() => {
+                dispatcher.look(index % live_count, can_read);
             }
-            Step::Starts | Step::Dies(_) | Step::Looks(..) => {}
+            Step::Start | Step::Crash(_) | Step::Look(..) => {}
         }
-        let warming = house.warming(may_warm);
-        if warming.len() > 1 {
-            return Err(format!("after {step:?}, {warming:?} send to cold engines"));
+        let users = dispatcher.cold_engine_users(may_use_cold_engines);
+        if users.len() > 1 {
+            return Err(format!("after {step:?}, {users:?} send to cold engines"));
         }
     }
-    // All look: the oldest that does not end may.
-    for at in (0..house.processes.len()).chain(0..house.processes.len()) {
-        house.look(at, true);
+    // All processes look: then the oldest one that is not ending may.
+    for index in (0..dispatcher.processes.len()).chain(0..dispatcher.processes.len()) {
+        dispatcher.look(index, true);
     }
-    let serving = house
+    let has_active_process = dispatcher
         .processes
         .iter()
         .any(|process| process.phase != Phase::Ending);
-    let warming = house.warming(may_warm);
-    if serving && warming.len() != 1 {
-        return Err(format!("{warming:?} send to cold engines, though one may"));
+    let users = dispatcher.cold_engine_users(may_use_cold_engines);
+    if has_active_process && users.len() != 1 {
+        return Err(format!("{users:?} send to cold engines, though one may"));
     }
     Ok(())
 }
 
 proptest! {
     #[test]
-    fn no_two_processes_send_to_cold_engines_and_one_that_serves_may(
+    fn at_most_one_process_may_send_to_cold_engines_and_finally_one_may(
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        prop_assert_eq!(play(&steps, |pair, _| pair.may_use_cold_engines()), Ok(()));
+        prop_assert_eq!(run(&steps, |pair, _| pair.may_use_cold_engines()), Ok(()));
     }
 }
 
 #[test]
-fn doubles_are_caught() {
+fn faulty_rules_are_detected() {
     let steps = [
-        Step::Starts,
-        Step::Serves(0),
-        Step::Looks(0, true),
-        Step::Starts,
-        Step::Looks(0, true),
-        Step::Serves(1),
-        Step::Looks(1, false),
-        Step::Ends(0),
-        Step::Looks(0, true),
-        Step::Looks(1, true),
+        Step::Start,
+        Step::Serve(0),
+        Step::Look(0, true),
+        Step::Start,
+        Step::Look(0, true),
+        Step::Serve(1),
+        Step::Look(1, false),
+        Step::End(0),
+        Step::Look(0, true),
+        Step::Look(1, true),
     ];
-    assert_eq!(play(&steps, |pair, _| pair.may_use_cold_engines()), Ok(()));
-    let doubles: [(&str, MayWarm); 3] = [
-        ("nobody looks for others", |_, _| true),
-        ("whoever serves may", |_, phase| phase == Phase::Serving),
-        ("nobody ever may", |_, _| false),
+    assert_eq!(run(&steps, |pair, _| pair.may_use_cold_engines()), Ok(()));
+    let faulty_rules: [(&str, MayUseColdEngines); 3] = [
+        ("peers are ignored", |_, _| true),
+        ("serving is enough", |_, phase| phase == Phase::Serving),
+        ("no process ever may", |_, _| false),
     ];
-    for (fault, double) in doubles {
-        assert!(play(&steps, double).is_err(), "{fault}");
+    for (description, rule) in faulty_rules {
+        assert!(run(&steps, rule).is_err(), "{description}");
     }
 }
 
 #[test]
-fn a_process_is_younger_than_all_that_it_finds() {
+fn an_incarnation_is_greater_than_all_that_existed_at_its_start() {
     let first = Incarnation::after([].into_iter(), 9);
     let second = Incarnation::after([first].into_iter(), 3);
-    // One of an earlier version, which began at a Unix time.
+    // An incarnation of an earlier version, with its Unix time as generation.
     let earlier = Incarnation {
         generation: 1_800_000_000_000_000,
         nonce: 1,
     };
     let third = Incarnation::after([second, earlier, first].into_iter(), 0);
     assert!(first < second && second < third && earlier < third);
-    for life in [first, second, third, earlier] {
-        assert_eq!(Incarnation::parse(&life.name()), Some(life));
+    for incarnation in [first, second, third, earlier] {
+        assert_eq!(Incarnation::parse(&incarnation.name()), Some(incarnation));
     }
 }
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -308,7 +308,7 @@
 
     fn set_usage(&mut self, index: usize, now: Micros, mut usage: Published) {
         usage.engines.sort_by_key(|(id, _)| *id);
-        let threads: f64 = usage.engines.iter().map(|(_, out)| out.threads).sum();
+        let threads: f64 = usage.engines.iter().map(|(_, usage)| usage.threads).sum();
         let window = self.terms.cold_window;
         let engines = &usage.engines;
         self.engines.retain(|id, engine_leases| {
