--- a/leases/tests/interleavings.rs
+++ b/leases/tests/interleavings.rs
@@ -59,7 +59,8 @@
     in_flight: BTreeMap<EngineId, Vec<f64>>,
     lease: Option<(Lease, Micros)>,
     open_requests: usize,
-    sent: Vec<(Micros, f64)>,
+    /// Work sent to the cold engine.
+    sent_to_cold: Vec<(Micros, f64)>,
 }
 
 impl Shard {
@@ -69,7 +70,7 @@
             .map_or(0.0, |queries| queries.iter().sum())
     }
 
-    fn usage(&self, sent: f64) -> Published {
+    fn usage(&self, cold_work: f64) -> Published {
         let engine_usage = |engine| Out {
             threads: self.threads(engine),
             ..Out::default()
@@ -86,7 +87,7 @@
                 memory_mb: 0.0,
             }],
             waiting: vec![vec![1]],
-            sent: vec![(COLD_ENGINE, sent)],
+            sent: vec![(COLD_ENGINE, cold_work)],
             until: Micros::MAX,
             ..Published::default()
         }
@@ -160,7 +161,7 @@
             for _ in 0..queries {
                 let total_threads = own_threads + sibling_usage.out.threads;
                 let fits_limit = total_threads == 0.0 || total_threads + threads <= ENGINE_LIMIT;
-                let cold_total = work_in_window(&shard.sent, self.now)
+                let cold_total = work_in_window(&shard.sent_to_cold, self.now)
                     + sibling_usage.cold_work
                     + cold_work
                     + 0.5;
@@ -192,7 +193,7 @@
             .commit(ShardId(index), lease.id, self.now, usage)
             .is_valid
         {
-            shard.sent.push((self.now, cold_work));
+            shard.sent_to_cold.push((self.now, cold_work));
             self.sent_to_cold.push((self.now, cold_work));
         } else {
             self.shards[index].in_flight = in_flight_before;
