--- a/handover/src/message.rs
+++ b/handover/src/message.rs
@@ -132,23 +132,25 @@
 }
 
 impl From<&EngineHandover> for EngineRecord {
-fn from(engine: &EngineHandover) -> EngineRecord {
-let (ejected_until, stalled_until) = engine.ejected_until;
+    fn from(engine: &EngineHandover) -> EngineRecord {
+        let (ejected_until, stalled_until) = engine.ejected_until;
         EngineRecord {
- engine: engine.engine.0,
-threads: engine.usage.threads,
-memory_mb: engine.usage.memory_mb,
-groups: engine.usage
-.table_groups
-.iter()
-.map(|group| group.0)
-.collect(),
-sent: engine.recent_sends
-.iter()
-.map(|(at, work)| (at.0, *work))
-.collect(),
-pace: engine.service_time_ratio,
-rests_until: (ejected_until.0, stalled_until.0),
+            engine: engine.engine.0,
+            threads: engine.usage.threads,
+            memory_mb: engine.usage.memory_mb,
+            groups: engine
+                .usage
+                .table_groups
+                .iter()
+                .map(|group| group.0)
+                .collect(),
+            sent: engine
+                .recent_sends
+                .iter()
+                .map(|(at, work)| (at.0, *work))
+                .collect(),
+            pace: engine.service_time_ratio,
+            rests_until: (ejected_until.0, stalled_until.0),
         }
     }
 }
@@ -171,17 +173,17 @@
 }
 
 impl From<&ClassHandover> for ClassRecord {
-fn from(class: &ClassHandover) -> ClassRecord {
+    fn from(class: &ClassHandover) -> ClassRecord {
         ClassRecord {
- name: class.name.clone(),
-threads: class.usage.threads,
-memory_mb: class.usage.memory_mb,
-ratio: class.usual_ratio,
-pace: class.service_time_ratio,
-took: class.mean_attempt_us,
-work: class.mean_work_us,
-taken: class.accepted_requests,
-spilled: class.spill_margin,
+            name: class.name.clone(),
+            threads: class.usage.threads,
+            memory_mb: class.usage.memory_mb,
+            ratio: class.usual_ratio,
+            pace: class.service_time_ratio,
+            took: class.mean_attempt_us,
+            work: class.mean_work_us,
+            taken: class.accepted_requests,
+            spilled: class.spill_margin,
         }
     }
 }
@@ -325,10 +327,10 @@
         }
     }
 
- /// The handover state, with its times converted to the clock of the reader, which shows `now`.
-pub fn handover_state_at(&self, now: Micros) -> HandoverState {
+    /// The handover state, with its times converted to the clock of the reader, which shows `now`.
+    pub fn handover_state_at(&self, now: Micros) -> HandoverState {
         match self.status.writer_clock {
- Some(writer_now) => self.handover_state.clone().translate_clock(writer_now, now),
+            Some(writer_now) => self.handover_state.clone().translate_clock(writer_now, now),
             None => self.handover_state.clone(),
         }
     }
--- a/handover/tests/message.rs
+++ b/handover/tests/message.rs
@@ -32,9 +32,9 @@
             memory_mb: 0.1 + 0.2,
             table_groups: vec![TableGroupId(4), TableGroupId(4)],
         },
- recent_sends: vec![(Micros(NOW_US - 5), 1.25)],
-service_time_ratio: -0.3,
-ejected_until: (Micros(0), Micros(NOW_US + 9)),
+        recent_sends: vec![(Micros(NOW_US - 5), 1.25)],
+        service_time_ratio: -0.3,
+        ejected_until: (Micros(0), Micros(NOW_US + 9)),
     };
     let class = ClassHandover {
         name: "a \"class\"\n".to_string(),
@@ -142,11 +142,11 @@
 
 #[test]
 fn times_are_converted_to_the_clock_of_the_reader() {
-for now in [NOW_US - HOUR_US, NOW_US, NOW_US + HOUR_US] {
-let state = message().handover_state_at(Micros(now));
-assert_eq!(state.engines[0].recent_sends, [(Micros(now - 5), 1.25)]);
-// Zero, which stands for no ejection, is not converted.
-assert_eq!(state.engines[0].ejected_until, (Micros(0), Micros(now + 9)));
+    for now in [NOW_US - HOUR_US, NOW_US, NOW_US + HOUR_US] {
+        let state = message().handover_state_at(Micros(now));
+        assert_eq!(state.engines[0].recent_sends, [(Micros(now - 5), 1.25)]);
+        // Zero, which stands for no ejection, is not converted.
+        assert_eq!(state.engines[0].ejected_until, (Micros(0), Micros(now + 9)));
     }
 }
 
--- a/leases/src/engine_leases.rs
+++ b/leases/src/engine_leases.rs
@@ -19,12 +19,12 @@
 /// One shard's usage of the engine.
 #[derive(Clone, Debug, Default)]
 struct ShardEntry {
-usage: EngineUsage,
-/// Threads leased and not yet committed.
-leased_threads: f64,
-/// Threads of attempts that had ended when the shard acquired its lease; `usage` contains them
-/// until the commit.
-ended_threads: f64,
+    usage: EngineUsage,
+    /// Threads leased and not yet committed.
+    leased_threads: f64,
+    /// Threads of attempts that had ended when the shard acquired its lease; `usage` contains them
+    /// until the commit.
+    ended_threads: f64,
 }
 
 /// The usage of one engine by all shards.
@@ -60,23 +60,24 @@
         self.entries.iter().map(|entry| entry.leased_threads).sum()
     }
 
- /// Leases a part of the threads that are free below the limit, and returns their number. An
-/// unused engine always accepts one query, whatever the limit. On a cold engine only one shard
-/// at a time holds a lease, because the work that it will send is known only afterwards.
-pub fn acquire(&mut self, shard: usize, demand: &EngineDemand, request: &LeaseRequest) -> f64 {
+    /// Leases a part of the threads that are free below the limit, and returns their number. An
+    /// unused engine always accepts one query, whatever the limit. On a cold engine only one shard
+    /// at a time holds a lease, because the work that it will send is known only afterwards.
+    pub fn acquire(&mut self, shard: usize, demand: &EngineDemand, request: &LeaseRequest) -> f64 {
         let LeaseRequest {
             now,
             redistribution_interval,
- share,
-max_threads,
-heaviest_threads,
-} = *request;
-let own_threads = self.entry(shard).usage.threads;
-let used_threads = self.threads() + self.leased_threads() - demand.ended_threads.min(own_threads);
-let (limit, is_cold) = (demand.max_threads, demand.is_cold);
-let has_sibling_lease = self.siblings(shard).any(|entry| entry.leased_threads > 0.0);
-let free = if used_threads == 0.0 {
-limit.max(heaviest_threads)
+            share,
+            max_threads,
+            heaviest_threads,
+        } = *request;
+        let own_threads = self.entry(shard).usage.threads;
+        let used_threads =
+            self.threads() + self.leased_threads() - demand.ended_threads.min(own_threads);
+        let (limit, is_cold) = (demand.max_threads, demand.is_cold);
+        let has_sibling_lease = self.siblings(shard).any(|entry| entry.leased_threads > 0.0);
+        let free = if used_threads == 0.0 {
+            limit.max(heaviest_threads)
         } else {
             limit - used_threads
         };
@@ -89,10 +90,10 @@
         {
             (self.redistributable_threads, self.redistributed_at) = (free, Some(now));
         }
- // As in a single gateway, threads that become free are collected for an interval: shards
-// that decide at different moments would each find one slot, and use it for a light query.
-let free = if is_nearly_full {
-free.min(self.redistributable_threads)
+        // As in a single gateway, threads that become free are collected for an interval: shards
+        // that decide at different moments would each find one slot, and use it for a light query.
+        let free = if is_nearly_full {
+            free.min(self.redistributable_threads)
         } else {
             free
         };
@@ -111,14 +112,14 @@
         quota
     }
 
- /// What the other shards have in flight on the engine, and what they may be sending.
-pub fn sibling_usage(&self, shard: usize) -> EngineUsage {
-let mut sum = EngineUsage::default();
-for entry in self.siblings(shard) {
-sum.threads += entry.usage.threads + entry.leased_threads;
-sum.memory_mb += entry.usage.memory_mb;
-sum.table_groups
-.extend_from_slice(&entry.usage.table_groups);
+    /// What the other shards have in flight on the engine, and what they may be sending.
+    pub fn sibling_usage(&self, shard: usize) -> EngineUsage {
+        let mut sum = EngineUsage::default();
+        for entry in self.siblings(shard) {
+            sum.threads += entry.usage.threads + entry.leased_threads;
+            sum.memory_mb += entry.usage.memory_mb;
+            sum.table_groups
+                .extend_from_slice(&entry.usage.table_groups);
         }
         sum
     }
@@ -133,11 +134,11 @@
         by_siblings.map(|(_, _, work)| work).sum()
     }
 
- pub fn set_usage(&mut self, shard: usize, usage: EngineUsage) {
-let entry = self.entry(shard);
-let added_threads = usage.threads - (entry.usage.threads - entry.ended_threads);
-(entry.usage, entry.ended_threads) = (usage, 0.0);
-self.redistributable_threads -= added_threads.max(0.0);
+    pub fn set_usage(&mut self, shard: usize, usage: EngineUsage) {
+        let entry = self.entry(shard);
+        let added_threads = usage.threads - (entry.usage.threads - entry.ended_threads);
+        (entry.usage, entry.ended_threads) = (usage, 0.0);
+        self.redistributable_threads -= added_threads.max(0.0);
     }
 
     pub fn record_sent_work(&mut self, shard: usize, now: Micros, window: Micros, work: f64) {
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -63,8 +63,8 @@
 #[derive(Debug)]
 pub struct Lease {
     pub id: LeaseId,
- pub siblings: SiblingUsage,
-/// Maximum number of open requests of the shard until its next lease.
+    pub siblings: SiblingUsage,
+    /// Maximum number of open requests of the shard until its next lease.
     pub max_open_requests: usize,
 }
 
@@ -90,9 +90,9 @@
 /// What is known of a shard.
 #[derive(Clone, Debug, Default)]
 struct ShardState {
-lease: Option<ActiveLease>,
-demanded_threads: f64,
-classes: Vec<ClassUsage>,
+    lease: Option<ActiveLease>,
+    demanded_threads: f64,
+    classes: Vec<ClassUsage>,
     waiting: Vec<Vec<usize>>,
     /// By when all of its attempts in flight must have ended.
     attempts_end_by: Micros,
@@ -140,10 +140,10 @@
         self.terms = terms;
     }
 
- /// Sets the total usage of the other processes of this dispatcher. It counts for every shard
-/// until the next update, or until all of their attempts must have ended.
-pub fn set_peer_process_usage(&mut self, now: Micros, usage: ShardUsage) {
-self.set_usage(self.terms.shard_count, now, usage);
+    /// Sets the total usage of the other processes of this dispatcher. It counts for every shard
+    /// until the next update, or until all of their attempts must have ended.
+    pub fn set_peer_process_usage(&mut self, now: Micros, usage: ShardUsage) {
+        self.set_usage(self.terms.shard_count, now, usage);
     }
 
     /// Number of leases that expired before they were committed.
@@ -151,14 +151,14 @@
         self.expired_leases
     }
 
- /// Leases resources for one decision of a shard that has `open_requests`.
-pub fn acquire(
-&mut self,
-shard: ShardId,
-now: Micros,
-demand: &Demand,
-open_requests: usize,
-) -> Lease {
+    /// Leases resources for one decision of a shard that has `open_requests`.
+    pub fn acquire(
+        &mut self,
+        shard: ShardId,
+        now: Micros,
+        demand: &Demand,
+        open_requests: usize,
+    ) -> Lease {
         self.expire_leases(now);
         self.release(shard);
         self.last_lease_id += 1;
@@ -176,38 +176,38 @@
         } else {
             0.0
         };
- let max_threads = demanded_threads.max(demand.heaviest_class_threads);
-let request = LeaseRequest {
+        let max_threads = demanded_threads.max(demand.heaviest_class_threads);
+        let request = LeaseRequest {
             now,
             redistribution_interval: self.terms.redistribution_interval,
- share,
-max_threads,
-heaviest_threads: demand.heaviest_class_threads,
+            share,
+            max_threads,
+            heaviest_threads: demand.heaviest_class_threads,
         };
- let engines = demand.engines.iter().map(|engine_demand| {
-let engine_leases = self.engines.entry(engine_demand.engine).or_default();
-let quota = engine_leases.acquire(index, engine_demand, &request);
-SiblingEngineUsage {
-engine: engine_demand.engine,
-usage: engine_leases.sibling_usage(index),
-cold_work_core_s: engine_leases.sibling_work(index, now, self.terms.cold_window),
-quota: ThreadQuota(quota),
+        let engines = demand.engines.iter().map(|engine_demand| {
+            let engine_leases = self.engines.entry(engine_demand.engine).or_default();
+            let quota = engine_leases.acquire(index, engine_demand, &request);
+            SiblingEngineUsage {
+                engine: engine_demand.engine,
+                usage: engine_leases.sibling_usage(index),
+                cold_work_core_s: engine_leases.sibling_work(index, now, self.terms.cold_window),
+                quota: ThreadQuota(quota),
             }
         });
- let engines: Vec<SiblingEngineUsage> = engines.collect();
-let (classes, waiting) = (self.sibling_classes(shard), self.waiting_at_siblings(shard));
-self.shards[index].lease = Some(ActiveLease {
-id,
-acquired_at: now,
-threads: max_threads,
+        let engines: Vec<SiblingEngineUsage> = engines.collect();
+        let (classes, waiting) = (self.sibling_classes(shard), self.waiting_at_siblings(shard));
+        self.shards[index].lease = Some(ActiveLease {
+            id,
+            acquired_at: now,
+            threads: max_threads,
         });
         Lease {
- id,
-siblings: SiblingUsage {
+            id,
+            siblings: SiblingUsage {
                 engines,
                 classes,
- waiting_requests: waiting,
-quota: ThreadQuota(max_threads),
+                waiting_requests: waiting,
+                quota: ThreadQuota(max_threads),
                 class_credit: self.class_credit.clone(),
                 tenant_credit: self.tenant_credit.clone(),
             },
@@ -222,7 +222,7 @@
         shard: ShardId,
         id: LeaseId,
         now: Micros,
- usage: ShardUsage,
+        usage: ShardUsage,
     ) -> CommitResult {
         self.expire_leases(now);
         let index = shard.0;
@@ -307,18 +307,18 @@
         self.shards[shard.0] = ShardState::default();
     }
 
- fn set_usage(&mut self, index: usize, now: Micros, mut usage: ShardUsage) {
-usage.engines.sort_by_key(|(id, _)| *id);
-let threads: f64 = usage.engines.iter().map(|(_, usage)| usage.threads).sum();
+    fn set_usage(&mut self, index: usize, now: Micros, mut usage: ShardUsage) {
+        usage.engines.sort_by_key(|(id, _)| *id);
+        let threads: f64 = usage.engines.iter().map(|(_, usage)| usage.threads).sum();
         let window = self.terms.cold_window;
         let engines = &usage.engines;
         self.engines.retain(|id, engine_leases| {
             let is_known = engines
                 .binary_search_by_key(id, |(engine, _)| *engine)
                 .is_ok();
- if !is_known {
-// The shard has nothing in flight on an engine that it no longer knows.
-engine_leases.set_usage(index, EngineUsage::default());
+            if !is_known {
+                // The shard has nothing in flight on an engine that it no longer knows.
+                engine_leases.set_usage(index, EngineUsage::default());
             }
             is_known || !engine_leases.is_unused(now, window)
         });
@@ -328,17 +328,17 @@
                 .or_default()
                 .set_usage(index, engine_usage);
         }
- for (id, work) in usage.work_sent_core_s {
-let engine_leases = self.engines.entry(id).or_default();
-engine_leases.record_sent_work(index, now, window, work);
+        for (id, work) in usage.work_sent_core_s {
+            let engine_leases = self.engines.entry(id).or_default();
+            engine_leases.record_sent_work(index, now, window, work);
         }
- let shard = &mut self.shards[index];
-(shard.classes, shard.waiting) = (usage.classes, usage.waiting_requests);
-shard.attempts_end_by = usage.all_ended_by;
-// Demand that the shard could not send remains.
-let sent_threads = (threads - shard.threads).max(0.0);
-shard.demanded_threads = if shard.has_waiting_requests() {
-(shard.demanded_threads - sent_threads).max(0.0)
+        let shard = &mut self.shards[index];
+        (shard.classes, shard.waiting) = (usage.classes, usage.waiting_requests);
+        shard.attempts_end_by = usage.all_ended_by;
+        // Demand that the shard could not send remains.
+        let sent_threads = (threads - shard.threads).max(0.0);
+        shard.demanded_threads = if shard.has_waiting_requests() {
+            (shard.demanded_threads - sent_threads).max(0.0)
         } else {
             0.0
         };
@@ -352,14 +352,14 @@
         }
     }
 
- /// By class, what the other shards have in flight or may be sending.
-fn sibling_classes(&self, shard: ShardId) -> Vec<ClassUsage> {
-let mut sum: Vec<ClassUsage> = Vec::new();
-for sibling in self.siblings(shard) {
-sum.resize(sum.len().max(sibling.classes.len()), ClassUsage::default());
-for (sum, class_usage) in sum.iter_mut().zip(&sibling.classes) {
-sum.threads += class_usage.threads;
-sum.memory_mb += class_usage.memory_mb;
+    /// By class, what the other shards have in flight or may be sending.
+    fn sibling_classes(&self, shard: ShardId) -> Vec<ClassUsage> {
+        let mut sum: Vec<ClassUsage> = Vec::new();
+        for sibling in self.siblings(shard) {
+            sum.resize(sum.len().max(sibling.classes.len()), ClassUsage::default());
+            for (sum, class_usage) in sum.iter_mut().zip(&sibling.classes) {
+                sum.threads += class_usage.threads;
+                sum.memory_mb += class_usage.memory_mb;
             }
         }
         // Queries sent under active leases may be of any class.
