--- a/src/fleet_scan/tests.rs
+++ b/src/fleet_scan/tests.rs
@@ -125,7 +125,7 @@
     let mut out = VecDeque::new();
     let mut sent = 0;
     for _ in 0..1500 {
-        always.surveyed.outdated = true;
+        always.scan.is_outdated = true;
         let actions = always.handle(now, next.clone());
         assert_eq!(actions, seldom.handle(now, next), "seed {seed} at {now:?}");
         assert_eq!(
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -4,7 +4,7 @@
 use crate::interface::*;
 use crate::policy::Gateway;
 use crate::shard_usage::{ClassUsage, EngineUsage, SiblingEngineUsage, ThreadQuota};
-use crate::state::{Mean, Request, Usual};
+use crate::state::{ClassStats, MovingMean, Request};
 use std::collections::BTreeMap;
 
 /// What a gateway holds, and what it has learned.
@@ -54,71 +54,71 @@
             EngineHandover {
                 engine: *id,
                 usage: EngineUsage {
-                    threads: engine.threads_out,
-                    memory_mb: engine.memory_out,
-                    table_groups: engine.held.clone(),
+                    threads: engine.threads_in_flight,
+                    memory_mb: engine.memory_in_flight_mb,
+                    table_groups: engine.loading_groups.clone(),
                 },
-                recent_sends: engine.sends.iter().copied().collect(),
-                service_time_ratio: engine.pace,
+                recent_sends: engine.recent_sends.iter().copied().collect(),
+                service_time_ratio: engine.service_time_ratio,
                 ejected_until: (Micros(rests), Micros(jammed)),
             }
         });
         let mut classes: Vec<ClassHandover> = Vec::new();
-        for (class, usual) in self.settings.classes.iter().zip(&self.usual) {
+        for (class, usual) in self.settings.classes.iter().zip(&self.stats) {
             classes.push(ClassHandover {
                 name: class.name.clone(),
                 usage: ClassUsage::default(),
-                usual_ratio: usual.ratio,
-                service_time_ratio: usual.pace,
-                mean_attempt_us: usual.took.0,
-                mean_work_us: usual.work.0,
-                accepted_requests: usual.taken,
-                spill_margin: usual.spilled,
+                usual_ratio: usual.usual_ratio,
+                service_time_ratio: usual.service_time_ratio,
+                mean_attempt_us: usual.attempt_us.0,
+                mean_work_us: usual.work_us.0,
+                accepted_requests: usual.accepted_requests,
+                spill_margin: usual.spill_margin,
             });
         }
-        let out = |request: &&Request| request.attempts_out() > 0;
+        let out = |request: &&Request| request.attempts_in_flight() > 0;
         for request in self.requests.values().filter(out) {
             if let Some(class) = classes.get_mut(request.class) {
                 class.usage.threads += request.threads;
-                class.usage.memory_mb += request.memory_held;
+                class.usage.memory_mb += request.granted_memory_mb;
             }
         }
         HandoverState {
             engines: engines.collect(),
             classes,
-            concurrency_limit: self.multiple.handed_over(),
+            concurrency_limit: self.concurrency_limit.handed_over(),
         }
     }
 
     /// Begins with what another process of this gateway has learned, where it has learned nothing itself.
     pub fn restore(&mut self, held: &HandoverState) {
-        self.surveyed.outdated = true;
-        for (class, usual) in self.settings.classes.iter().zip(&mut self.usual) {
+        self.scan.is_outdated = true;
+        for (class, usual) in self.settings.classes.iter().zip(&mut self.stats) {
             let known = held.classes.iter().find(|known| known.name == class.name);
-            let Some(known) = known.filter(|_| usual.taken == 0.0) else {
+            let Some(known) = known.filter(|_| usual.accepted_requests == 0.0) else {
                 continue;
             };
-            *usual = Usual {
-                ratio: known.usual_ratio,
-                pace: known.service_time_ratio,
-                took: Mean(known.mean_attempt_us),
-                work: Mean(known.mean_work_us),
-                taken: known.accepted_requests,
-                spilled: known.spill_margin,
+            *usual = ClassStats {
+                usual_ratio: known.usual_ratio,
+                service_time_ratio: known.service_time_ratio,
+                attempt_us: MovingMean(known.mean_attempt_us),
+                work_us: MovingMean(known.mean_work_us),
+                accepted_requests: known.accepted_requests,
+                spill_margin: known.spill_margin,
             };
         }
         for held in &held.engines {
             if let Some(engine) = self.engines.get_mut(&held.engine) {
-                engine.pace = held.service_time_ratio;
+                engine.service_time_ratio = held.service_time_ratio;
                 let (rests, jammed) = held.ejected_until;
                 engine.health.take_rests((rests.0, jammed.0));
             }
         }
-        self.multiple.take_over(held.concurrency_limit);
+        self.concurrency_limit.take_over(held.concurrency_limit);
     }
 
     /// Gives every request its final answer: whoever ends the process waits no longer.
-    pub(crate) fn last_call(&mut self) {
+    pub(crate) fn shut_down(&mut self) {
         let open: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in open {
             self.give_up(id);
@@ -137,7 +137,7 @@
                 .recent_sends
                 .iter()
                 .filter(|(at, _)| *at + window > now);
-            engine.elsewhere = SiblingEngineUsage {
+            engine.siblings = SiblingEngineUsage {
                 engine: *id,
                 usage: held.usage,
                 cold_work_core_s: recent.map(|(_, work)| work).sum(),
@@ -150,7 +150,7 @@
             let held = others.classes.iter().find(named);
             held.map(|held| held.usage).unwrap_or_default()
         };
-        self.elsewhere.classes = classes.map(out).collect();
+        self.siblings.classes = classes.map(out).collect();
         if !may_warm {
             self.started_at = Some(self.now.max(now));
         }
@@ -158,7 +158,7 @@
 }
 
 /// This moment of one clock on another, given what both show now; zero stays what it is, no moment.
-fn moved(at: Micros, from: Micros, to: Micros) -> Micros {
+fn translate_time(at: Micros, from: Micros, to: Micros) -> Micros {
     if at == Micros(0) {
         return at;
     }
@@ -170,10 +170,13 @@
     pub fn translate_clock(mut self, from: Micros, to: Micros) -> HandoverState {
         for engine in &mut self.engines {
             for (at, _) in &mut engine.recent_sends {
-                *at = moved(*at, from, to);
+                *at = translate_time(*at, from, to);
             }
             let (rests, jammed) = engine.ejected_until;
-            engine.ejected_until = (moved(rests, from, to), moved(jammed, from, to));
+            engine.ejected_until = (
+                translate_time(rests, from, to),
+                translate_time(jammed, from, to),
+            );
         }
         self
     }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,97 +1,86 @@
-//! All decisions of the gateway. Its types, events and actions are in `src/interface.rs`.
-//!
-//! A request passes straight to an engine while nothing waits and a slot is spare; otherwise it
-//! waits in the queue of its class and tenant, and Most Credit First says who goes next.
+//! All decisions of a gateway. Its types, events and actions are defined in `src/interface.rs`.
+//! A request is sent to an engine at once if no request is queued and an engine has a free slot. Otherwise
+//! it waits in the queue of its class and tenant, and Most Credit First picks the next one to release.
 
-use crate::fleet_scan::{Surveyed, bears_on_engines};
+use crate::fleet_scan::{FleetScan, affects_engines};
 use crate::interface::*;
-use crate::shard_usage::Elsewhere;
-use crate::sizing::{OWN_EXCESS, THREADS_PER_CORE, shares};
+use crate::shard_usage::SiblingState;
+use crate::sizing::{OWN_BUDGET_FACTOR, THREADS_PER_CORE, tenant_shares};
 use crate::state::*;
 use crate::subset::Ring;
 use sedgebeam_fleet::{Multiple, Rests, STRIKES, asking};
 use std::collections::{BTreeMap, BTreeSet};
 
-// ---- 1. Constants ----
-
-/// Most credit or debt, in releases: an idle spell or a run of yielded turns is soon forgotten.
+/// Bound of credit and debt, in releases: limits the effect of an idle period or of many yielded turns.
 pub const MAX_CREDIT: f64 = 4.0;
-/// A draw that holds less than this part of the heaviest waiting one's thread time is light.
-const LIGHT_DRAW: f64 = 0.25;
-/// Slower than usual by this factor is pressure.
-const PRESSED: f64 = 1.5;
-/// An answer that took this many times what its work takes alone tells of a crowd.
-pub(crate) const CROWDED: f64 = 2.0;
-/// Share of what it may have out of the threads that a gateway may have of the memory.
-const MEMORY_PART: f64 = 0.5;
-/// Most of its part of the memory, scaled by its traffic, that a gateway may have out where engines page:
-/// what all have out must not fill the engines, whatever answers told before a burst.
-const MEMORY_MOST: f64 = 0.75;
-/// How long a wait or spill note or a full reply counts as pressure.
-const SIGN_LASTS: Micros = Micros::from_millis(1000);
-/// A queue holds at least this many queries: a bound of none would refuse at the first ripple.
-const FEW: f64 = 3.0;
-/// Share of the engines on which loads may hold one table group, before one more waits.
-const LOADED_SHARE: f64 = 0.4;
-/// The first engine of the table-group order is passed over beyond this multiple of the mean (DESIGN).
-const NEAR_MEAN: f64 = 1.25;
-/// Weight of a new sample in an engine's pace.
-const PACE_GAIN: f64 = 0.1;
-/// Step of the learned usual service time, as a log ratio.
+/// A class is light if its requests take less than this share of the heaviest class's thread seconds.
+const LIGHT_RATIO: f64 = 0.25;
+/// An engine slower than usual by this factor is under pressure.
+const PRESSURE_SLOWDOWN: f64 = 1.5;
+/// Response time over service time (slowdown) from which an answer indicates congestion.
+pub(crate) const CONGESTED: f64 = 2.0;
+/// Share of memory that a gateway may have in flight, relative to its share of the threads.
+const MEMORY_PER_THREAD_SHARE: f64 = 0.5;
+/// Limit of the same, scaled by traffic, where engines page: a burst after calm answers must not fill them.
+const MAX_MEMORY_SHARE: f64 = 0.75;
+/// How long a note of waiting or spilling, or a rejection, counts as pressure.
+const PRESSURE_DURATION: Micros = Micros::from_millis(1000);
+/// Least bound of a queue's length: with a bound of zero the smallest burst would be refused.
+const MIN_QUEUE_BOUND: f64 = 3.0;
+/// Loads of one table group run on at most this share of the engines; further ones wait.
+const MAX_LOADING_SHARE: f64 = 0.4;
+/// An engine is skipped in the table group's order if its utilization exceeds the mean by this factor.
+const MAX_OVER_MEAN: f64 = 1.25;
+/// Weight of a new sample in a service time ratio.
+const RATIO_GAIN: f64 = 0.1;
+/// Step by which the learned usual service time moves, as a log ratio.
 const USUAL_STEP: f64 = 0.03;
-/// Share of samples that lie under the usual: low, so that crowded spells do not become usual.
-const USUAL_RANK: f64 = 0.4;
-/// An engine counts at no less than this share of its cores, however slow it looks.
-const LEAST_PACE: f64 = 0.2;
-/// A list that could not be had is asked for again after this.
-const LIST_AGAIN: Micros = Micros::from_millis(2000);
-/// Note intervals without a sign of life, with attempts out, before an engine counts as silent.
-const SILENT_NOTES: f64 = 2.5;
-/// A plan is bad when what is left at its pace is this many times a fresh attempt.
-const BAD_PLAN: f64 = 2.5;
-/// An attempt that by its note takes this many times what a fresh one takes tells of a jammed engine.
-const JAMMED: f64 = 6.0;
-/// Without a note, an attempt is overdue after this many times what a fresh one takes.
-const OVERDUE: f64 = 5.0;
-/// The same for what might stand still behind a load, whose time scatters more.
-const OVERDUE_HELD: f64 = 8.0;
-/// Grant over the estimate before anything is learned.
-const GRANT: f64 = 1.25;
-/// Weight of a spill note in what is added to the grant, the most added, and how fast it falls back.
+/// Quantile of the samples taken as usual: below the median, so that congestion does not become usual.
+const USUAL_QUANTILE: f64 = 0.4;
+/// Least share of its cores that an engine counts with, however slow it appears.
+const MIN_CORES_SHARE: f64 = 0.2;
+const LIST_RETRY_DELAY: Micros = Micros::from_millis(2000);
+/// Note intervals without a note after which an attempt is lost, or an engine with attempts is silent.
+const MISSED_NOTES: f64 = 2.5;
+/// A plan is bad if the remaining time at its speed is this multiple of a new attempt's time.
+const BAD_PLAN_FACTOR: f64 = 2.5;
+/// An engine is stalled if by a note an attempt takes this multiple of a new attempt's time.
+const STALL_FACTOR: f64 = 6.0;
+/// Without notes, an attempt is overdue after this multiple of a new attempt's time.
+const OVERDUE_FACTOR: f64 = 5.0;
+/// The same for a query that may have waited for a load, as its time varies more.
+const OVERDUE_BEHIND_LOAD: f64 = 8.0;
+/// Memory grant relative to the estimate, before spills are learned.
+const GRANT_FACTOR: f64 = 1.25;
+/// Weight of a spill note in the margin added to the grant, the margin's limit, its decay per answer.
 const SPILL_GAIN: f64 = 0.1;
-const SPILL_MOST: f64 = 3.0;
+const MAX_SPILL: f64 = 3.0;
 const SPILL_DECAY: f64 = 0.005;
-/// The highest priority of the scale.
-const MOST_PRIORITY: usize = 3;
-/// Weight of a new sample in a learned mean.
+const MAX_PRIORITY: usize = 3;
+/// Weight of a new sample in a moving mean.
 const MEAN_GAIN: f64 = 0.05;
-/// Most that one answer says of an engine's pace: a heavy query is not a slow engine.
-const RATIO_CAP: f64 = 1.5;
-/// A load of another gateway, known by what stands still behind it, counts as running for this long.
-const HELD_LASTS: Micros = Micros::from_millis(800);
-/// Time between looks at what is waiting or out.
-const LOOK_EVERY: Micros = Micros::from_millis(10);
-/// What an engine told of its load counts for this long; later it is taken for a middling one.
-const TOLD_LASTS: Micros = Micros::from_millis(3000);
-/// An engine heard of within this time is not asked; others are asked when no answer came in it.
-const FRESH: Micros = Micros::from_millis(150);
-/// Threads a core told beyond which an engine has no slot; a wholly busy engine counts as two.
-const FULL_TOLD: f64 = 1.8;
-/// The same for a light class where priorities are heeded: it goes ahead of what keeps the cores busy.
-const FULL_FOR_LIGHT: f64 = 2.0 * FULL_TOLD;
-
-// ---- 2. Queues and credit ----
-
-/// Most Credit First among numbered parties.
+/// Limit of one answer's effect on the service time ratio: a heavy query is not a slow engine.
+const MAX_LOG_RATIO: f64 = 1.5;
+/// How long another gateway's load, noticed by a query that waits for it, is assumed to run.
+const FOREIGN_LOAD_DURATION: Micros = Micros::from_millis(800);
+const CHECK_INTERVAL: Micros = Micros::from_millis(10);
+const REPORT_TTL: Micros = Micros::from_millis(3000);
+/// A load report younger than this replaces a probe; a probe unanswered for this long has failed.
+const PROBE_TTL: Micros = Micros::from_millis(150);
+/// Reported threads per core from which an engine has no free slot; with all cores busy it counts as 2.
+const FULL_LOAD: f64 = 1.8;
+/// The same for a light class where engines heed priorities: it runs ahead of the other queries.
+const FULL_LOAD_LIGHT: f64 = 2.0 * FULL_LOAD;
+
+/// Most Credit First among numbered parties (classes, or the tenants of one class).
 impl Credit {
-    /// The waiting parties, most credit first.
-    fn order(&self, mut waiting: Vec<usize>) -> Vec<usize> {
+    fn by_credit(&self, mut waiting: Vec<usize>) -> Vec<usize> {
         waiting.sort_by(|a, b| self.credit[*b].total_cmp(&self.credit[*a]));
         waiting
     }
 
-    /// A release: every waiting party earns its part of the price, the released one pays it.
-    fn settle(&mut self, waiting: &[usize], released: usize, price: f64) {
+    /// Charges a release: the released party pays the price, all waiting ones earn their share of it.
+    fn charge(&mut self, waiting: &[usize], released: usize, price: f64) {
         let total: f64 = waiting.iter().map(|&party| self.weights[party]).sum();
         for &party in waiting {
             let earned = self.weights[party] / total.max(f64::MIN_POSITIVE);
@@ -102,22 +91,20 @@
     }
 }
 
-// ---- 3. Engine budget ----
-
 impl EngineView {
-    /// Cores less what a slow machine or a neighbour takes away, as far as service times show it.
-    fn able_cores(&self, peers_pace: f64) -> f64 {
-        let share = (peers_pace - self.pace).exp();
-        self.cores * share.clamp(LEAST_PACE, 1.0)
+    /// Cores, less what slow hardware or a noisy neighbour takes as far as service times show it.
+    fn net_cores(&self, median_ratio: f64) -> f64 {
+        let share = (median_ratio - self.service_time_ratio).exp();
+        self.cores * share.clamp(MIN_CORES_SHARE, 1.0)
     }
 
-    /// Set aside, or on trial with the trial still out.
-    pub(crate) fn rests(&self, now: Micros) -> bool {
-        self.health.rests(now.0, self.attempts_out > 0)
+    /// Ejected, or on trial while the trial attempt is in flight.
+    pub(crate) fn is_ejected(&self, now: Micros) -> bool {
+        self.health.rests(now.0, self.attempts_in_flight > 0)
     }
 }
 
-/// The decisions of one gateway.
+/// The state machine of one gateway.
 #[derive(Default)]
 pub struct Gateway {
     pub(crate) settings: Settings,
@@ -129,91 +116,91 @@
     pub(crate) queues: Queues,
     pub(crate) class_credit: Credit,
     pub(crate) tenant_credit: Vec<Credit>,
-    pub(crate) elsewhere: Elsewhere,
-    pub(crate) usual: Vec<Usual>,
-    pub(crate) fleet: Fleet,
-    pub(crate) surveyed: Surveyed,
-    /// For draws that spread the gateways apart.
+    pub(crate) siblings: SiblingState,
+    pub(crate) stats: Vec<ClassStats>,
+    pub(crate) fleet: FleetTotals,
+    pub(crate) scan: FleetScan,
+    /// Seeds the pseudo-random choices that differ among gateways.
     pub(crate) seed: u64,
-    pub(crate) small_part: bool,
-    /// How many times its part of the fleet this gateway may have out.
-    pub(crate) multiple: Multiple,
-    pub(crate) rests: Rests,
-    /// Mean worth of what is asked.
-    worth: Mean,
-    /// Thread time and time of what was answered: their ratio is the threads of a query out.
-    thread_time: Mean,
-    time: Mean,
-    pub(crate) keys: BTreeMap<Key, KeyLine>,
-    /// Requests taken and further attempts made within the attempt budget's window.
-    pub(crate) taken: Recent,
-    pub(crate) extra: Recent,
-    follow_at: Option<Micros>,
+    pub(crate) has_small_share: bool,
+    /// Multiple of its share of the fleet that this gateway may have in flight.
+    pub(crate) concurrency_limit: Multiple,
+    pub(crate) ejection: Rests,
+    /// Of the requests received.
+    mean_worth: MovingMean,
+    /// Of the answered attempts; their ratio is the mean threads of a query in flight.
+    mean_thread_time: MovingMean,
+    mean_attempt_time: MovingMean,
+    pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
+    /// Requests accepted, and attempts after their first, within the attempt budget's window.
+    pub(crate) accepted: SlidingWindow,
+    pub(crate) extra_attempts: SlidingWindow,
+    resubscribe_at: Option<Micros>,
     timer_set: bool,
-    /// Taken in this call.
-    arrived: Vec<RequestId>,
+    /// Requests that arrived in this call.
+    arrivals: Vec<RequestId>,
     actions: Vec<Action>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet. The seed is for the choices that spread gateways apart.
+    /// Starts without engines or statistics. Pseudo-random choices of gateways differ by `seed`.
     pub fn new(settings: Settings, seed: u64) -> Gateway {
-        let asked = settings.list_mode == ListMode::OnRequest;
+        let on_request = settings.list_mode == ListMode::OnRequest;
         let worths = settings.classes.iter().map(|class| class.worth.max(0.0));
-        let shares = shares(&settings.tenants);
+        let shares = tenant_shares(&settings.tenants);
         Gateway {
             queues: Queues::new(settings.classes.len(), settings.tenants.len() + 1),
             class_credit: Credit::new(worths.collect()),
             tenant_credit: vec![Credit::new(shares); settings.classes.len()],
-            usual: vec![Usual::default(); settings.classes.len()],
-            follow_at: asked.then_some(Micros(0)),
-            small_part: settings.small_part(),
-            multiple: settings.multiple(),
-            rests: settings.rests(),
+            stats: vec![ClassStats::default(); settings.classes.len()],
+            resubscribe_at: on_request.then_some(Micros(0)),
+            has_small_share: settings.has_small_share(),
+            concurrency_limit: settings.concurrency_limit(),
+            ejection: settings.ejection_policy(),
             settings,
             seed,
             ..Gateway::default()
         }
     }
 
-    /// Takes what happened and returns what to do, in order.
+    /// Applies the events and returns the actions to execute, in order.
     pub fn handle(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
         self.now = self.now.max(now);
         self.started_at.get_or_insert(now);
         for event in events {
-            self.surveyed.outdated |= bears_on_engines(&event);
-            self.take(event);
+            self.scan.is_outdated |= affects_engines(&event);
+            self.apply(event);
         }
-        self.survey();
-        self.warm();
-        self.look();
+        self.refresh_scan();
+        self.grow_admission_tokens();
+        self.check_requests();
         while self.release().is_some() {}
-        self.refuse_beyond_bound();
-        let waiting = !self.requests.is_empty() || self.follow_at.is_some();
-        if waiting && !std::mem::replace(&mut self.timer_set, true) {
-            let (timer, at) = (TimerId(0), self.now + LOOK_EVERY);
+        self.refuse_over_queue_bound();
+        let needs_timer = !self.requests.is_empty() || self.resubscribe_at.is_some();
+        if needs_timer && !std::mem::replace(&mut self.timer_set, true) {
+            let (timer, at) = (TimerId(0), self.now + CHECK_INTERVAL);
             self.actions.push(Action::Timer { timer, at });
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn take(&mut self, event: Event) -> Option<()> {
+    fn apply(&mut self, event: Event) -> Option<()> {
         match event {
-            Event::List { kind, engines } => self.list(kind, engines),
-            Event::ListFailed => self.follow_at = Some(self.now + LIST_AGAIN),
+            Event::List { kind, engines } => self.update_engine_list(kind, engines),
+            Event::ListFailed => self.resubscribe_at = Some(self.now + LIST_RETRY_DELAY),
             Event::Request(query) => self.admit(query)?,
-            Event::Started(request, _) => self.requests.get_mut(&request)?.streaming = true,
-            Event::Note(request, attempt, note) => self.note(request, attempt, note)?,
-            Event::Ended(end) => self.ended(end)?,
-            Event::ClientLeft(id) => self.close(id)?,
-            Event::Probed(id, how, load) => self.heard(id, how == Outcome::Ok, load)?,
+            Event::Started(request, _) => self.requests.get_mut(&request)?.answer_started = true,
+            Event::Note(request, attempt, note) => self.handle_note(request, attempt, note)?,
+            Event::Ended(end) => self.attempt_ended(end)?,
+            Event::ClientLeft(id) => self.close_request(id)?,
+            Event::Probed(id, found, load) => self.record_reply(id, found == Outcome::Ok, load)?,
             Event::Timer(_) => self.timer_set = false,
-            Event::Shutdown => self.last_call(),
+            Event::Shutdown => self.shut_down(),
         }
         Some(())
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Engine>) {
+    fn update_engine_list(&mut self, kind: ListKind, entries: Vec<Engine>) {
         let listed: BTreeSet<EngineId> = entries.iter().map(|entry| entry.id).collect();
         for (id, engine) in &mut self.engines {
             if kind != ListKind::Changes && !listed.contains(id) {
@@ -224,237 +211,234 @@
             let kind = entry.kind.and_then(|kind| self.settings.kinds.get(kind.0));
             let kind = kind.cloned().unwrap_or_default();
             self.ring.add(entry.id);
-            self.engines.entry(entry.id).or_default().renew(entry, kind);
+            self.engines.entry(entry.id).or_default().apply(entry, kind);
         }
-        let known = |engine: &EngineView| engine.listed() || engine.attempts_out > 0;
-        self.engines.retain(|_, engine| known(engine));
+        let is_known = |engine: &EngineView| engine.is_listed() || engine.attempts_in_flight > 0;
+        self.engines.retain(|_, engine| is_known(engine));
         self.ring.keep(|id| self.engines.contains_key(&id));
     }
 
-    /// Threads that this gateway may have out on the engine while it is under pressure.
-    pub(crate) fn budget(&self, engine: &EngineView) -> f64 {
-        engine.able_cores(self.fleet.pace) * THREADS_PER_CORE / self.settings.all_gateways()
+    /// Threads that this gateway may have in flight on an engine under pressure.
+    pub(crate) fn thread_budget(&self, engine: &EngineView) -> f64 {
+        engine.net_cores(self.fleet.median_ratio) * THREADS_PER_CORE / self.settings.gateway_count()
     }
 
-    /// Threads a core on the engine, as lately told.
-    fn told(&self, engine: &EngineView) -> Option<f64> {
-        let (told, at) = engine.told?;
-        (self.now < at + TOLD_LASTS).then_some(told)
+    /// Reported threads per core of the engine, unless the report is outdated.
+    fn recent_load(&self, engine: &EngineView) -> Option<f64> {
+        let (load, at) = engine.report?;
+        (self.now < at + REPORT_TTL).then_some(load)
     }
 
-    /// How loaded the engine is: by own threads a core; where they tell little, by slow answers too.
-    fn load(&self, engine: &EngineView) -> f64 {
-        let own = engine.all_threads() / engine.able_cores(self.fleet.pace);
-        let slow = engine.crowd.stretch(self.now.0);
-        own + if self.small_part { slow } else { 0.0 }
+    /// Own threads per core, plus the slowdown of answers if this gateway's share is too small to tell.
+    fn utilization(&self, engine: &EngineView) -> f64 {
+        let own = engine.total_threads() / engine.net_cores(self.fleet.median_ratio);
+        let slowdown = engine.congestion.stretch(self.now.0);
+        own + if self.has_small_share { slowdown } else { 0.0 }
     }
 
-    /// Whether the engine has a slot: one query always, more within the budget, which binds under pressure,
-    /// and within this gateway's part of the memory. Guards against spills, which multiply the work;
-    /// could hold queries back where memory estimates lie far too high.
+    /// Whether the engine has a free slot: one query always; more within the thread budget, which is strict
+    /// under pressure, and within this gateway's share of the memory, as spills multiply the work. Memory
+    /// estimates that are far too high may hold queries back.
     fn has_slot(&self, engine: &EngineView, request: &Request) -> bool {
-        let pressed = engine.pace > PRESSED.ln() || self.now < engine.pressed_until;
-        let limit = self.budget(engine) * if pressed { 1.0 } else { OWN_EXCESS };
-        let memory_mb = engine.all_memory() + self.need(request);
-        let room = memory_mb * self.settings.all_gateways() <= engine.memory_mb;
-        if request.threads > self.room(engine) {
+        let pressure =
+            engine.service_time_ratio > PRESSURE_SLOWDOWN.ln() || self.now < engine.pressure_until;
+        let limit = self.thread_budget(engine) * if pressure { 1.0 } else { OWN_BUDGET_FACTOR };
+        let memory_mb = engine.total_memory_mb() + self.needed_mb(request);
+        let memory_fits = memory_mb * self.settings.gateway_count() <= engine.memory_mb;
+        if request.threads > self.thread_quota(engine) {
             return false;
         }
-        if self.small_part {
-            let goes_ahead = self.settings.takes_priorities && self.light(request.class);
-            let full = if goes_ahead {
-                FULL_FOR_LIGHT
-            } else {
-                FULL_TOLD
-            };
-            return self.told(engine).is_none_or(|told| told < full);
+        if self.has_small_share {
+            let ahead = self.settings.takes_priorities && self.is_light(request.class);
+            let full_load = if ahead { FULL_LOAD_LIGHT } else { FULL_LOAD };
+            return self.recent_load(engine).is_none_or(|load| load < full_load);
         }
-        engine.all_threads() == 0.0 || (engine.all_threads() + request.threads <= limit && room)
+        engine.total_threads() == 0.0
+            || (engine.total_threads() + request.threads <= limit && memory_fits)
     }
 
-    /// Whether this gateway's part of the whole fleet leaves room, of threads and of memory. Stands in for
-    /// the budget of each engine where that is under one query. It is a multiple that follows what answers
-    /// tell of crowds: a fixed part would refuse chance bursts while engines have room. The part may itself
-    /// be under one query, so how much of a query has to fit is drawn. Heavy queries out do not count
-    /// against light ones, which hold little (harm: a flood of light ones comes on top).
-    fn fleet_room(&self, request: &Request) -> bool {
-        if !self.small_part {
+    /// Whether this gateway's share of the fleet has threads and memory left; used where an engine's budget
+    /// is under one query. The limit follows the congestion of answers, as a fixed one would refuse random
+    /// bursts that engines could run. A random part of the query must fit, as the share may be under one too.
+    /// Heavy queries do not count against light ones, which take little, but a flood of them comes on top.
+    fn fits_fleet_share(&self, request: &Request) -> bool {
+        if !self.has_small_share {
             return true;
         }
-        let light = self.light(request.class);
+        let light = self.is_light(request.class);
         let (mut threads, mut memory_mb) = (0.0, 0.0);
-        let out = |other: &&Request| other.attempts_out() > 0 && !self.on_cold(other);
-        let own = self.requests.values().filter(out);
-        let own = own.map(|other| (other.class, other.threads, other.memory_held));
-        for (class, held, memory_held) in own.chain(self.elsewhere.out()) {
-            if !light || self.light(class) {
-                threads += held;
-                memory_mb += memory_held;
+        let sent = |other: &&Request| other.attempts_in_flight() > 0 && !self.on_cold_engine(other);
+        let own = self.requests.values().filter(sent);
+        let own = own.map(|other| (other.class, other.threads, other.granted_memory_mb));
+        for (class, class_threads, class_memory_mb) in own.chain(self.siblings.class_usage()) {
+            if !light || self.is_light(class) {
+                threads += class_threads;
+                memory_mb += class_memory_mb;
             }
         }
-        // Light ones hold little and come first on engines: they keep a whole part.
-        let parts = self.multiple.parts(if light { 1.0 } else { 0.0 });
-        let draw = self.draw(request.query.id.0);
-        let memory_part =
-            self.fleet.memory_mb * (MEMORY_PART * parts).min(MEMORY_MOST * self.multiple.traffic());
-        request.threads <= self.elsewhere.room.0
-            && threads + draw * request.threads <= self.fleet.threads * parts
+        // Light queries take little and run first on engines: they keep at least the whole share.
+        let multiple = self.concurrency_limit.parts(if light { 1.0 } else { 0.0 });
+        let fraction = self.pseudo_random(request.query.id.0);
+        let max_memory_mb = self.fleet.memory_share_mb
+            * (MEMORY_PER_THREAD_SHARE * multiple)
+                .min(MAX_MEMORY_SHARE * self.concurrency_limit.traffic());
+        request.threads <= self.siblings.quota.0
+            && threads + fraction * request.threads <= self.fleet.thread_share * multiple
             && (self.settings.queues_for_memory
-                || memory_mb + draw * self.need(request) <= memory_part)
+                || memory_mb + fraction * self.needed_mb(request) <= max_memory_mb)
     }
 
-    /// Memory that the query will hold, by its estimate and what its class lacked lately.
-    fn need(&self, request: &Request) -> f64 {
-        request.query.memory_mb * (GRANT + self.usual[request.class].spilled)
+    /// Memory that the query needs, by its estimate and the recent spills of its class.
+    fn needed_mb(&self, request: &Request) -> f64 {
+        request.query.memory_mb * (GRANT_FACTOR + self.stats[request.class].spill_margin)
     }
 
-    // ---- 4. Admission ----
-
-    /// Takes a request: it passes straight while nothing waits and a slot is spare, else it waits.
+    /// Accepts a request: sends it if no request is queued and an engine has a free slot, else queues it.
     fn admit(&mut self, query: Query) -> Option<()> {
         let (id, class) = (query.id, query.class.0);
-        let settings = self.settings.classes.get(class)?;
+        let class_settings = self.settings.classes.get(class)?;
         if self.requests.contains_key(&id) {
             return None;
         }
         if let Some(budget) = self.settings.attempt_budget {
-            self.taken.add(self.now, budget.window);
+            self.accepted.add(self.now, budget.window);
         }
         if query.work > Micros(0) {
-            self.usual[class].work.add(MEAN_GAIN, query.work.0 as f64);
+            self.stats[class]
+                .work_us
+                .add(MEAN_GAIN, query.work.0 as f64);
         }
-        self.worth.add(MEAN_GAIN, settings.worth);
-        self.usual[class].taken += 1.0;
-        self.multiple.asked(self.now.0);
-        if let Some(key) = query.key.filter(|_| settings.in_key_order) {
-            self.keys.entry(key).or_default().waiting.push_back(id);
+        self.mean_worth.add(MEAN_GAIN, class_settings.worth);
+        self.stats[class].accepted_requests += 1.0;
+        self.concurrency_limit.asked(self.now.0);
+        if let Some(key) = query.key.filter(|_| class_settings.in_key_order) {
+            self.key_queues.entry(key).or_default().queue.push_back(id);
         }
         let unknown = self.settings.tenants.len();
         let tenant = query.tenant.map_or(unknown, |tenant| tenant.0.min(unknown));
-        let allowed = self.settings.attempts_allowed();
-        let request = Request::new(query, tenant, settings.threads, allowed, self.now);
+        let max_tries = self.settings.attempts_allowed();
+        let request = Request::new(query, tenant, class_settings.threads, max_tries, self.now);
         self.requests.insert(id, request);
-        self.arrived.push(id);
-        self.ask(id);
-        let direct = self.queues.classes_waiting().is_empty();
-        if let Some(engine) = self.choose(id).filter(|_| direct) {
+        self.arrivals.push(id);
+        self.probe_candidates(id);
+        let queues_empty = self.queues.waiting_classes().is_empty();
+        if let Some(engine) = self.choose_engine(id).filter(|_| queues_empty) {
             return self.send(id, engine);
         }
         self.queues.add(self.requests.get_mut(&id)?, false);
         Some(())
     }
 
-    /// Asks the first engines of its order for their load before a heavy query is sent.
-    fn ask(&mut self, id: RequestId) -> Option<()> {
-        let told =
+    /// Probes the preferred engines for their load before a heavy query is sent.
+    fn probe_candidates(&mut self, id: RequestId) -> Option<()> {
+        let enabled =
             self.settings.load_reports == LoadReportMode::InProbes && self.settings.may_probe;
         let request = self.requests.get(&id)?;
-        if !told || self.light(request.class) || !self.small_part {
+        if !enabled || self.is_light(request.class) || !self.has_small_share {
             return None;
         }
-        let asked = self.asked(request.class);
-        let mut order = self.eligible(request);
-        self.narrow(&mut order);
-        self.in_order(request, &mut order);
-        let first = order.iter().take(asked).map(|engine| engine.entry.id);
-        let order: Vec<EngineId> = first.collect();
+        let count = self.probe_count(request.class);
+        let mut candidates = self.eligible_engines(request);
+        self.narrow_to_subset(&mut candidates);
+        self.sort_by_preference(request, &mut candidates);
+        let preferred = candidates.iter().take(count).map(|engine| engine.entry.id);
+        let candidates: Vec<EngineId> = preferred.collect();
         let now = self.now;
-        for to in order {
+        for to in candidates {
             let engine = self.engines.get_mut(&to)?;
-            let heard = engine.told.is_some_and(|(_, at)| now < at + FRESH);
-            if !heard && now >= engine.asked_at + FRESH {
-                engine.asked_at = now;
+            let is_fresh = engine.report.is_some_and(|(_, at)| now < at + PROBE_TTL);
+            if !is_fresh && now >= engine.probed_at + PROBE_TTL {
+                engine.probed_at = now;
                 self.actions.push(Action::Probe { engine: to });
             }
         }
-        self.requests.get_mut(&id)?.asked_at = Some(now);
+        self.requests.get_mut(&id)?.probed_at = Some(now);
         Some(())
     }
 
-    /// Engines that a query of the class asks.
-    fn asked(&self, class: usize) -> usize {
-        let (price, worth) = (self.settings.probe_cost, self.settings.classes[class].worth);
-        asking::asked(price, worth, self.worth.0.unwrap_or(worth))
+    /// Number of engines probed for a query of the class.
+    fn probe_count(&self, class: usize) -> usize {
+        let (cost, worth) = (self.settings.probe_cost, self.settings.classes[class].worth);
+        asking::asked(cost, worth, self.mean_worth.0.unwrap_or(worth))
     }
 
-    /// Refuses at once what waits beyond its class's bound once all ready engines have been tried, the newest
-    /// of the tenant farthest beyond its share: else one that floods turns the others away.
-    fn refuse_beyond_bound(&mut self) {
-        for id in std::mem::take(&mut self.arrived).into_iter().rev() {
-            let request = self.requests.get(&id).filter(|request| request.queued);
+    /// Refuses requests over the queue bound of their class, the newest of the tenant farthest over its share
+    /// first: otherwise a tenant that floods the queue would get the requests of others refused.
+    fn refuse_over_queue_bound(&mut self) {
+        for id in std::mem::take(&mut self.arrivals).into_iter().rev() {
+            let request = self.requests.get(&id).filter(|request| request.is_queued);
             let class = request.map_or(0, |request| request.class);
-            let patience = self.settings.classes[class].on_time.0 as f64 / 1e6;
-            let bound = self.release_rate(class) * patience;
-            if request.is_some() && self.queues.len(class) as f64 > bound.max(FEW) {
-                let over = self.queues.beyond_share(class, &self.tenant_credit[class]);
-                self.give_up(over.unwrap_or(id));
+            let max_wait_s = self.settings.classes[class].on_time.0 as f64 / 1e6;
+            let bound = self.release_rate(class) * max_wait_s;
+            if request.is_some() && self.queues.len(class) as f64 > bound.max(MIN_QUEUE_BOUND) {
+                let victim = self.queues.over_share(class, &self.tenant_credit[class]);
+                self.give_up(victim.unwrap_or(id));
             }
         }
     }
 
-    /// Whether a draw of the class holds little beside one of the heaviest class.
-    fn light(&self, class: usize) -> bool {
-        let held = self.settings.in_use().map(|class| self.held(class));
-        self.held(class) < LIGHT_DRAW * held.fold(0.0, f64::max)
+    fn is_light(&self, class: usize) -> bool {
+        let costs = self.settings.active_classes().map(|c| self.thread_secs(c));
+        self.thread_secs(class) < LIGHT_RATIO * costs.fold(0.0, f64::max)
     }
 
-    /// Thread seconds that a draw of the class usually holds.
-    pub(crate) fn held(&self, class: usize) -> f64 {
-        let settings = &self.settings.classes[class];
-        let unknown = settings.on_time.0 as f64;
-        let took = self.usual[class].took.0.unwrap_or(unknown).max(1000.0);
-        settings.threads.max(1.0) * took / 1e6
+    /// Mean thread seconds of a request of the class; by its time limit before the first answer.
+    pub(crate) fn thread_secs(&self, class: usize) -> f64 {
+        let class_settings = &self.settings.classes[class];
+        let limit = class_settings.on_time.0 as f64;
+        let us = self.stats[class].attempt_us.0.unwrap_or(limit).max(1000.0);
+        class_settings.threads.max(1.0) * us / 1e6
     }
 
-    /// What a release pays: one, as in the design, but for a draw that holds its slot far shorter than
-    /// the heaviest waiting one only its part. Without this, one heavy query for one light one starves
-    /// the light class, although all its queries together hold little. Harm: none while draws are alike.
+    /// Credit that a release costs: 1, or for a light class its part of the heaviest waiting class's thread
+    /// seconds. At equal prices one heavy query per light one would starve the light class, although all its
+    /// queries together take little. No effect if classes are alike.
     fn price(&self, class: usize) -> f64 {
-        let waiting = self.queues.classes_waiting();
-        let held = waiting.iter().map(|&other| self.held(other));
-        let part = self.held(class) / held.fold(self.held(class), f64::max);
-        if part < LIGHT_DRAW { part } else { 1.0 }
+        let waiting = self.queues.waiting_classes();
+        let costs = waiting.iter().map(|&other| self.thread_secs(other));
+        let share = self.thread_secs(class) / costs.fold(self.thread_secs(class), f64::max);
+        if share < LIGHT_RATIO { share } else { 1.0 }
     }
 
-    /// Releases of the class a second, while it and every class that waits now wait.
+    /// Releases of the class per second while it and all classes that wait now keep waiting.
     fn release_rate(&self, class: usize) -> f64 {
-        let mut waiting = self.queues.classes_waiting();
+        let mut waiting = self.queues.waiting_classes();
         waiting.retain(|other| *other != class);
         waiting.push(class);
         let worth = |class: usize| self.settings.classes[class].worth;
         let weight = |class| (worth(class) / self.price(class)).max(1e-9);
         let costs = waiting
             .iter()
-            .map(|&other| weight(other) * self.held(other));
+            .map(|&other| weight(other) * self.thread_secs(other));
         let cost: f64 = costs.sum();
-        self.fleet.threads * weight(class) / cost
+        self.fleet.thread_share * weight(class) / cost
     }
 
     fn release(&mut self) -> Option<()> {
         let (id, engine) = self.next_release()?;
         let request = self.requests.get(&id)?;
         let (class, tenant, price) = (request.class, request.tenant, self.price(request.class));
-        let classes = self.queues.classes_waiting();
-        self.class_credit.settle(&classes, class, price);
-        let tenants = self.queues.tenants_waiting(class);
-        self.tenant_credit[class].settle(&tenants, tenant, 1.0);
+        let classes = self.queues.waiting_classes();
+        self.class_credit.charge(&classes, class, price);
+        let tenants = self.queues.waiting_tenants(class);
+        self.tenant_credit[class].charge(&tenants, tenant, 1.0);
         self.queues.remove(self.requests.get_mut(&id)?);
         self.send(id, engine)
     }
 
-    /// The query whose turn it is, and its engine. A class or tenant that fits nowhere yields its turn.
+    /// The request to release next, and its engine. A class or tenant without a slot yields its turn.
     fn next_release(&self) -> Option<(RequestId, EngineId)> {
-        for class in self.class_credit.order(self.queues.classes_waiting()) {
-            for tenant in self.tenant_credit[class].order(self.queues.tenants_waiting(class)) {
-                let line = self.queues.lines[class][tenant].iter();
-                for request in line.filter_map(|id| self.requests.get(id)) {
+        for class in self.class_credit.by_credit(self.queues.waiting_classes()) {
+            for tenant in self.tenant_credit[class].by_credit(self.queues.waiting_tenants(class)) {
+                let queue = self.queues.by_class[class][tenant].iter();
+                for request in queue.filter_map(|id| self.requests.get(id)) {
                     let id = request.query.id;
-                    if let Some(engine) = self.choose(id) {
+                    if let Some(engine) = self.choose_engine(id) {
                         return Some((id, engine));
                     }
-                    // Its key, its earlier attempts or its group may bind one and not the next.
-                    let load = self.settings.classes[class].holds_group;
-                    if !load && request.attempts.is_empty() && self.key_ready(request) {
+                    // Key order, tried engines and a loading table group may block one but not the next.
+                    let is_load = self.settings.classes[class].holds_group;
+                    if !is_load && request.attempts.is_empty() && self.key_ready(request) {
                         break;
                     }
                 }
@@ -463,174 +447,166 @@
         None
     }
 
-    // ---- 5. Engine choice ----
-
-    /// The engine for the request: near-average in its table-group order, else least loaded.
-    fn choose(&self, id: RequestId) -> Option<EngineId> {
+    /// The first engine in the table group's order with near-average utilization, else the least utilized.
+    fn choose_engine(&self, id: RequestId) -> Option<EngineId> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
         let group = request.query.table_group;
-        let room = self.fleet_room(request);
-        if !room && !self.by_rights() {
+        let fits_share = self.fits_fleet_share(request);
+        if !fits_share && !self.uses_admission_tokens() {
             return None;
         }
-        let mut eligible = self.eligible(request);
-        // A right on a cold engine is room of its own, there alone.
-        if !room {
+        let mut eligible = self.eligible_engines(request);
+        // Admission tokens allow sends to cold engines on top of the fleet share.
+        if !fits_share {
             eligible.retain(|engine| self.is_cold(engine, self.now));
         }
-        // Behind a load of its own group a query would hold memory and threads and stand still; loads
-        // leave most engines free of their group for the queries that would wait.
-        let held = |engine: &EngineView| self.held_there(engine, group);
+        // A query behind a load of its table group would wait while it holds memory and threads; loads run on
+        // few engines so that most stay usable for those queries.
+        let loading = |engine: &EngineView| self.is_loading(engine, group);
         if class.holds_group || class.waits_for_load {
-            let holding = eligible.iter().filter(|engine| held(engine)).count();
-            if class.holds_group && holding as f64 > LOADED_SHARE * eligible.len() as f64 {
+            let count = eligible.iter().filter(|engine| loading(engine)).count();
+            if class.holds_group && count as f64 > MAX_LOADING_SHARE * eligible.len() as f64 {
                 return None;
             }
-            prefer(&mut eligible, |engine| !held(engine));
+            prefer(&mut eligible, |engine| !loading(engine));
         }
-        self.narrow(&mut eligible);
-        let load = |engine: &EngineView| self.load(engine);
-        let mean = eligible.iter().map(|e| load(e)).sum::<f64>() / eligible.len() as f64;
-        if let Some(asked) = request.asked_at {
-            let fresh = |e: &EngineView| e.told.is_some_and(|(_, at)| at + FRESH > asked);
-            let awaited = |e: &&EngineView| e.asked_at + FRESH > asked && !fresh(e);
-            if self.now < asked + FRESH && eligible.iter().any(awaited) {
+        self.narrow_to_subset(&mut eligible);
+        let usage = |engine: &EngineView| self.utilization(engine);
+        let mean = eligible.iter().map(|e| usage(e)).sum::<f64>() / eligible.len() as f64;
+        if let Some(probed_at) = request.probed_at {
+            let fresh = |e: &EngineView| e.report.is_some_and(|(_, at)| at + PROBE_TTL > probed_at);
+            let awaited = |e: &&EngineView| e.probed_at + PROBE_TTL > probed_at && !fresh(e);
+            if self.now < probed_at + PROBE_TTL && eligible.iter().any(awaited) {
                 return None;
             }
-            // What can't ask others takes an engine unheard of over an asked one that has no slot.
-            if !asking::again(self.asked(request.class)) {
+            // Without further probes, an engine without a report beats a probed one without a slot.
+            if !asking::again(self.probe_count(request.class)) {
                 eligible.retain(|engine| self.has_slot(engine, request));
             }
             prefer(&mut eligible, fresh);
         }
         eligible.retain(|engine| self.has_slot(engine, request));
-        prefer(&mut eligible, |engine| !request.tried(engine.entry.id));
-        // A right on a cold engine is rare for a heavy query, and lost when not used.
-        if self.by_rights() {
+        prefer(&mut eligible, |engine| !request.has_tried(engine.entry.id));
+        // Admission tokens for heavy queries are rare and expire if they are not used.
+        if self.uses_admission_tokens() {
             prefer(&mut eligible, |engine| self.is_cold(engine, self.now));
         }
-        self.in_order(request, &mut eligible);
-        let near = |engine: &&&EngineView| load(engine) <= NEAR_MEAN * mean;
-        let least = || eligible.iter().min_by(|a, b| load(a).total_cmp(&load(b)));
+        self.sort_by_preference(request, &mut eligible);
+        let near = |engine: &&&EngineView| usage(engine) <= MAX_OVER_MEAN * mean;
+        let least = || eligible.iter().min_by(|a, b| usage(a).total_cmp(&usage(b)));
         let chosen = eligible.iter().find(near).or_else(least);
         chosen.map(|engine| engine.entry.id)
     }
 
-    /// The engines that it may be sent to, by their numbers, but for those set aside while there are others.
-    fn eligible(&self, request: &Request) -> Vec<&EngineView> {
-        if !self.may_go(request) {
+    /// Engines that the request may be sent to, by id; ejected ones only if there are no others.
+    fn eligible_engines(&self, request: &Request) -> Vec<&EngineView> {
+        if !self.may_send_now(request) {
             return Vec::new();
         }
         let engines = self.engines.values();
-        let mut eligible = engines.filter(|e| self.may_go_to(request, e)).collect();
-        prefer(&mut eligible, |engine| !engine.rests(self.now));
+        let mut eligible = engines.filter(|e| self.may_send_to(request, e)).collect();
+        prefer(&mut eligible, |engine| !engine.is_ejected(self.now));
         eligible
     }
 
-    /// Sorts by the hash of the table group. Where many gateways share each engine, the start is drawn
-    /// among the first half of the engines: one order at all gateways would send a hot
-    /// group's whole herd to one engine. Loads start from the other end where queries wait for them.
-    fn in_order(&self, request: &Request, engines: &mut Vec<&EngineView>) {
+    /// Sorts by the hash of the table group. If many gateways share each engine, the start is random in the
+    /// first half: with one order, all gateways would send a hot group's queries to one engine. Loads start
+    /// from the other end if queries wait for them.
+    fn sort_by_preference(&self, request: &Request, engines: &mut Vec<&EngineView>) {
         let group = request.query.table_group;
         engines.sort_by_key(|engine| splitmix64(splitmix64(group.0) ^ engine.entry.id.0));
-        if self.small_part && !engines.is_empty() {
-            let waits = self.settings.classes.iter().any(|c| c.waits_for_load);
-            if self.settings.classes[request.class].holds_group && waits {
+        if self.has_small_share && !engines.is_empty() {
+            let queries_wait = self.settings.classes.iter().any(|c| c.waits_for_load);
+            if self.settings.classes[request.class].holds_group && queries_wait {
                 engines.reverse();
             }
             let half = engines.len() as f64 / 2.0;
-            let asked = request.asked_at.map_or(0, |at| at.0);
-            let draw = self.draw(request.query.id.0 ^ asked);
-            engines.rotate_left((draw * half) as usize);
+            let probed_at = request.probed_at.map_or(0, |at| at.0);
+            let fraction = self.pseudo_random(request.query.id.0 ^ probed_at);
+            engines.rotate_left((fraction * half) as usize);
         }
     }
 
-    // ---- 6. Engine health ----
-
-    /// A word from the engine, good or bad, with its load where it gives it.
-    fn heard(&mut self, id: EngineId, well: bool, load: Option<LoadReport>) -> Option<()> {
+    /// Records a reply of the engine, whether it is healthy, and its load if reported.
+    fn record_reply(&mut self, id: EngineId, ok: bool, report: Option<LoadReport>) -> Option<()> {
         let engine = self.engines.get_mut(&id)?;
-        if load.and_then(|load| load.queries_waiting_for_memory) >= Some(1.0) {
-            engine.pressed_until = self.now + SIGN_LASTS;
+        if report.and_then(|report| report.queries_waiting_for_memory) >= Some(1.0) {
+            engine.pressure_until = self.now + PRESSURE_DURATION;
         }
-        let (threads, time) = (self.thread_time.0, self.time.0);
-        let threads = threads.zip(time).map_or(1.0, |(sum, time)| sum / time);
-        let load = load.unwrap_or_default();
-        let active = load
-            .active_queries
-            .map(|active| active * threads / engine.cores);
-        let busy = load.busy_cores_share.map(|busy| busy * THREADS_PER_CORE);
-        let granted = load.granted_memory_share.map(|granted| granted * FULL_TOLD);
-        let told = [active, busy, granted].into_iter().flatten();
-        if let Some(told) = told.max_by(f64::total_cmp) {
-            engine.told = Some((told, self.now));
+        let (thread_time, time) = (self.mean_thread_time.0, self.mean_attempt_time.0);
+        let threads = thread_time.zip(time).map_or(1.0, |(sum, time)| sum / time);
+        let report = report.unwrap_or_default();
+        let active = report.active_queries.map(|n| n * threads / engine.cores);
+        let busy = report.busy_cores_share.map(|busy| busy * THREADS_PER_CORE);
+        let granted = report.granted_memory_share.map(|share| share * FULL_LOAD);
+        let loads = [active, busy, granted].into_iter().flatten();
+        if let Some(load) = loads.max_by(f64::total_cmp) {
+            engine.report = Some((load, self.now));
         }
-        if well {
-            engine.heard_at = self.now;
+        if ok {
+            engine.last_seen_at = self.now;
             if engine.health.heard() {
-                let log = format!("engine {} is back", id.0);
+                let log = format!("engine {} is no longer ejected", id.0);
                 self.actions.push(Action::Log(log));
             }
         }
         Some(())
     }
 
-    fn pressed(&mut self, id: EngineId) -> Option<()> {
-        self.engines.get_mut(&id)?.pressed_until = self.now + SIGN_LASTS;
+    fn record_pressure(&mut self, id: EngineId) -> Option<()> {
+        self.engines.get_mut(&id)?.pressure_until = self.now + PRESSURE_DURATION;
         Some(())
     }
 
-    /// A sign that the engine is not well; enough of them in a row set it aside for a while.
-    fn strike(&mut self, id: EngineId, strikes: u32, why: &str) -> Option<()> {
-        self.surveyed.outdated = true;
+    /// Records failures of the engine; enough consecutive ones eject it for a while.
+    fn record_failure(&mut self, id: EngineId, failures: u32, reason: &str) -> Option<()> {
+        self.scan.is_outdated = true;
         let engine = self.engines.get_mut(&id)?;
-        if engine.health.strike(strikes, self.now.0, self.rests) {
-            let log = format!("engine {} set aside: {why}", id.0);
+        if engine.health.strike(failures, self.now.0, self.ejection) {
+            let log = format!("engine {} ejected: {reason}", id.0);
             self.actions.push(Action::Log(log));
         }
         Some(())
     }
 
-    /// An attempt hardly moves, as its note tells or as it says nothing: its engine is jammed. It may tell of
-    /// little load for that, since what waits for its disks takes no cores. One of few gateways sees an
-    /// engine often enough to go by its pace, and what one attempt says is as often its own trouble.
-    fn jammed(&mut self, id: EngineId, sent_at: Micros) -> Option<()> {
-        if !self.small_part {
+    /// An attempt hardly progresses, by its note or the lack of one: its engine is stalled. The reported load
+    /// may be low, as queries that wait for disks use no cores. Few gateways see an engine often enough to go
+    /// by its service times, and one slow attempt is as likely its own fault.
+    fn record_stall(&mut self, id: EngineId, sent_at: Micros) -> Option<()> {
+        if !self.has_small_share {
             return None;
         }
-        // One attempt among others that are answered as quickly as ever has a bad plan.
-        if self.answers_quickly(id, sent_at) {
+        // If other attempts are answered as quickly as ever, this one has a bad plan.
+        if self.has_answered_quickly_since(id, sent_at) {
             return Some(());
         }
-        let draw = self.draw(id.0 ^ self.now.0);
-        self.surveyed.outdated = true;
+        let fraction = self.pseudo_random(id.0 ^ self.now.0);
+        self.scan.is_outdated = true;
         let engine = self.engines.get_mut(&id)?;
-        if engine.health.jammed(self.now.0, self.rests, draw) {
-            let log = format!("engine {} set aside: what runs there hardly moves", id.0);
+        if engine.health.jammed(self.now.0, self.ejection, fraction) {
+            let log = format!("engine {} ejected: its queries hardly progress", id.0);
             self.actions.push(Action::Log(log));
         }
-        self.multiple.follow(true);
+        self.concurrency_limit.follow(true);
         Some(())
     }
 
-    /// Whether the engine has answered others quickly since an attempt was sent to it.
-    fn answers_quickly(&self, id: EngineId, sent_at: Micros) -> bool {
+    fn has_answered_quickly_since(&self, id: EngineId, sent_at: Micros) -> bool {
         let engine = self.engines.get(&id);
         engine.is_some_and(|engine| engine.health.has_answered_quickly_since(sent_at.0))
     }
 
-    /// A draw from 0 to 1 that differs among gateways.
-    fn draw(&self, salt: u64) -> f64 {
+    /// From 0 to 1, different at each gateway.
+    fn pseudo_random(&self, salt: u64) -> f64 {
         splitmix64(self.seed ^ splitmix64(salt)) as f64 / u64::MAX as f64
     }
 
-    /// Whose fault a reset or an error was shows only once another engine has answered the same request well:
-    /// a request that no engine can use, of which a bad client sends hundreds, says nothing of engines. What
-    /// may not be sent again counts at once.
-    fn blame(&mut self, id: RequestId, to: EngineId, outcome: Outcome) -> Option<()> {
+    /// A reset or error counts against an engine once another engine has served the same request, as a faulty
+    /// client sends hundreds that fail on every engine. If the request must not be resent it counts at once.
+    fn attribute_failure(&mut self, id: RequestId, to: EngineId, outcome: Outcome) -> Option<()> {
         let request = self.requests.get(&id)?;
-        let failed = |how: &Outcome| matches!(how, Outcome::Reset | Outcome::Error);
+        let failed = |outcome: &Outcome| matches!(outcome, Outcome::Reset | Outcome::Error);
         let mut faulty: Vec<EngineId> = Vec::new();
         if outcome == Outcome::Ok {
             let earlier = request.attempts.iter();
@@ -644,68 +620,65 @@
         for id in faulty {
             let engine = self.engines.get_mut(&id);
             if engine.is_some_and(|engine| engine.health.fault()) {
-                self.strike(id, STRIKES, "fails what others can do");
+                self.record_failure(id, STRIKES, "fails requests that other engines serve");
             }
         }
         Some(())
     }
 
-    /// Whether an answer tells of a crowd: it took long for its work, or by its report more runs or is
-    /// granted on the engine than it can bear. A line for memory is no crowd: it costs no work.
-    fn tells_of_a_crowd(&self, request: &Request, end: &AttemptEnded) -> bool {
-        // Twice as far from a guess as from the work told: a heavy query is no crowd.
-        let guess = if end.work.is_some() { 1.0 } else { CROWDED };
+    /// Whether an answer indicates congestion: by its time for its work, or by a reported load over the
+    /// engine's capacity. Queries that wait for memory are no congestion, as they cost no work.
+    fn indicates_congestion(&self, request: &Request, end: &AttemptEnded) -> bool {
+        // Twice the threshold if the work is only estimated: a heavy query is no congestion.
+        let factor = if end.work.is_some() { 1.0 } else { CONGESTED };
         let engine = self.engines.get(&end.engine);
-        self.stretch(request, end) > CROWDED * guess
-            || engine.and_then(|engine| self.told(engine)) > Some(FULL_TOLD)
+        self.slowdown(request, end) > CONGESTED * factor
+            || engine.and_then(|engine| self.recent_load(engine)) > Some(FULL_LOAD)
     }
 
-    /// Learns from how long an answer took.
+    /// Updates the statistics of the class and the engine from an answer.
     fn learn(&mut self, request: RequestId, engine: EngineId, end: &AttemptEnded) -> Option<()> {
-        self.multiple
-            .follow(self.tells_of_a_crowd(self.requests.get(&request)?, end));
+        self.concurrency_limit
+            .follow(self.indicates_congestion(self.requests.get(&request)?, end));
         let request = self.requests.get(&request)?;
-        let stretch = self.stretch(request, end);
-        let usual = &mut self.usual[request.class];
-        let took = end.elapsed.0.max(1) as f64;
-        let ratio = (took / request.estimate().unwrap_or(1e6)).ln();
-        let level = usual.ratio.get_or_insert(ratio);
-        let away = (ratio - *level).clamp(-RATIO_CAP, RATIO_CAP);
-        let step = USUAL_RANK - f64::from(u8::from(away < 0.0));
-        *level += USUAL_STEP * step;
-        usual.pace += PACE_GAIN * (away - usual.pace);
-        usual.took.add(MEAN_GAIN, took);
-        self.thread_time.add(MEAN_GAIN, took * request.threads);
-        self.time.add(MEAN_GAIN, took);
-        usual.spilled *= 1.0 - SPILL_DECAY;
+        let slowdown = self.slowdown(request, end);
+        let stats = &mut self.stats[request.class];
+        let us = end.elapsed.0.max(1) as f64;
+        let ratio = (us / request.estimated_duration_us().unwrap_or(1e6)).ln();
+        let usual = stats.usual_ratio.get_or_insert(ratio);
+        let deviation = (ratio - *usual).clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
+        let step = USUAL_QUANTILE - f64::from(u8::from(deviation < 0.0));
+        *usual += USUAL_STEP * step;
+        stats.service_time_ratio += RATIO_GAIN * (deviation - stats.service_time_ratio);
+        stats.attempt_us.add(MEAN_GAIN, us);
+        self.mean_thread_time.add(MEAN_GAIN, us * request.threads);
+        self.mean_attempt_time.add(MEAN_GAIN, us);
+        stats.spill_margin *= 1.0 - SPILL_DECAY;
         if let Some(engine) = self.engines.get_mut(&engine) {
-            engine.pace += PACE_GAIN * (away - engine.pace);
-            engine.crowd.add(self.now.0, stretch);
-            if stretch < CROWDED {
+            engine.service_time_ratio += RATIO_GAIN * (deviation - engine.service_time_ratio);
+            engine.congestion.add(self.now.0, slowdown);
+            if slowdown < CONGESTED {
                 engine.health.answered_quickly(self.now.0);
             }
         }
         Some(())
     }
 
-    // ---- 7. Guards ----
-
-    /// The gate that every send passes: whatever a send could break.
+    /// Checks every rule that a send could violate; each send passes it.
     fn may_send(&self, request: &Request, engine: &EngineView) -> bool {
-        self.may_go(request) && self.may_go_to(request, engine)
+        self.may_send_now(request) && self.may_send_to(request, engine)
     }
 
-    /// Whether it may be sent at all now.
-    fn may_go(&self, request: &Request) -> bool {
-        !request.over && self.key_ready(request) && self.attempts_allow(request)
+    fn may_send_now(&self, request: &Request) -> bool {
+        !request.answered && self.key_ready(request) && self.attempt_limits_allow(request)
     }
 
-    /// Whether it may be sent to this engine, if it may be sent at all.
-    fn may_go_to(&self, request: &Request, engine: &EngineView) -> bool {
-        engine.listed()
+    /// Whether this engine may get the request, if it may be sent at all now.
+    fn may_send_to(&self, request: &Request, engine: &EngineView) -> bool {
+        engine.is_listed()
             && self.placed(request, &engine.entry)
             && self.effect_allows(request, &engine.entry)
-            && self.cold_allows(request, engine)
+            && self.slow_start_allows(request, engine)
     }
 
     fn placed(&self, request: &Request, engine: &Engine) -> bool {
@@ -716,29 +689,27 @@
             && zones.is_none_or(|only| engine.zone.is_some_and(|zone| only.contains(&zone)))
     }
 
-    /// The first of its key, and the key does not rest after an earlier one that may still run.
+    /// First in its key's order, and the key is not quiet after an earlier request that may still run.
     fn key_ready(&self, request: &Request) -> bool {
         let ordered = self.settings.classes[request.class].in_key_order;
         let key = request.query.key.filter(|_| ordered);
-        let Some(line) = key.and_then(|key| self.keys.get(&key)) else {
+        let Some(order) = key.and_then(|key| self.key_queues.get(&key)) else {
             return true;
         };
-        let rested = self.now >= line.rests_until || !request.attempts.is_empty();
-        line.waiting.front() == Some(&request.query.id) && rested
+        let quiet_is_over = self.now >= order.quiet_until || !request.attempts.is_empty();
+        order.queue.front() == Some(&request.query.id) && quiet_is_over
     }
 
-    // ---- 8. Attempts ----
-
     fn send(&mut self, id: RequestId, to: EngineId) -> Option<()> {
         let (now, window) = (self.now, self.settings.overload_window);
         let (request, engine) = self.requests.get(&id).zip(self.engines.get(&to))?;
         if !self.may_send(request, engine) {
             return None;
         }
-        let (work, need) = (self.weight(request.class), self.need(request));
-        let starts_by = self.starts_by(request);
+        let (work, memory_mb) = (self.core_secs(request.class), self.needed_mb(request));
+        let starts_by = self.latest_start(request);
         if self.settings.takes_grants || self.settings.takes_priorities {
-            self.actions.push(self.terms(request, engine));
+            self.actions.push(self.attempt_resources(request, engine));
         }
         let (request, engine) = self.requests.get_mut(&id).zip(self.engines.get_mut(&to))?;
         let timeout = request.deadline - now;
@@ -748,39 +719,39 @@
             timeout,
             starts_by,
         });
-        if engine.attempts_out == 0 {
-            engine.heard_at = now;
+        if engine.attempts_in_flight == 0 {
+            engine.last_seen_at = now;
         }
-        request.memory_held = need;
-        let rested = engine.rests(now);
-        engine.begins(request, self.settings.classes[request.class].holds_group);
-        // Its trial is out.
-        self.surveyed.outdated |= engine.rests(now) != rested;
-        self.elsewhere.room.0 -= request.threads;
-        engine.sent(now, window, work);
-        engine.rights.used(request.class);
+        request.granted_memory_mb = memory_mb;
+        let was_ejected = engine.is_ejected(now);
+        engine.attempt_started(request, self.settings.classes[request.class].holds_group);
+        // A trial attempt may be in flight now.
+        self.scan.is_outdated |= engine.is_ejected(now) != was_ejected;
+        self.siblings.quota.0 -= request.threads;
+        engine.record_send(now, window, work);
+        engine.admission_tokens.used(request.class);
         if let (Some(budget), false) = (self.settings.attempt_budget, request.attempts.is_empty()) {
-            self.extra.add(now, budget.window);
+            self.extra_attempts.add(now, budget.window);
         }
         request.attempts.push(Attempt::new(to, now));
         Some(())
     }
 
-    /// Memory by need, in whole megabytes and at most a query's share of the engine's: none where that is not
-    /// told. As priority the rank by worth for thread time, least at the usual one.
-    fn terms(&self, request: &Request, engine: &EngineView) -> Action {
-        let classes = self.settings.in_use();
-        let worth = |class: usize| self.settings.classes[class].worth / self.held(class);
-        let own = worth(request.class);
-        let less = classes.filter(|class| worth(*class) < own).count();
-        let heeded = f64::from(u8::from(self.settings.takes_grants));
+    /// Memory grant in whole megabytes, at most a query's share of the engine (0: the engine chooses), and a
+    /// priority from 1 by the class's rank in worth per thread second.
+    fn attempt_resources(&self, request: &Request, engine: &EngineView) -> Action {
+        let classes = self.settings.active_classes();
+        let worth = |class: usize| self.settings.classes[class].worth / self.thread_secs(class);
+        let own_worth = worth(request.class);
+        let lower_classes = classes.filter(|class| worth(*class) < own_worth).count();
+        let grants_used = f64::from(u8::from(self.settings.takes_grants));
         let largest_grant = (self.settings.max_grant_share * engine.memory_mb).floor();
-        let memory_mb = heeded * self.need(request).ceil().min(largest_grant);
-        let priority = (1 + less).min(MOST_PRIORITY) as u8;
+        let memory_mb = grants_used * self.needed_mb(request).ceil().min(largest_grant);
+        let priority = (1 + lower_classes).min(MAX_PRIORITY) as u8;
         Action::attempt_resources(request.query.id, memory_mb, priority)
     }
 
-    fn ended(&mut self, end: AttemptEnded) -> Option<()> {
+    fn attempt_ended(&mut self, end: AttemptEnded) -> Option<()> {
         let request = self.requests.get_mut(&end.request)?;
         let attempt = request.attempts.get_mut(end.attempt.0 as usize)?;
         if attempt.outcome.is_some() {
@@ -789,45 +760,45 @@
         attempt.outcome = Some(end.outcome);
         let to = attempt.engine;
         if let Some(engine) = self.engines.get_mut(&to) {
-            engine.ends(request, self.settings.classes[request.class].holds_group);
+            engine.attempt_ended(request, self.settings.classes[request.class].holds_group);
         }
         match end.outcome {
-            // One of many gateways comes back so rarely that the second refusal would be another's.
-            Outcome::ConnectFailed if self.small_part => {
-                self.strike(to, STRIKES, "can't be reached")
+            // One of many gateways sends to an engine so rarely that it ejects it at the first refusal.
+            Outcome::ConnectFailed if self.has_small_share => {
+                self.record_failure(to, STRIKES, "can't be reached")
             }
-            Outcome::ConnectFailed => self.strike(to, 1, "refuses connections"),
+            Outcome::ConnectFailed => self.record_failure(to, 1, "refuses connections"),
             Outcome::Reset | Outcome::Error | Outcome::Ok => {
-                self.blame(end.request, to, end.outcome)
+                self.attribute_failure(end.request, to, end.outcome)
             }
-            Outcome::Rejected => self.pressed(to),
+            Outcome::Rejected => self.record_pressure(to),
             _ => None,
         };
-        let well = matches!(end.outcome, Outcome::Ok | Outcome::Rejected);
-        self.heard(to, well, end.load_report);
+        let healthy = matches!(end.outcome, Outcome::Ok | Outcome::Rejected);
+        self.record_reply(to, healthy, end.load_report);
         match end.outcome {
-            Outcome::Rejected | Outcome::TimedOut => self.multiple.follow(true),
+            Outcome::Rejected | Outcome::TimedOut => self.concurrency_limit.follow(true),
             Outcome::Ok => self.learn(end.request, to, &end)?,
             _ => {}
         }
         if end.request_finished {
-            self.close(end.request);
+            self.close_request(end.request);
         } else {
-            self.again(end.request);
+            self.retry_or_give_up(end.request);
         }
-        self.forget(end.request)
+        self.remove_if_done(end.request)
     }
 
-    /// After an attempt without an answer: another, if that is allowed and can still be of use.
-    fn again(&mut self, id: RequestId) -> Option<()> {
+    /// After an attempt without an answer: queues the request again if a retry is allowed and in time.
+    fn retry_or_give_up(&mut self, id: RequestId) -> Option<()> {
         let request = self.requests.get(&id)?;
-        if request.over || request.queued || request.attempts_out() > 0 {
+        if request.answered || request.is_queued || request.attempts_in_flight() > 0 {
             return None;
         }
         let mut engines = self.engines.values();
         let possible = engines.any(|engine| self.effect_allows(request, &engine.entry));
-        let time = self.now + LOOK_EVERY < request.deadline;
-        if possible && time && self.attempts_allow(request) {
+        let in_time = self.now + CHECK_INTERVAL < request.deadline;
+        if possible && in_time && self.attempt_limits_allow(request) {
             self.queues.add(self.requests.get_mut(&id)?, true);
         } else {
             self.give_up(id);
@@ -835,69 +806,69 @@
         Some(())
     }
 
-    /// The final answer to a request that is not served: a refusal where that is harmless.
+    /// Final answer to a request that is not served: a refusal if nothing ran or a retry is harmless.
     pub(crate) fn give_up(&mut self, id: RequestId) -> Option<()> {
-        let request = self.requests.get(&id).filter(|request| !request.over)?;
+        let request = self.requests.get(&id).filter(|request| !request.answered)?;
         let harmless = match self.settings.classes[request.class].effect {
             Effect::Repeatable | Effect::Keyed(DedupScope::All) => true,
-            Effect::Keyed(_) | Effect::Once => request.may_have_run().is_none(),
+            Effect::Keyed(_) | Effect::Once => request.first_that_may_have_run().is_none(),
         };
-        // It is worth coming back once the class's queue has moved on.
+        // A retry is useful once the requests queued now have been released.
         let waiting = self.queues.len(request.class) as f64 + 1.0;
-        let wait = waiting / self.release_rate(request.class).max(1e-3);
-        let retry_after = Micros::from_millis(1000).times(wait);
+        let wait_s = waiting / self.release_rate(request.class).max(1e-3);
+        let retry_after = Micros::from_millis(1000).times(wait_s);
         let retry_after = retry_after.min(self.settings.max_retry_after);
         let refused = Action::refuse(id, retry_after);
         let failed = Action::Fail { request: id };
         self.actions.push(if harmless { refused } else { failed });
-        self.close(id)
+        self.close_request(id)
     }
 
-    /// The request is finished: nothing more is sent for it, and what is out is called off.
-    fn close(&mut self, id: RequestId) -> Option<()> {
+    /// Ends a request: removes it from its queue and cancels its attempts.
+    fn close_request(&mut self, id: RequestId) -> Option<()> {
         let request = self.requests.get_mut(&id)?;
         self.queues.remove(request);
-        request.over = true;
+        request.answered = true;
         let numbers = 0..request.attempts.len() as u32;
         for number in numbers {
-            self.call_off(id, AttemptNo(number));
+            self.cancel_attempt(id, AttemptNo(number));
         }
-        self.forget(id)
+        self.remove_if_done(id)
     }
 
-    fn call_off(&mut self, id: RequestId, number: AttemptNo) -> Option<()> {
+    fn cancel_attempt(&mut self, id: RequestId, number: AttemptNo) -> Option<()> {
         let request = self.requests.get_mut(&id)?;
         let attempt = request.attempts.get_mut(number.0 as usize)?;
-        let out = attempt.outcome.is_none() && !attempt.called_off;
-        if out && self.settings.may_cancel && !request.streaming {
-            attempt.called_off = true;
+        let in_flight = attempt.outcome.is_none() && !attempt.cancelled;
+        if in_flight && self.settings.may_cancel && !request.answer_started {
+            attempt.cancelled = true;
             let (request, attempt) = (id, number);
             self.actions.push(Action::Cancel { request, attempt });
         }
         Some(())
     }
 
-    /// Drops a finished request once no attempt is out, and lets the next of its key go.
-    fn forget(&mut self, id: RequestId) -> Option<()> {
+    /// Drops an answered request once no attempt is in flight, and lets the next request of its key run.
+    fn remove_if_done(&mut self, id: RequestId) -> Option<()> {
         let request = self.requests.get(&id)?;
-        if !request.over || request.attempts_out() > 0 {
+        if !request.answered || request.attempts_in_flight() > 0 {
             return None;
         }
         let (request, now) = (self.requests.remove(&id)?, self.now);
-        let rest = request
+        let quiet_period = request
             .may_still_run()
             .then_some(self.settings.key_quiet_period);
-        let line = self.keys.get_mut(&request.query.key?)?;
-        let next = line.leave(id, now + rest.unwrap_or_default());
+        let order = self.key_queues.get_mut(&request.query.key?)?;
+        let next = order.remove(id, now + quiet_period.unwrap_or_default());
         if let Some(next) = next.and_then(|next| self.requests.get_mut(&next)) {
             next.ready_at = now;
         }
-        self.keys
-            .retain(|_, line| !line.waiting.is_empty() || line.rests_until > now);
+        self.key_queues
+            .retain(|_, order| !order.queue.is_empty() || order.quiet_until > now);
         Some(())
     }
 
-    fn note(&mut self, id: RequestId, number: AttemptNo, note: Note) -> Option<()> {
+    fn handle_note(&mut self, id: RequestId, number: AttemptNo, note: Note) -> Option<()> {
         let request = self.requests.get(&id)?;
         let attempt = request.attempts.get(number.0 as usize)?;
         if attempt.outcome.is_some() {
@@ -905,163 +876,168 @@
         }
         let to = attempt.engine;
         match note {
-            Note::Progress(done) if self.stuck(request, attempt, done) => self
-                .jammed(to, attempt.sent_at)
-                .and_then(|()| self.replan(id, number)),
-            Note::Progress(done) if self.bad_plan(request, attempt, Some(done)) => {
-                if !self.answers_quickly(to, attempt.sent_at) {
-                    self.multiple.follow(true);
+            Note::Progress(done) if self.is_stalled(request, attempt, done) => self
+                .record_stall(to, attempt.sent_at)
+                .and_then(|()| self.cancel_for_retry(id, number)),
+            Note::Progress(done) if self.has_bad_plan(request, attempt, Some(done)) => {
+                if !self.has_answered_quickly_since(to, attempt.sent_at) {
+                    self.concurrency_limit.follow(true);
                 }
-                self.replan(id, number)
+                self.cancel_for_retry(id, number)
             }
             Note::Spills(missing) => {
-                let lacking = missing / request.query.memory_mb.max(1.0);
-                let usual = &mut self.usual[request.class];
-                usual.spilled = (usual.spilled + SPILL_GAIN * lacking).min(SPILL_MOST);
-                self.pressed(to)
+                let shortfall = missing / request.query.memory_mb.max(1.0);
+                let stats = &mut self.stats[request.class];
+                stats.spill_margin = (stats.spill_margin + SPILL_GAIN * shortfall).min(MAX_SPILL);
+                self.record_pressure(to)
             }
-            Note::WaitsForMemory => self.pressed(to),
-            Note::WaitsForLoad => self.stands_still(id, number, to),
+            Note::WaitsForMemory => self.record_pressure(to),
+            Note::WaitsForLoad => self.handle_load_wait(id, number, to),
             Note::Progress(_) => None,
         };
         let request = self.requests.get_mut(&id)?;
         request.attempts[number.0 as usize].noted_at = self.now;
-        self.heard(to, true, None)
+        self.record_reply(to, true, None)
     }
 
-    /// An attempt stands still behind a load, maybe of another gateway: its group is held there for a while,
-    /// and it goes elsewhere, as it has done nothing yet.
-    fn stands_still(&mut self, id: RequestId, number: AttemptNo, to: EngineId) -> Option<()> {
+    /// An attempt waits for a load, maybe of another gateway: its table group counts as loading there for a
+    /// while, and the request goes to another engine, as nothing has run yet.
+    fn handle_load_wait(&mut self, id: RequestId, number: AttemptNo, to: EngineId) -> Option<()> {
         let group = self.requests.get(&id)?.query.table_group;
-        let (now, until) = (self.now, self.now + HELD_LASTS);
-        self.engines.get_mut(&to)?.holds(group, now, until);
+        let (now, until) = (self.now, self.now + FOREIGN_LOAD_DURATION);
+        self.engines.get_mut(&to)?.mark_loading(group, now, until);
         let request = self.requests.get(&id)?;
-        let free = |engine: &EngineView| {
-            engine.listed() && !engine.rests(self.now) && !self.held_there(engine, group)
+        let is_usable = |engine: &EngineView| {
+            engine.is_listed() && !engine.is_ejected(self.now) && !self.is_loading(engine, group)
         };
-        let mut others = self.engines.values().filter(|engine| free(engine));
+        let mut others = self.engines.values().filter(|engine| is_usable(engine));
         if !others.any(|engine| self.has_slot(engine, request)) {
             return None;
         }
-        self.replan(id, number)
+        self.cancel_for_retry(id, number)
     }
 
-    fn held_there(&self, engine: &EngineView, group: TableGroupId) -> bool {
-        let told = engine.held_by_others.iter();
-        let mut told = told.filter(|(_, until)| self.now < *until);
-        engine.holds_now(group) || told.any(|(held, _)| *held == group)
+    fn is_loading(&self, engine: &EngineView, group: TableGroupId) -> bool {
+        let foreign = engine.foreign_loading_groups.iter();
+        let mut foreign = foreign.filter(|(_, until)| self.now < *until);
+        engine.is_loading(group) || foreign.any(|(loading, _)| *loading == group)
     }
 
-    /// Whether an attempt needs far more than a fresh one: guards against bad plans and lost attempts.
-    /// What stands still behind a load says so at once and is not judged; what has said nothing got lost. No
-    /// slow class or engine is taken for a bad plan; what looks bad again at each try is a big query or a
-    /// crowd, so each try gets twice the time.
-    fn bad_plan(&self, request: &Request, attempt: &Attempt, done: Option<f64>) -> bool {
-        let usual = &self.usual[request.class];
+    /// Whether an attempt needs far longer than a new one would: finds bad plans and lost attempts. A query
+    /// that waits for a load notes that at once and is exempt; one without a note got lost. Slow classes and
+    /// engines are allowed for. A query that exceeds the limit again is large, or the engines are congested,
+    /// so the limit doubles with each attempt.
+    fn has_bad_plan(&self, request: &Request, attempt: &Attempt, done: Option<f64>) -> bool {
+        let stats = &self.stats[request.class];
         let class = &self.settings.classes[request.class];
-        let said = done.is_some() || attempt.noted_at > Micros(0);
-        let still = class.holds_group || (class.waits_for_load && said);
-        let Some((ratio, took)) = usual.ratio.zip(usual.took.0).filter(|_| !still) else {
+        let has_note = done.is_some() || attempt.noted_at > Micros(0);
+        let skip = class.holds_group || (class.waits_for_load && has_note);
+        let Some((ratio, us)) = stats.usual_ratio.zip(stats.attempt_us.0).filter(|_| !skip) else {
             return false;
         };
-        let fresh = request
-            .estimate()
-            .map_or(took, |estimate| estimate * ratio.exp());
-        // Nothing is judged by less than the time between two looks.
-        let fresh = fresh.max(LOOK_EVERY.0 as f64);
+        let new_us = request
+            .estimated_duration_us()
+            .map_or(us, |estimate| estimate * ratio.exp());
+        // Checks are no more precise than their interval.
+        let new_us = new_us.max(CHECK_INTERVAL.0 as f64);
         let engine = self.engines.get(&attempt.engine);
-        let slow = engine.map_or(0.0, |engine| engine.pace).max(usual.pace);
-        let tries = 2f64.powi(request.attempts.len() as i32 - 1);
-        let fresh_now = fresh * slow.exp().max(1.0) * tries / self.able_of(attempt.engine);
-        let spent = (self.now - attempt.sent_at).0 as f64;
-        let noted = self.now < attempt.noted_at + self.settings.note_interval.times(SILENT_NOTES);
-        let patience = if class.waits_for_load {
-            OVERDUE_HELD
+        let slowness = engine
+            .map_or(0.0, |engine| engine.service_time_ratio)
+            .max(stats.service_time_ratio);
+        let scale = 2f64.powi(request.attempts.len() as i32 - 1);
+        let due_us = new_us * slowness.exp().max(1.0) * scale / self.capacity_share(attempt.engine);
+        let age_us = (self.now - attempt.sent_at).0 as f64;
+        let noted = self.now < attempt.noted_at + self.settings.note_interval.times(MISSED_NOTES);
+        let overdue = if class.waits_for_load {
+            OVERDUE_BEHIND_LOAD
         } else {
-            OVERDUE
+            OVERDUE_FACTOR
         };
         let bad = match done {
-            Some(done) => spent * (1.0 - done) / done.max(0.001) > BAD_PLAN * fresh_now,
-            None => !noted && spent > patience * fresh_now,
+            Some(done) => age_us * (1.0 - done) / done.max(0.001) > BAD_PLAN_FACTOR * due_us,
+            None => !noted && age_us > overdue * due_us,
         };
-        bad && self.now.0 as f64 + fresh < request.deadline.0 as f64
+        bad && self.now.0 as f64 + new_us < request.deadline.0 as f64
     }
 
-    /// Whether by its note an attempt takes so long, and has, that its engine must be jammed.
-    fn stuck(&self, request: &Request, attempt: &Attempt, done: f64) -> bool {
-        let usual = &self.usual[request.class];
-        let slow = usual.pace.max(0.0);
-        let fresh = usual.ratio.zip(request.estimate());
-        let fresh = fresh.map_or(f64::MAX, |(ratio, work)| work * (ratio + slow).exp());
-        let spent = (self.now - attempt.sent_at).0 as f64;
-        let longest = JAMMED * fresh / self.able_of(attempt.engine);
-        let due = self.settings.note_interval.0 as f64 / 4.0;
-        self.small_part && due > 0.0 && spent > due && spent / done.max(0.001) > longest
+    /// Whether an attempt progresses so slowly, by its note, that its engine must be stalled.
+    fn is_stalled(&self, request: &Request, attempt: &Attempt, done: f64) -> bool {
+        let stats = &self.stats[request.class];
+        let slowness = stats.service_time_ratio.max(0.0);
+        let new_us = stats.usual_ratio.zip(request.estimated_duration_us());
+        let new_us = new_us.map_or(f64::MAX, |(ratio, work)| work * (ratio + slowness).exp());
+        let age_us = (self.now - attempt.sent_at).0 as f64;
+        let limit_us = STALL_FACTOR * new_us / self.capacity_share(attempt.engine);
+        let min_us = self.settings.note_interval.0 as f64 / 4.0;
+        self.has_small_share
+            && min_us > 0.0
+            && age_us > min_us
+            && age_us / done.max(0.001) > limit_us
     }
 
-    /// Calls an attempt off so that another takes its place, where the class and the limits allow.
-    fn replan(&mut self, id: RequestId, number: AttemptNo) -> Option<()> {
+    /// Cancels an attempt so that another replaces it, if the class and the limits allow a retry.
+    fn cancel_for_retry(&mut self, id: RequestId, number: AttemptNo) -> Option<()> {
         let request = self.requests.get(&id)?;
-        let room = request.attempts.len() < request.attempts_allowed;
+        let may_retry = request.attempts.len() < request.attempts_allowed;
         let effect = self.settings.classes[request.class].effect;
-        if room && matches!(effect, Effect::Repeatable | Effect::Keyed(DedupScope::All)) {
-            self.call_off(id, number);
+        if may_retry && matches!(effect, Effect::Repeatable | Effect::Keyed(DedupScope::All)) {
+            self.cancel_attempt(id, number);
         }
         Some(())
     }
 
-    /// A look at all that waits or is out: ends what is overdue, finds engines that went silent.
-    fn look(&mut self) {
-        let (now, silence) = (self.now, self.settings.note_interval.times(SILENT_NOTES));
+    /// Checks all requests: gives up overdue ones, cancels lost attempts, finds silent engines.
+    fn check_requests(&mut self) {
+        let (now, silence) = (self.now, self.settings.note_interval.times(MISSED_NOTES));
         let (mut late, mut lost, mut silent) = (Vec::new(), Vec::new(), BTreeSet::new());
-        let mut again = Vec::new();
+        let mut to_probe = Vec::new();
         for (id, request) in &self.requests {
-            // The wait for a slot is limited; that for the key's turn only by the client.
-            let slot = request.attempts.is_empty() && self.key_ready(request);
-            let patience = self.settings.classes[request.class].on_time;
-            let patience = if slot { patience } else { Micros::MAX };
-            let latest = request.deadline.min(request.ready_at + patience);
-            if request.queued && now + LOOK_EVERY >= latest {
+            // The wait for a slot is limited by the class; that for the key's turn only by the client.
+            let needs_slot = request.attempts.is_empty() && self.key_ready(request);
+            let max_wait = self.settings.classes[request.class].on_time;
+            let max_wait = if needs_slot { max_wait } else { Micros::MAX };
+            let latest = request.deadline.min(request.ready_at + max_wait);
+            if request.is_queued && now + CHECK_INTERVAL >= latest {
                 late.push(*id);
             }
-            // The first of a line asks others, when those it asked had no slot.
-            let first = self.queues.lines[request.class][request.tenant].front() == Some(id);
-            let first = first && asking::again(self.asked(request.class));
-            if first && request.asked_at.is_some_and(|at| now >= at + FRESH) {
-                again.push(*id);
+            // The first of a queue probes other engines if the probed ones had no slot.
+            let reprobe = self.queues.by_class[request.class][request.tenant].front() == Some(id);
+            let reprobe = reprobe && asking::again(self.probe_count(request.class));
+            if reprobe && request.probed_at.is_some_and(|at| now >= at + PROBE_TTL) {
+                to_probe.push(*id);
             }
             for (number, attempt) in request.attempts.iter().enumerate() {
                 let to = attempt.engine;
-                let heard = self.engines.get(&to).map_or(now, |to| to.heard_at);
-                let unheard = now > heard.max(attempt.sent_at) + silence && silence > Micros(0);
-                let out = attempt.outcome.is_none() && !attempt.called_off;
-                if out && unheard {
+                let last_seen = self.engines.get(&to).map_or(now, |to| to.last_seen_at);
+                let unseen = now > last_seen.max(attempt.sent_at) + silence && silence > Micros(0);
+                let in_flight = attempt.outcome.is_none() && !attempt.cancelled;
+                if in_flight && unseen {
                     silent.insert(to);
                 }
-                // An engine that is well tells of each attempt at every interval; without, one is lost.
-                let word = attempt.noted_at.max(attempt.sent_at);
-                let untold = silence > Micros(0) && now > word + silence;
-                if out && (unheard || untold || self.bad_plan(request, attempt, None)) {
-                    lost.push((*id, AttemptNo(number as u32), to, attempt.sent_at, unheard));
+                // A healthy engine sends a note of each attempt in every interval; else the attempt is lost.
+                let last_note = attempt.noted_at.max(attempt.sent_at);
+                let no_note = silence > Micros(0) && now > last_note + silence;
+                if in_flight && (unseen || no_note || self.has_bad_plan(request, attempt, None)) {
+                    lost.push((*id, AttemptNo(number as u32), to, attempt.sent_at, unseen));
                 }
             }
         }
         for id in late {
             self.give_up(id);
         }
-        let common = 2 * silent.len() > self.engines.len();
-        for engine in silent.into_iter().filter(|_| !common) {
-            self.strike(engine, STRIKES, "is silent");
+        let outage = 2 * silent.len() > self.engines.len();
+        for engine in silent.into_iter().filter(|_| !outage) {
+            self.record_failure(engine, STRIKES, "is silent");
         }
-        for (id, number, to, sent_at, _) in lost.into_iter().filter(|lost| !(common && lost.4)) {
-            self.jammed(to, sent_at);
-            self.replan(id, number);
+        for (id, number, to, sent_at, _) in lost.into_iter().filter(|lost| !(outage && lost.4)) {
+            self.record_stall(to, sent_at);
+            self.cancel_for_retry(id, number);
         }
-        if self.follow_at.take_if(|at| now >= *at).is_some() {
+        if self.resubscribe_at.take_if(|at| now >= *at).is_some() {
             self.actions.push(Action::SubscribeToEngineList);
         }
-        for id in again {
-            self.ask(id);
+        for id in to_probe {
+            self.probe_candidates(id);
         }
     }
 }
--- a/src/reconfigure.rs
+++ b/src/reconfigure.rs
@@ -3,8 +3,8 @@
 
 use crate::interface::{Class, Settings};
 use crate::policy::Gateway;
-use crate::sizing::shares;
-use crate::state::{Credit, Usual};
+use crate::sizing::tenant_shares;
+use crate::state::{ClassStats, Credit};
 use sedgebeam_fleet::cold::Rights;
 
 impl Settings {
@@ -17,7 +17,7 @@
     }
 
     /// Places of the classes that are in use.
-    pub(crate) fn in_use(&self) -> impl Iterator<Item = usize> + Clone {
+    pub(crate) fn active_classes(&self) -> impl Iterator<Item = usize> + Clone {
         let classes = self.classes.iter().enumerate();
         let used = classes.filter(|(_, class)| !class.retired);
         used.map(|(place, _)| place)
@@ -25,7 +25,7 @@
 }
 
 /// The place at which a class of this name was: the same one, or else the last.
-fn earlier(classes: &[Class], place: usize, name: &str) -> Option<usize> {
+fn earlier_index(classes: &[Class], place: usize, name: &str) -> Option<usize> {
     let named = |class: &Class| class.name == name;
     let here = classes.get(place).filter(|class| named(class));
     here.map(|_| place)
@@ -34,7 +34,7 @@
 
 impl Credit {
     /// The same parties and more of them, under other weights.
-    fn reweighed(&self, weights: Vec<f64>) -> Credit {
+    fn with_weights(&self, weights: Vec<f64>) -> Credit {
         let mut credit = self.credit.clone();
         credit.resize(weights.len(), 0.0);
         Credit { weights, credit }
@@ -48,12 +48,12 @@
         let old = std::mem::replace(&mut self.settings, settings);
         let (settings, classes) = (&self.settings, self.settings.classes.iter());
         let usual = |(place, class): (usize, &Class)| {
-            let earlier = earlier(&old.classes, place, &class.name);
-            earlier.map_or_else(Usual::default, |place| self.usual[place].clone())
+            let earlier = earlier_index(&old.classes, place, &class.name);
+            earlier.map_or_else(ClassStats::default, |place| self.stats[place].clone())
         };
-        self.usual = classes.clone().enumerate().map(usual).collect();
+        self.stats = classes.clone().enumerate().map(usual).collect();
         let worths = classes.map(|class| class.worth.max(0.0)).collect();
-        self.class_credit = self.class_credit.reweighed(worths);
+        self.class_credit = self.class_credit.with_weights(worths);
         let (before, unknown) = (old.tenants.len(), settings.tenants.len());
         self.tenant_credit
             .resize(settings.classes.len(), Credit::default());
@@ -62,9 +62,9 @@
             let last = credit.credit.pop().unwrap_or_default();
             credit.credit.resize(unknown, 0.0);
             credit.credit.push(last);
-            *credit = credit.reweighed(shares(&settings.tenants));
+            *credit = credit.with_weights(tenant_shares(&settings.tenants));
         }
-        self.queues.widen(settings.classes.len(), unknown + 1);
+        self.queues.resize(settings.classes.len(), unknown + 1);
         let allowed = settings.attempts_allowed();
         for request in self.requests.values_mut() {
             request.attempts_allowed = request.attempts_allowed.min(allowed);
@@ -74,18 +74,21 @@
         }
         // A gateway that is told of fewer others has a larger part from now on, not of what was granted before; and its
         // place between two rights is another, as at a start: the places of before lie close together.
-        let (me, other) = (settings.gateway_index, old.warming() != settings.warming());
+        let (me, other) = (
+            settings.gateway_index,
+            old.slow_start() != settings.slow_start(),
+        );
         for engine in self.engines.values_mut() {
-            engine.rights.begin_anew();
+            engine.admission_tokens.begin_anew();
             if other || old.gateway_index != me {
-                engine.rights = Rights::default();
+                engine.admission_tokens = Rights::default();
                 self.started_at = Some(self.now);
             }
         }
-        self.surveyed.outdated = true;
-        self.small_part = settings.small_part();
-        self.multiple.retune(settings.multiple());
-        self.rests = settings.rests();
+        self.scan.is_outdated = true;
+        self.has_small_share = settings.has_small_share();
+        self.concurrency_limit.retune(settings.concurrency_limit());
+        self.ejection = settings.ejection_policy();
     }
 }
 
@@ -116,12 +119,16 @@
     fn what_was_learned_goes_by_name_and_credit_by_place() {
         let mut gateway = Gateway::new(settings(&["a", "b"], &["x"]), 1);
         for (place, taken) in [(0, 5.0), (1, 7.0)] {
-            gateway.usual[place].taken = taken;
+            gateway.stats[place].accepted_requests = taken;
             gateway.class_credit.credit[place] = taken;
             gateway.tenant_credit[place].credit = vec![1.0, -2.0];
         }
         gateway.reconfigure(settings(&["c", "b", "a"], &["x", "y"]));
-        let taken: Vec<f64> = gateway.usual.iter().map(|usual| usual.taken).collect();
+        let taken: Vec<f64> = gateway
+            .stats
+            .iter()
+            .map(|usual| usual.accepted_requests)
+            .collect();
         assert_eq!(taken, [0.0, 7.0, 5.0]);
         assert_eq!(gateway.class_credit.credit, [5.0, 7.0, 0.0]);
         let credit = |place: usize| gateway.tenant_credit[place].credit.clone();
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -5,12 +5,12 @@
 use crate::state::Request;
 
 /// A keyed repeat stays this far inside its window: a send takes time to arrive.
-const WINDOW_MARGIN: Micros = Micros::from_millis(50);
+const DEDUP_WINDOW_MARGIN: Micros = Micros::from_millis(50);
 
 impl Gateway {
     pub(crate) fn effect_allows(&self, request: &Request, engine: &Engine) -> bool {
         let class = &self.settings.classes[request.class];
-        let Some(earlier) = request.may_have_run() else {
+        let Some(earlier) = request.first_that_may_have_run() else {
             return true;
         };
         let first = self.engines.get(&earlier.engine).map(|first| &first.entry);
@@ -21,24 +21,24 @@
             Effect::Keyed(DedupScope::Zone) => first.is_some_and(|first| first.zone == engine.zone),
             Effect::Keyed(DedupScope::Cell) => first.is_some_and(|first| first.cell == engine.cell),
         };
-        same && self.starts_by(request).is_some_and(|by| self.now < by)
+        same && self.latest_start(request).is_some_and(|by| self.now < by)
     }
 
     /// By when a repeat has to begin at its engine: engines drop it within the window of the first that may have run.
-    pub(crate) fn starts_by(&self, request: &Request) -> Option<Micros> {
+    pub(crate) fn latest_start(&self, request: &Request) -> Option<Micros> {
         let class = &self.settings.classes[request.class];
         let keyed = matches!(class.effect, Effect::Keyed(_));
-        let earlier = request.may_have_run().filter(|_| keyed)?;
-        Some(earlier.sent_at + (class.dedup_window - WINDOW_MARGIN))
+        let earlier = request.first_that_may_have_run().filter(|_| keyed)?;
+        Some(earlier.sent_at + (class.dedup_window - DEDUP_WINDOW_MARGIN))
     }
 
-    pub(crate) fn attempts_allow(&self, request: &Request) -> bool {
-        let (made, out) = (request.attempts.len(), request.attempts_out());
+    pub(crate) fn attempt_limits_allow(&self, request: &Request) -> bool {
+        let (made, out) = (request.attempts.len(), request.attempts_in_flight());
         let copies = usize::from(self.settings.second_copies);
         let rationed = self.settings.attempt_budget.is_some_and(|budget| {
-            let made = self.extra.count(self.now, budget.window) + 1.0;
+            let made = self.extra_attempts.count(self.now, budget.window) + 1.0;
             made > budget.free_attempts
-                + budget.extra_per_request * self.taken.count(self.now, budget.window)
+                + budget.extra_per_request * self.accepted.count(self.now, budget.window)
         });
         made < request.attempts_allowed && out <= copies && (made == 0 || !rationed)
     }
--- a/src/shard_usage.rs
+++ b/src/shard_usage.rs
@@ -94,19 +94,19 @@
 
 /// What the gateway keeps of its siblings.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Elsewhere {
+pub(crate) struct SiblingState {
     /// It has siblings: an engine of which they have told nothing yet has no room.
-    pub parted: bool,
+    pub is_sharded: bool,
     pub classes: Vec<ClassUsage>,
-    pub room: ThreadQuota,
+    pub quota: ThreadQuota,
     /// The credits as last heard: what is published is how they have changed since.
     pub class_credit: Vec<f64>,
     pub tenant_credit: Vec<Vec<f64>>,
 }
 
-impl Elsewhere {
+impl SiblingState {
     /// By class, threads and memory that are out.
-    pub fn out(&self) -> impl Iterator<Item = (usize, f64, f64)> {
+    pub fn class_usage(&self) -> impl Iterator<Item = (usize, f64, f64)> {
         let classes = self.classes.iter().enumerate();
         classes.map(|(class, out)| (class, out.threads, out.memory_mb))
     }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -10,28 +10,28 @@
 
 impl Gateway {
     /// What a send weighs on a cold engine, in core seconds: the usual work of its class.
-    pub(crate) fn weight(&self, class: usize) -> f64 {
-        let work = self.usual[class].work.0;
-        work.map_or(self.held(class), |work| work / 1e6)
+    pub(crate) fn core_secs(&self, class: usize) -> f64 {
+        let work = self.stats[class].work_us.0;
+        work.map_or(self.thread_secs(class), |work| work / 1e6)
     }
 
     /// Whether the engine has started so lately that it is not warm yet.
     pub(crate) fn is_cold(&self, engine: &EngineView, now: Micros) -> bool {
-        engine.cold_age(now, self.settings.warm_after).is_some()
+        engine.cold_age_us(now, self.settings.warm_after).is_some()
     }
 
     /// This gateway's part of what a cold engine bears is under one query, and there are no shards to share it.
-    pub(crate) fn by_rights(&self) -> bool {
-        self.small_part && !self.elsewhere.parted
+    pub(crate) fn uses_admission_tokens(&self) -> bool {
+        self.has_small_share && !self.siblings.is_sharded
     }
 
     /// Share of an engine that there is room on. Where a gateway goes by its part of the whole fleet, what it
     /// may not send to cold engines, or would not to those set aside, would all come on top of the others.
-    pub(crate) fn able_share(&self, engine: &EngineView) -> f64 {
-        if !self.by_rights() {
+    pub(crate) fn usable_share(&self, engine: &EngineView) -> f64 {
+        if !self.uses_admission_tokens() {
             return 1.0;
         }
-        if engine.rests(self.now) {
+        if engine.is_ejected(self.now) {
             return 0.0;
         }
         if self.is_cold(engine, self.now) {
@@ -42,48 +42,52 @@
     }
 
     /// Whether what is out of the request is on a cold engine, by a right of its own.
-    pub(crate) fn on_cold(&self, request: &Request) -> bool {
+    pub(crate) fn on_cold_engine(&self, request: &Request) -> bool {
         let out = |attempt: &&Attempt| attempt.outcome.is_none();
         let attempt = request.attempts.iter().rfind(out);
         let engine = attempt.and_then(|attempt| self.engines.get(&attempt.engine));
-        self.by_rights() && engine.is_some_and(|engine| self.is_cold(engine, self.now))
+        self.uses_admission_tokens() && engine.is_some_and(|engine| self.is_cold(engine, self.now))
     }
 
     /// A cold engine gets this gateway's part of what it can bear in any window, and nothing before an
     /// earlier life of this gateway, of which nothing is known, is a window away.
-    pub(crate) fn cold_allows(&self, request: &Request, engine: &EngineView) -> bool {
+    pub(crate) fn slow_start_allows(&self, request: &Request, engine: &EngineView) -> bool {
         let (settings, now) = (&self.settings, self.now);
         let window = settings.overload_window;
         if !self.is_cold(engine, now) {
             return true;
         }
         let settled = self.started_at.is_some_and(|at| now >= at + window);
-        if self.by_rights() {
-            return settled && engine.rights.open(request.class, now.0);
+        if self.uses_admission_tokens() {
+            return settled && engine.admission_tokens.open(request.class, now.0);
         }
         let able = engine.cores * settings.start_capacity * window.0 as f64 / 1e6;
-        let part = settings.overload_multiple * able * COLD_MARGIN / settings.all_gateways();
-        let sent = engine.work_sent(now, window);
-        settled && sent + self.weight(request.class) <= part
+        let part = settings.overload_multiple * able * COLD_MARGIN / settings.gateway_count();
+        let sent = engine.cold_work_core_s(now, window);
+        settled && sent + self.core_secs(request.class) <= part
     }
 
     /// Lets the rights on cold engines grow.
-    pub(crate) fn warm(&mut self) {
-        if !self.by_rights() || !self.surveyed.any_cold {
+    pub(crate) fn grow_admission_tokens(&mut self) {
+        if !self.uses_admission_tokens() || !self.scan.any_cold {
             return;
         }
-        let (now, settings, me) = (self.now, &self.settings, self.number());
-        let warming = settings.warming();
-        let works = (0..settings.classes.len()).map(|class| self.weight(class));
+        let (now, settings, me) = (self.now, &self.settings, self.gateway_number());
+        let warming = settings.slow_start();
+        let works = (0..settings.classes.len()).map(|class| self.core_secs(class));
         let works: Vec<f64> = works.collect();
         // One of each class is taken for asked already: a gateway that has just started knows of none.
-        let taken: f64 = self.usual.iter().map(|usual| usual.taken + 1.0).sum();
-        let asked = self.usual.iter().zip(&works).zip(&settings.classes);
+        let taken: f64 = self
+            .stats
+            .iter()
+            .map(|usual| usual.accepted_requests + 1.0)
+            .sum();
+        let asked = self.stats.iter().zip(&works).zip(&settings.classes);
         let asked = asked.map(|((usual, work), class)| match class.retired {
             true => 0.0,
             false => {
-                let part = (usual.taken + 1.0) / taken;
-                part * work * warming.met(part * self.multiple.rate())
+                let part = (usual.accepted_requests + 1.0) / taken;
+                part * work * warming.met(part * self.concurrency_limit.rate())
             }
         });
         let asked: Vec<f64> = asked.collect();
@@ -92,7 +96,7 @@
         let classes: Vec<(f64, f64)> = classes.collect();
         let warm_after = settings.warm_after;
         for engine in self.engines.values_mut() {
-            let Some(age) = engine.cold_age(now, warm_after) else {
+            let Some(age) = engine.cold_age_us(now, warm_after) else {
                 continue;
             };
             let granted = warming.granted(age, engine.cores);
@@ -105,7 +109,7 @@
                 )
             };
             engine
-                .rights
+                .admission_tokens
                 .grow(now.0, granted, &warming, &classes, phase);
         }
     }
--- a/src/state_sizes.rs
+++ b/src/state_sizes.rs
@@ -19,18 +19,18 @@
 
 impl Gateway {
     pub fn state_sizes(&self) -> StateSizes {
-        let lines = self.queues.lines.iter().flatten();
+        let lines = self.queues.by_class.iter().flatten();
         let engines = self.engines.values();
         let kept = engines.map(|engine| {
-            let groups = engine.held.len() + engine.held_by_others.len();
-            groups + engine.sends.len() + engine.elsewhere.usage.table_groups.len()
+            let groups = engine.loading_groups.len() + engine.foreign_loading_groups.len();
+            groups + engine.recent_sends.len() + engine.siblings.usage.table_groups.len()
         });
         StateSizes {
             engines: self.engines.len(),
             requests: self.requests.len(),
             queued_requests: lines.map(VecDeque::len).sum(),
-            keys: self.keys.len(),
-            recent_entries: kept.sum::<usize>() + self.taken.len() + self.extra.len(),
+            keys: self.key_queues.len(),
+            recent_entries: kept.sum::<usize>() + self.accepted.len() + self.extra_attempts.len(),
         }
     }
 }
