--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,8 @@
-//! What goes into and comes out of a gateway: settings, events, actions. No decisions.
+//! Inputs and outputs of a gateway's state machine: settings, events and actions. Contains no decisions.
 
 use std::ops::{Add, Sub};
 
-/// A point in time or a length of time, in microseconds. Arithmetic saturates.
+/// A point in time or a duration, in microseconds. Arithmetic saturates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Micros(pub u64);
 
@@ -13,7 +13,7 @@
         Micros(millis.saturating_mul(1000))
     }
 
-    /// This length multiplied by `factor`; a negative or undefined result is zero.
+    /// This duration multiplied by `factor`; a negative or undefined result becomes zero.
     pub fn times(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
@@ -42,51 +42,51 @@
 }
 
 ids! {
-    /// One request of a client; a client's next try has another id.
+    /// One request of a client; when a client retries, the request gets a new id.
     RequestId(u64);
-    /// An engine, the same at every gateway.
+    /// An engine; all gateways use the same id for it.
     EngineId(u64);
-    /// Place in [`Settings::classes`].
+    /// Index into [`Settings::classes`].
     ClassId(usize);
-    /// Place in [`Settings::tenants`].
+    /// Index into [`Settings::tenants`].
     TenantId(usize);
-    /// Place in [`Settings::kinds`].
+    /// Index into [`Settings::kinds`].
     KindId(usize);
     /// A zone, numbered by the caller.
     ZoneId(usize);
-    /// A cell: engines that share which keys they have seen.
+    /// A cell: engines that share the record of the request keys that they have executed.
     CellId(u64);
     /// The group of tables that a query reads or writes.
     TableGroupId(u64);
-    /// Requests with the same key may have to keep their order.
+    /// Order key of a request: a class may require that requests with one key run in order.
     Key(u64);
-    /// Names an attempt within its request, from 0.
+    /// Number of an attempt within its request, from 0.
     AttemptNo(u32);
-    /// Names a timer.
     TimerId(u64);
 }
 
 impl Key {
-    /// The key of this name: the same at every gateway.
+    /// FNV-1a hash of the name, so that every gateway derives the same key.
     pub fn from_name(name: &str) -> Key {
         let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         Key(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
     }
 }
 
-/// What may happen to a request of a class when it is sent more than once.
+/// How often a request of a class may be executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
     /// Any number of times.
     #[default]
     Repeatable,
-    /// Only where repeats are dropped: within this group, for [`Class::window`].
+    /// Repeats only go to engines that drop duplicates: those in this scope of the first attempt's engine,
+    /// for [`Class::dedup_window`].
     Keyed(DedupScope),
-    /// Never, once it may have run.
+    /// At most once: no repeat after an attempt that may have run.
     Once,
 }
 
-/// The engines that drop each other's repeats.
+/// The engines that drop each other's duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
@@ -99,28 +99,29 @@
 pub struct Class {
     pub name: String,
     pub worth: f64,
-    /// Share of the worth that a late answer earns.
+    /// Share of the worth that an answer earns after the time of `on_time`.
     pub late_share: f64,
-    /// Wanted within this, plus `aim_stretch` times the work over the threads.
+    /// An answer is on time within this, plus `aim_stretch` times the work divided by the threads.
     pub on_time: Micros,
     pub aim_stretch: f64,
-    /// The client gives up after this.
+    /// Time after which the client gives up.
     pub give_up: Micros,
     pub effect: Effect,
-    /// How long a repeat of a keyed request is dropped.
+    /// How long engines drop duplicates of a keyed request.
     pub dedup_window: Micros,
     pub threads: f64,
-    /// A load: holds its table group on its engine while it runs.
+    /// A load: writes and holds its table group on its engine while it runs.
     pub holds_group: bool,
-    /// Stands still while a load holds its table group.
+    /// Waits while a load holds its table group on the engine.
     pub waits_for_load: bool,
     pub in_key_order: bool,
-    /// The answer is streamed: the client has it from its start on.
+    /// The client receives the answer while the attempt runs, so that it can't be replaced afterwards.
     pub is_streamed: bool,
-    /// Where given, the only kinds, or zones, it may be sent to.
+    /// If set, the only kinds of engine, or zones, that run it.
     pub only_kinds: Option<Vec<KindId>>,
     pub only_zones: Option<Vec<ZoneId>>,
-    /// It has vanished from the settings, or has other terms there: what is under way of it ends as it began.
+    /// Removed from the settings, or replaced by a changed class: takes no new requests, while those that were
+    /// accepted keep its terms.
     pub retired: bool,
 }
 
@@ -128,7 +129,7 @@
 pub struct Tenant {
     pub name: String,
     pub share: f64,
-    /// Requests a second within its share, over all gateways; zero where not told.
+    /// Requests per second within its share, over all gateways; zero if unknown.
     pub requests_per_second: f64,
 }
 
@@ -147,17 +148,17 @@
     pub extra_per_request: f64,
 }
 
-/// How the list of engines comes.
+/// How the gateway gets the engine list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListMode {
-    /// Changes come by themselves.
+    /// Changes arrive without a request.
     #[default]
     Pushed,
-    /// Changes come after [`Action::Follow`].
+    /// Changes arrive after [`Action::SubscribeToEngineList`].
     OnRequest,
 }
 
-/// Where load reports come from.
+/// How engines report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReportMode {
     #[default]
@@ -166,11 +167,11 @@
     InProbes,
 }
 
-/// All that a gateway is told at its start.
+/// The configuration of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     pub gateways: u32,
-    /// This gateway's number among them, where told.
+    /// This gateway's index among them, from 0, if configured.
     pub gateway_index: Option<u32>,
     pub zone: Option<ZoneId>,
     pub classes: Vec<Class>,
@@ -179,35 +180,35 @@
     pub list_mode: ListMode,
     pub load_reports: LoadReportMode,
     pub drain_grace: Micros,
-    /// A starting engine can do at least this share of its capacity, and all of it after `warm_after`.
+    /// A started engine has at least this share of its capacity, and all of it after `warm_after`.
     pub start_capacity: f64,
     pub warm_after: Micros,
-    /// Sent more than this multiple of what it can do, for `overload_for`, it falls over.
+    /// An engine fails if it is sent more than this multiple of its capacity during `overload_window`.
     pub overload_multiple: f64,
     pub overload_window: Micros,
-    /// A key rests this long after an attempt that may still be running.
+    /// After an attempt that may still be running, no request of its key is sent for this long.
     pub key_quiet_period: Micros,
     pub attempt_budget: Option<AttemptBudget>,
-    /// Most attempts for a request; zero where not told.
+    /// Limit of the attempts per request; zero for no limit.
     pub max_attempts: u32,
     pub may_cancel: bool,
     pub second_copies: bool,
     pub may_probe: bool,
-    /// What a probe costs, in mean requests' worth; zero where not told.
+    /// Cost of a probe in units of the mean worth of a request; zero if unknown.
     pub probe_cost: f64,
     pub takes_grants: bool,
     pub takes_priorities: bool,
-    /// A query waits in the engine's line while memory is short; else it gets less, or all slow down.
+    /// Engines queue a query while memory is short; otherwise they grant it less, or page.
     pub queues_for_memory: bool,
-    /// Most of an engine's memory that one query gets.
+    /// Largest share of an engine's memory that one query gets.
     pub max_grant_share: f64,
-    /// Time between notes of progress; zero where there are none.
+    /// Interval of an engine's notes of progress; zero if it sends none.
     pub note_interval: Micros,
-    /// The longest advice that clients follow; zero where they get none.
+    /// Longest retry delay that clients heed; zero if they get no advice.
     pub max_retry_after: Micros,
-    /// A final answer may come this long after the client's deadline.
+    /// A final answer may arrive this long after the client's deadline.
     pub answer_slack: Micros,
-    /// The shortest time between two calls.
+    /// Shortest interval between two calls of the gateway.
     pub tick: Micros,
 }
 
@@ -219,7 +220,7 @@
     Gone,
 }
 
-/// An entry of the list of engines.
+/// An entry of the engine list.
 #[derive(Clone, Debug, Default)]
 pub struct Engine {
     pub id: EngineId,
@@ -227,7 +228,7 @@
     pub kind: Option<KindId>,
     pub cell: CellId,
     pub state: EngineState,
-    /// When it last started; zero for long ago.
+    /// Time of its last start; zero if that is long ago.
     pub started_at: Micros,
 }
 
@@ -242,11 +243,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// Changed entries.
     Changes,
-    /// All engines; others are gone.
+    /// All engines; others no longer exist.
     Complete,
-    /// All engines as this gateway last saw them, before it restarted.
+    /// All engines, as saved by this gateway before it restarted.
     Saved,
 }
 
@@ -257,13 +258,13 @@
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub key: Option<Key>,
-    /// Time until the client gives up this try.
+    /// Time until the client gives up this request.
     pub remaining: Micros,
-    /// Estimated work of all its threads, and memory; zero where not told.
+    /// Estimated work, summed over all threads, and memory; zero if unknown.
     pub work: Micros,
     pub memory_mb: f64,
     pub table_group: TableGroupId,
-    /// The client says that it has tried before, where clients mark that; nothing is decided by it yet.
+    /// The client marks the request as a retry. No decision depends on this yet.
     pub is_retry: bool,
 }
 
@@ -283,18 +284,16 @@
 pub enum Outcome {
     Ok,
     Error,
-    /// Turned away unseen.
+    /// The engine did not accept the query, as it is full.
     Rejected,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
-    /// Not sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt may have run.
     pub fn may_have_run(self) -> bool {
         !matches!(
             self,
@@ -303,24 +302,21 @@
     }
 }
 
-/// What an engine says of its load; a value it does not give is `None`.
+/// How busy an engine is, as reported by it; `None` for what it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries that it holds.
     pub active_queries: Option<f64>,
-    /// Queries that wait for memory.
     pub queries_waiting_for_memory: Option<f64>,
-    /// Share of its cores that is busy.
     pub busy_cores_share: Option<f64>,
-    /// Share of its memory that is granted.
     pub granted_memory_share: Option<f64>,
 }
 
+/// What an engine reports about an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
-    /// Share done.
+    /// Share of the work that is done, from 0 to 1.
     Progress(f64),
-    /// Megabytes missing.
+    /// Megabytes that the memory grant is short of, so that the query spills to disk.
     Spills(f64),
     WaitsForMemory,
     WaitsForLoad,
@@ -333,9 +329,9 @@
     pub engine: EngineId,
     pub outcome: Outcome,
     pub elapsed: Micros,
-    /// The request is finished: nothing more is owed for it.
+    /// The client has its final answer: no further attempt is needed.
     pub request_finished: bool,
-    /// The work that it took, where told.
+    /// The work that the engine did, if reported.
     pub work: Option<Micros>,
     pub load_report: Option<LoadReport>,
 }
@@ -350,27 +346,25 @@
     Request(Query),
     /// The answer of a streamed attempt has started.
     Started(RequestId, AttemptNo),
-    /// Word on an attempt that is out.
     Note(RequestId, AttemptNo, Note),
     Ended(AttemptEnded),
     ClientLeft(RequestId),
-    /// What a probe found.
     Probed(EngineId, Outcome, Option<LoadReport>),
     Timer(TimerId),
-    /// The gateway ends: all that has no final answer yet gets one now.
+    /// The gateway shuts down: every request without a final answer gets one now.
     Shutdown,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Memory (zero: the engine chooses) and priority for what is sent next.
+    /// Memory grant (zero: the engine chooses) and priority of the request's next attempt.
     AttemptResources {
         request: RequestId,
         memory_mb: f64,
         priority: u8,
     },
-    /// Start the request's next attempt; it times out after `timeout`. Where `starts_by` is told it must have begun at
-    /// its engine by then, however long its connection takes, or not at all.
+    /// Starts the request's next attempt, which times out after `timeout`. If `starts_by` is set and the attempt
+    /// can't begin at its engine by then, as connecting takes long, it must not be sent.
     Send {
         request: RequestId,
         engine: EngineId,
@@ -381,12 +375,12 @@
         request: RequestId,
         attempt: AttemptNo,
     },
-    /// Final answer: turned away, harmless to try again after `retry_after` (zero: no advice).
+    /// Final answer: refused; a retry is harmless, best after `retry_after` (zero: no advice).
     Refuse {
         request: RequestId,
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed; the query may have run.
     Fail {
         request: RequestId,
     },
@@ -397,7 +391,6 @@
     Probe {
         engine: EngineId,
     },
-    /// Ask for the list of engines and its changes.
     SubscribeToEngineList,
     Log(String),
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers of requests and engines: plain records, no decisions.
+//! A gateway's records of requests, engines, classes and queues. Contains no decisions.
 
 use crate::interface::*;
 use crate::shard_usage::SiblingEngineUsage;
@@ -10,11 +10,11 @@
 pub(crate) struct Attempt {
     pub engine: EngineId,
     pub sent_at: Micros,
-    /// When the engine last sent a note of it.
+    /// Time of the engine's last note about it; zero before the first.
     pub noted_at: Micros,
-    /// `None` while it is out.
+    /// `None` while it is in flight.
     pub outcome: Option<Outcome>,
-    /// Called off; its outcome is still to come.
+    /// Cancelled by the gateway; may still be in flight.
     pub cancelled: bool,
 }
 
@@ -35,19 +35,19 @@
     pub class: usize,
     pub tenant: usize,
     pub threads: f64,
-    /// Memory that its attempt that is out holds.
+    /// Memory of its attempt in flight.
     pub granted_memory_mb: f64,
-    /// When it came, or when its key's turn came.
+    /// Time of its arrival, or of its turn in its key's order.
     pub ready_at: Micros,
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    /// The fewest that were allowed since it came.
+    /// Smallest limit configured since its arrival.
     pub attempts_allowed: usize,
     pub is_queued: bool,
-    /// Its final answer has been given; it stays known while an attempt is out.
+    /// It has its final answer, and is kept only while an attempt is in flight.
     pub answered: bool,
     pub answer_started: bool,
-    /// When engines were asked for their load on its behalf.
+    /// When engines were last probed for their load on its behalf.
     pub probed_at: Option<Micros>,
 }
 
@@ -77,32 +77,35 @@
     }
 
     pub fn has_tried(&self, engine: EngineId) -> bool {
-        self.attempts.iter().any(|a| a.engine == engine)
+        self.attempts.iter().any(|attempt| attempt.engine == engine)
     }
 
     pub fn attempts_in_flight(&self) -> usize {
-        self.attempts.iter().filter(|a| a.outcome.is_none()).count()
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.outcome.is_none())
+            .count()
     }
 
-    /// An attempt ended without a word whether it still runs.
+    /// Whether an attempt ended without proof that the engine stopped it.
     pub fn may_still_run(&self) -> bool {
         use Outcome::{Cancelled, Reset, TimedOut};
-        let ended = self.attempts.iter().filter_map(|a| a.outcome);
-        ended
+        let outcomes = self.attempts.iter().filter_map(|attempt| attempt.outcome);
+        outcomes
             .into_iter()
             .any(|outcome| matches!(outcome, TimedOut | Reset | Cancelled))
     }
 
-    /// Time that the query would take on its own, by its estimate.
+    /// Time that the query takes on an idle engine, by its estimated work.
     pub fn estimated_duration_us(&self) -> Option<f64> {
-        let work = self.query.work.0 as f64;
-        (work > 0.0).then_some(work / self.threads)
+        let work_us = self.query.work.0 as f64;
+        (work_us > 0.0).then_some(work_us / self.threads)
     }
 
-    /// The first attempt that may have run or is still out.
+    /// The first attempt that is in flight or may have run.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
-        let may = |a: &&Attempt| a.outcome.is_none_or(Outcome::may_have_run);
-        self.attempts.iter().find(may)
+        let may_have_run = |attempt: &&Attempt| attempt.outcome.is_none_or(Outcome::may_have_run);
+        self.attempts.iter().find(may_have_run)
     }
 }
 
@@ -115,27 +118,27 @@
     pub threads_in_flight: f64,
     pub memory_in_flight_mb: f64,
     pub attempts_in_flight: u32,
-    /// Log ratio of time taken to the class's usual, lately.
+    /// Moving mean of the log ratio of its service times to the class's usual ones.
     pub service_time_ratio: f64,
     pub pressure_until: Micros,
-    /// Threads a core as last told, and when; when it was asked.
+    /// Last reported load in threads per core, and its time; and the time of the last probe.
     pub report: Option<(f64, Micros)>,
     pub probed_at: Micros,
-    /// Table groups that loads of this gateway hold there.
+    /// Table groups that loads of this gateway hold there, one entry per load.
     pub loading_groups: Vec<TableGroupId>,
-    /// Table groups that loads of other gateways hold there, as far as is known, and until when.
+    /// Table groups that loads of other gateways are assumed to hold there, and until when.
     pub foreign_loading_groups: Vec<(TableGroupId, Micros)>,
     pub last_seen_at: Micros,
     pub health: Health,
-    /// How slow its answers were lately.
+    /// Recent slowdown of its answers.
     pub congestion: Crowd,
-    /// Rights to send to it while it is cold, where a gateway's part is under one query.
+    /// Allow sends while it is cold, where a gateway's share of it is under one query.
     pub admission_tokens: Rights,
-    /// Work sent in the last cold window.
+    /// Times and work, in core seconds, of the sends within the overload window.
     pub recent_sends: VecDeque<(Micros, f64)>,
-    /// Work sent that the siblings of this part have not been told of.
+    /// Work sent since this shard last published its usage.
     pub unpublished_work_core_s: f64,
-    /// Whether siblings have told of it, and what they hold here.
+    /// Whether siblings have published their usage of it, and that usage.
     pub siblings_known: bool,
     pub siblings: SiblingEngineUsage,
 }
@@ -145,29 +148,29 @@
         self.entry.state == EngineState::Ready
     }
 
-    /// Time since its start, where that is so lately that it is not warm yet.
+    /// Time since its start while it is cold, else `None`.
     pub fn cold_age_us(&self, now: Micros, warm_after: Micros) -> Option<u64> {
-        let started = self.entry.started_at;
-        let cold = started > Micros(0) && now < started + warm_after;
-        cold.then(|| (now - started).0)
+        let started_at = self.entry.started_at;
+        let is_cold = started_at > Micros(0) && now < started_at + warm_after;
+        is_cold.then(|| (now - started_at).0)
     }
 
-    /// Threads out of this part and of its siblings.
+    /// Threads in flight of this shard and its siblings.
     pub fn total_threads(&self) -> f64 {
         self.threads_in_flight + self.siblings.usage.threads
     }
 
-    /// Memory out of this part and of its siblings.
+    /// Memory in flight of this shard and its siblings.
     pub fn total_memory_mb(&self) -> f64 {
         self.memory_in_flight_mb + self.siblings.usage.memory_mb
     }
 
-    /// A load of this part or of a sibling holds the group here.
+    /// Whether a load of this shard or of a sibling holds the group here.
     pub fn is_loading(&self, group: TableGroupId) -> bool {
         self.loading_groups.contains(&group) || self.siblings.usage.table_groups.contains(&group)
     }
 
-    /// Work sent here within a window that ends now, by all parts.
+    /// Work sent here by all shards within the window that ends now.
     pub fn cold_work_core_s(&self, now: Micros, window: Micros) -> f64 {
         let recent = self
             .recent_sends
@@ -176,7 +179,7 @@
         recent.map(|(_, work)| work).sum::<f64>() + self.siblings.cold_work_core_s
     }
 
-    /// Takes a new entry of the list; what was held against an earlier process does not count.
+    /// Applies a new entry of the engine list; after a restart of the engine its statistics start anew.
     pub fn apply(&mut self, entry: Engine, kind: Kind) {
         (self.cores, self.memory_mb) = (kind.cores.max(1.0), kind.memory_mb);
         if entry.started_at > self.entry.started_at {
@@ -187,43 +190,46 @@
         self.entry = entry;
     }
 
-    /// An attempt goes out; a load holds its table group.
-    pub fn attempt_started(&mut self, request: &Request, load: bool) {
+    /// Counts an attempt as in flight; a load holds its table group.
+    pub fn attempt_started(&mut self, request: &Request, is_load: bool) {
         self.threads_in_flight += request.threads;
         self.siblings.quota.0 -= request.threads;
         self.memory_in_flight_mb += request.granted_memory_mb;
         self.attempts_in_flight += 1;
-        if load {
+        if is_load {
             self.loading_groups.push(request.query.table_group);
         }
     }
 
     pub fn mark_loading(&mut self, group: TableGroupId, now: Micros, until: Micros) {
         self.foreign_loading_groups
-            .retain(|(held, until)| *held != group && *until > now);
+            .retain(|(loading, until)| *loading != group && *until > now);
         self.foreign_loading_groups.push((group, until));
     }
 
-    /// Notes the work of a send, for the window in which a cold engine counts it.
+    /// Records the work of a send, which counts against a cold engine during the window.
     pub fn record_send(&mut self, now: Micros, window: Micros, work: f64) {
         self.recent_sends.retain(|(at, _)| *at + window > now);
         self.recent_sends.push_back((now, work));
         self.unpublished_work_core_s += work;
     }
 
-    pub fn attempt_ended(&mut self, request: &Request, load: bool) {
+    pub fn attempt_ended(&mut self, request: &Request, is_load: bool) {
         self.threads_in_flight -= request.threads;
         self.memory_in_flight_mb -= request.granted_memory_mb;
         self.attempts_in_flight -= 1;
         let group = request.query.table_group;
-        let place = self.loading_groups.iter().position(|held| *held == group);
-        if let Some(place) = place.filter(|_| load) {
-            self.loading_groups.swap_remove(place);
+        let index = self
+            .loading_groups
+            .iter()
+            .position(|loading| *loading == group);
+        if let Some(index) = index.filter(|_| is_load) {
+            self.loading_groups.swap_remove(index);
         }
     }
 }
 
-/// Times within a window that ends now.
+/// The times of events within a window that ends now.
 #[derive(Default)]
 pub(crate) struct SlidingWindow(VecDeque<Micros>);
 
@@ -242,45 +248,44 @@
     }
 }
 
-/// Keeps the engines that pass the test, or all where none does.
+/// Keeps the engines that pass the test, or all if none does.
 pub(crate) fn prefer(engines: &mut Vec<&EngineView>, test: impl Fn(&EngineView) -> bool) {
     if engines.iter().any(|engine| test(engine)) {
         engines.retain(|engine| test(engine));
     }
 }
 
-/// A moving mean; none before the first sample.
+/// An exponentially weighted moving mean; `None` before the first sample.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct MovingMean(pub Option<f64>);
 
 impl MovingMean {
     pub fn add(&mut self, gain: f64, sample: f64) {
-        let old = self.0.unwrap_or(sample);
-        self.0 = Some(old + gain * (sample - old));
+        let mean = self.0.unwrap_or(sample);
+        self.0 = Some(mean + gain * (sample - mean));
     }
 }
 
-/// What the gateway has learned of a class.
+/// Learned statistics of a class.
 #[derive(Clone, Default)]
 pub(crate) struct ClassStats {
-    /// Usual log ratio of time taken to time expected.
+    /// Usual log ratio of an attempt's time to its estimated time.
     pub usual_ratio: Option<f64>,
-    /// Log ratio to that usual, lately: how slow the class is on all engines.
+    /// Moving mean of the log ratio to that usual one: how slow the class is on all engines.
     pub service_time_ratio: f64,
-    /// Mean time that an attempt takes, and mean estimate of the work, in microseconds.
+    /// Mean time of an attempt, and mean estimated work.
     pub attempt_us: MovingMean,
     pub work_us: MovingMean,
-    /// How many were taken.
     pub accepted_requests: f64,
-    /// Memory needed over the granted estimate.
+    /// Learned addition to the memory grant, as a share of the estimate.
     pub spill_margin: f64,
 }
 
-/// A first-in, first-out line for each class and tenant.
+/// A first-in, first-out queue for each class and tenant.
 #[derive(Default)]
 pub(crate) struct Queues {
     pub by_class: Vec<Vec<VecDeque<RequestId>>>,
-    /// How many wait at siblings, by class and tenant.
+    /// Number of requests queued at siblings, by class and tenant.
     pub sibling_counts: Vec<Vec<usize>>,
 }
 
@@ -292,27 +297,27 @@
         }
     }
 
-    /// Makes lines for so many classes and tenants; the last stays that of no known tenant.
+    /// Changes the number of classes and tenants; the last tenant is always that of unknown ones.
     pub fn resize(&mut self, classes: usize, tenants: usize) {
         self.by_class.resize_with(classes, Vec::new);
-        for lines in &mut self.by_class {
-            let unknown = lines.pop().unwrap_or_default();
-            lines.resize_with(tenants - 1, VecDeque::new);
-            lines.push(unknown);
+        for queues in &mut self.by_class {
+            let unknown = queues.pop().unwrap_or_default();
+            queues.resize_with(tenants - 1, VecDeque::new);
+            queues.push(unknown);
         }
     }
 
     pub fn add(&mut self, request: &mut Request, front: bool) {
         request.is_queued = true;
-        let line = &mut self.by_class[request.class][request.tenant];
-        let place = if front { 0 } else { line.len() };
-        line.insert(place, request.query.id);
+        let queue = &mut self.by_class[request.class][request.tenant];
+        let index = if front { 0 } else { queue.len() };
+        queue.insert(index, request.query.id);
     }
 
     pub fn remove(&mut self, request: &mut Request) {
         request.is_queued = false;
-        let line = &mut self.by_class[request.class][request.tenant];
-        line.retain(|other| *other != request.query.id);
+        let queue = &mut self.by_class[request.class][request.tenant];
+        queue.retain(|other| *other != request.query.id);
     }
 
     fn sibling_counts(&self, class: usize) -> &[usize] {
@@ -324,22 +329,22 @@
         own + self.sibling_counts(class).iter().sum::<usize>()
     }
 
-    /// The newest request of the tenant that holds most of the class's queue against its weight, beyond one
-    /// request; none where no tenant has two. In queues as short as those of one gateway among hundreds, the
-    /// one request of a tenant with a small weight would always be too much.
+    /// The newest request of the tenant with the most queued requests after its first per weight; `None` if no
+    /// tenant has two. The first is free, as in queues as short as those of one gateway among hundreds the only
+    /// request of a tenant with a small weight would always be over its share.
     pub fn over_share(&self, class: usize, tenants: &Credit) -> Option<RequestId> {
-        let elsewhere = self.sibling_counts(class);
-        let lines = self.by_class[class]
+        let siblings = self.sibling_counts(class);
+        let queues = self.by_class[class]
             .iter()
             .zip(&tenants.weights)
             .enumerate();
-        let own = lines.filter(|(_, (line, _))| !line.is_empty());
-        let held = own.map(|(tenant, (line, weight))| {
-            let all = line.len() + elsewhere.get(tenant).copied().unwrap_or(0);
-            ((all - 1) as f64 / weight.max(1e-9), line.back().copied())
+        let own = queues.filter(|(_, (queue, _))| !queue.is_empty());
+        let excesses = own.map(|(tenant, (queue, weight))| {
+            let count = queue.len() + siblings.get(tenant).copied().unwrap_or(0);
+            ((count - 1) as f64 / weight.max(1e-9), queue.back().copied())
         });
-        let most = held.max_by(|a, b| a.0.total_cmp(&b.0));
-        most.filter(|most| most.0 > 0.0)?.1
+        let largest = excesses.max_by(|a, b| a.0.total_cmp(&b.0));
+        largest.filter(|largest| largest.0 > 0.0)?.1
     }
 
     pub fn waiting_classes(&self) -> Vec<usize> {
@@ -348,26 +353,26 @@
     }
 
     pub fn waiting_tenants(&self, class: usize) -> Vec<usize> {
-        let (lines, elsewhere) = (&self.by_class[class], self.sibling_counts(class));
-        let told = |tenant: usize| elsewhere.get(tenant).is_some_and(|&count| count > 0);
-        let tenants = 0..lines.len();
+        let (queues, siblings) = (&self.by_class[class], self.sibling_counts(class));
+        let at_siblings = |tenant: usize| siblings.get(tenant).is_some_and(|&count| count > 0);
+        let tenants = 0..queues.len();
         tenants
-            .filter(|&tenant| !lines[tenant].is_empty() || told(tenant))
+            .filter(|&tenant| !queues[tenant].is_empty() || at_siblings(tenant))
             .collect()
     }
 }
 
-/// What holds for the fleet as a whole, found once a call.
+/// Figures of the whole fleet, refreshed when engines change.
 #[derive(Default)]
 pub(crate) struct FleetTotals {
-    /// The pace of the middle engine.
+    /// Median of the engines' service time ratios.
     pub median_ratio: f64,
-    /// This gateway's part of all threads, and of all memory.
+    /// This gateway's share of the threads and of the memory of all engines.
     pub thread_share: f64,
     pub memory_share_mb: f64,
 }
 
-/// A fixed mixer (splitmix64): what is ordered or drawn by it is so at every gateway alike.
+/// A fixed mixing function: every gateway derives the same order and choices from the same value.
 pub fn splitmix64(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -375,7 +380,7 @@
     value ^ (value >> 31)
 }
 
-/// Requests of a key in the order taken, and until when the key rests.
+/// Requests of a key in order of arrival, and until when none is sent as an earlier one may still run.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     pub queue: VecDeque<RequestId>,
@@ -383,16 +388,16 @@
 }
 
 impl KeyQueue {
-    /// A request leaves; the next one, if this had the turn.
+    /// Removes a request; returns the next one if the removed one was first.
     pub fn remove(&mut self, id: RequestId, rests_until: Micros) -> Option<RequestId> {
         self.quiet_until = self.quiet_until.max(rests_until);
-        let had_turn = self.queue.front() == Some(&id);
+        let was_first = self.queue.front() == Some(&id);
         self.queue.retain(|other| *other != id);
-        self.queue.front().copied().filter(|_| had_turn)
+        self.queue.front().copied().filter(|_| was_first)
     }
 }
 
-/// Weights of numbered parties, and the credit of each.
+/// Weight and credit of each party (class, or tenant of a class), by its index.
 #[derive(Clone, Default)]
 pub(crate) struct Credit {
     pub weights: Vec<f64>,
