--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,5 +1,6 @@
-//! Two processes of one dispatcher, the gateway of each a part of one: what the one holds and has learned, and
-//! what the other makes of it. Nothing is decided here; as long as nothing is heard, a gateway is alone.
+//! Handover between two processes of one dispatcher, whose gateways together act as one: exports usage and
+//! learned statistics, and applies those of the peer process. Contains no decisions; without a peer's state, a
+//! gateway acts alone.
 
 use crate::interface::*;
 use crate::policy::Gateway;
@@ -7,50 +8,49 @@
 use crate::state::{ClassStats, MovingMean, Request};
 use std::collections::BTreeMap;
 
-/// What a gateway holds, and what it has learned.
+/// A gateway's usage of engines, and what it has learned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
     pub engines: Vec<EngineHandover>,
     pub classes: Vec<ClassHandover>,
-    /// How many times its part of the fleet it may have out.
+    /// Multiple of its share of the fleet that it may have in flight.
     pub concurrency_limit: f64,
 }
 
-/// The same of an engine.
+/// The part of the handover state about one engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineHandover {
     pub engine: EngineId,
     pub usage: EngineUsage,
-    /// Work sent within the window in which a cold engine counts it, in core seconds, and when.
+    /// Times and work, in core seconds, of the sends within the overload window.
     pub recent_sends: Vec<(Micros, f64)>,
-    /// Log ratio of time taken to the usual.
+    /// Moving mean of the log ratio of its service times to the usual ones.
     pub service_time_ratio: f64,
-    /// Until when it is set aside after strikes, and after a jam; zero where it is not.
+    /// Until when it is ejected for consecutive failures, and for a stall; zero if it is not.
     pub ejected_until: (Micros, Micros),
 }
 
-/// The same of a class, by its name.
+/// The part of the handover state about one class, identified by its name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassHandover {
     pub name: String,
     pub usage: ClassUsage,
-    /// Log ratios of time taken to time expected, usually, and lately to that.
+    /// Usual log ratio of an attempt's time to its estimated time, and the recent log ratio to that.
     pub usual_ratio: Option<f64>,
     pub service_time_ratio: f64,
-    /// Mean time of an attempt, and mean estimate of the work, in microseconds.
+    /// Mean time of an attempt, and mean estimated work.
     pub mean_attempt_us: Option<f64>,
     pub mean_work_us: Option<f64>,
-    /// How many were taken.
     pub accepted_requests: f64,
-    /// Memory needed over the granted estimate.
+    /// Learned addition to the memory grant, as a share of the estimate.
     pub spill_margin: f64,
 }
 
 impl Gateway {
-    /// Tells what it holds and has learned.
+    /// Exports this gateway's usage and statistics.
     pub fn handover_state(&self) -> HandoverState {
         let engines = self.engines.iter().map(|(id, engine)| {
-            let (rests, jammed) = engine.health.rests_handed_over();
+            let (failures_until, stall_until) = engine.health.rests_handed_over();
             EngineHandover {
                 engine: *id,
                 usage: EngineUsage {
@@ -60,24 +60,24 @@
                 },
                 recent_sends: engine.recent_sends.iter().copied().collect(),
                 service_time_ratio: engine.service_time_ratio,
-                ejected_until: (Micros(rests), Micros(jammed)),
+                ejected_until: (Micros(failures_until), Micros(stall_until)),
             }
         });
         let mut classes: Vec<ClassHandover> = Vec::new();
-        for (class, usual) in self.settings.classes.iter().zip(&self.stats) {
+        for (class, stats) in self.settings.classes.iter().zip(&self.stats) {
             classes.push(ClassHandover {
                 name: class.name.clone(),
                 usage: ClassUsage::default(),
-                usual_ratio: usual.usual_ratio,
-                service_time_ratio: usual.service_time_ratio,
-                mean_attempt_us: usual.attempt_us.0,
-                mean_work_us: usual.work_us.0,
-                accepted_requests: usual.accepted_requests,
-                spill_margin: usual.spill_margin,
+                usual_ratio: stats.usual_ratio,
+                service_time_ratio: stats.service_time_ratio,
+                mean_attempt_us: stats.attempt_us.0,
+                mean_work_us: stats.work_us.0,
+                accepted_requests: stats.accepted_requests,
+                spill_margin: stats.spill_margin,
             });
         }
-        let out = |request: &&Request| request.attempts_in_flight() > 0;
-        for request in self.requests.values().filter(out) {
+        let in_flight = |request: &&Request| request.attempts_in_flight() > 0;
+        for request in self.requests.values().filter(in_flight) {
             if let Some(class) = classes.get_mut(request.class) {
                 class.usage.threads += request.threads;
                 class.usage.memory_mb += request.granted_memory_mb;
@@ -90,15 +90,15 @@
         }
     }
 
-    /// Begins with what another process of this gateway has learned, where it has learned nothing itself.
-    pub fn restore(&mut self, held: &HandoverState) {
+    /// Adopts the statistics of another process of this gateway where this one has none.
+    pub fn restore(&mut self, state: &HandoverState) {
         self.scan.is_outdated = true;
-        for (class, usual) in self.settings.classes.iter().zip(&mut self.stats) {
-            let known = held.classes.iter().find(|known| known.name == class.name);
-            let Some(known) = known.filter(|_| usual.accepted_requests == 0.0) else {
+        for (class, stats) in self.settings.classes.iter().zip(&mut self.stats) {
+            let known = state.classes.iter().find(|known| known.name == class.name);
+            let Some(known) = known.filter(|_| stats.accepted_requests == 0.0) else {
                 continue;
             };
-            *usual = ClassStats {
+            *stats = ClassStats {
                 usual_ratio: known.usual_ratio,
                 service_time_ratio: known.service_time_ratio,
                 attempt_us: MovingMean(known.mean_attempt_us),
@@ -107,17 +107,17 @@
                 spill_margin: known.spill_margin,
             };
         }
-        for held in &held.engines {
-            if let Some(engine) = self.engines.get_mut(&held.engine) {
-                engine.service_time_ratio = held.service_time_ratio;
-                let (rests, jammed) = held.ejected_until;
-                engine.health.take_rests((rests.0, jammed.0));
+        for handover in &state.engines {
+            if let Some(engine) = self.engines.get_mut(&handover.engine) {
+                engine.service_time_ratio = handover.service_time_ratio;
+                let (failures_until, stall_until) = handover.ejected_until;
+                engine.health.take_rests((failures_until.0, stall_until.0));
             }
         }
-        self.concurrency_limit.take_over(held.concurrency_limit);
+        self.concurrency_limit.take_over(state.concurrency_limit);
     }
 
-    /// Gives every request its final answer: whoever ends the process waits no longer.
+    /// Gives every request its final answer, as the process is about to end.
     pub(crate) fn shut_down(&mut self) {
         let open: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in open {
@@ -125,39 +125,44 @@
         }
     }
 
-    /// Hears what the others hold, all of them added up; nothing, where it is alone. While another sends to cold
-    /// engines, this one does not, nor for a window after that.
-    pub fn set_peer_process_usage(&mut self, now: Micros, others: &HandoverState, may_warm: bool) {
+    /// Sets the combined usage of the peer processes; empty if there are none. While another process sends to cold
+    /// engines (`may_use_cold_engines` is false), this one does not, nor for one overload window after that.
+    pub fn set_peer_process_usage(
+        &mut self,
+        now: Micros,
+        peers: &HandoverState,
+        may_use_cold_engines: bool,
+    ) {
         let window = self.settings.overload_window;
-        let held = others.engines.iter().map(|held| (held.engine, held));
-        let held: BTreeMap<EngineId, &EngineHandover> = held.collect();
+        let engines = peers.engines.iter().map(|engine| (engine.engine, engine));
+        let engines: BTreeMap<EngineId, &EngineHandover> = engines.collect();
         for (id, engine) in &mut self.engines {
-            let held = held.get(id).copied().cloned().unwrap_or_default();
-            let recent = held
+            let peer = engines.get(id).copied().cloned().unwrap_or_default();
+            let recent = peer
                 .recent_sends
                 .iter()
                 .filter(|(at, _)| *at + window > now);
             engine.siblings = SiblingEngineUsage {
                 engine: *id,
-                usage: held.usage,
+                usage: peer.usage,
                 cold_work_core_s: recent.map(|(_, work)| work).sum(),
                 quota: ThreadQuota::default(),
             };
         }
         let classes = self.settings.classes.iter();
-        let out = |class: &Class| {
-            let named = |held: &&ClassHandover| held.name == class.name && !class.retired;
-            let held = others.classes.iter().find(named);
-            held.map(|held| held.usage).unwrap_or_default()
+        let usage = |class: &Class| {
+            let is_same_class = |peer: &&ClassHandover| peer.name == class.name && !class.retired;
+            let peer = peers.classes.iter().find(is_same_class);
+            peer.map(|peer| peer.usage).unwrap_or_default()
         };
-        self.siblings.classes = classes.map(out).collect();
-        if !may_warm {
+        self.siblings.classes = classes.map(usage).collect();
+        if !may_use_cold_engines {
             self.started_at = Some(self.now.max(now));
         }
     }
 }
 
-/// This moment of one clock on another, given what both show now; zero stays what it is, no moment.
+/// Converts a time between two clocks, given what both show now; zero, which stands for no time, stays zero.
 fn translate_time(at: Micros, from: Micros, to: Micros) -> Micros {
     if at == Micros(0) {
         return at;
@@ -166,45 +171,49 @@
 }
 
 impl HandoverState {
-    /// The same with its times on another clock, given what both clocks show now.
+    /// Converts all times to another clock, given what both clocks show now.
     pub fn translate_clock(mut self, from: Micros, to: Micros) -> HandoverState {
         for engine in &mut self.engines {
             for (at, _) in &mut engine.recent_sends {
                 *at = translate_time(*at, from, to);
             }
-            let (rests, jammed) = engine.ejected_until;
+            let (failures_until, stall_until) = engine.ejected_until;
             engine.ejected_until = (
-                translate_time(rests, from, to),
-                translate_time(jammed, from, to),
+                translate_time(failures_until, from, to),
+                translate_time(stall_until, from, to),
             );
         }
         self
     }
 
-    /// What several hold, as one.
+    /// Adds the usage of another process; statistics of the first one take precedence.
     pub fn merge(mut self, other: HandoverState) -> HandoverState {
-        for more in other.engines {
+        for engine in other.engines {
             match self
                 .engines
                 .iter_mut()
-                .find(|held| held.engine == more.engine)
+                .find(|known| known.engine == engine.engine)
             {
-                Some(held) => {
-                    held.usage.threads += more.usage.threads;
-                    held.usage.memory_mb += more.usage.memory_mb;
-                    held.usage.table_groups.extend(more.usage.table_groups);
-                    held.recent_sends.extend(more.recent_sends);
+                Some(known) => {
+                    known.usage.threads += engine.usage.threads;
+                    known.usage.memory_mb += engine.usage.memory_mb;
+                    known.usage.table_groups.extend(engine.usage.table_groups);
+                    known.recent_sends.extend(engine.recent_sends);
                 }
-                None => self.engines.push(more),
+                None => self.engines.push(engine),
             }
         }
-        for more in other.classes {
-            match self.classes.iter_mut().find(|held| held.name == more.name) {
-                Some(held) => {
-                    held.usage.threads += more.usage.threads;
-                    held.usage.memory_mb += more.usage.memory_mb;
+        for class in other.classes {
+            match self
+                .classes
+                .iter_mut()
+                .find(|known| known.name == class.name)
+            {
+                Some(known) => {
+                    known.usage.threads += class.usage.threads;
+                    known.usage.memory_mb += class.usage.memory_mb;
                 }
-                None => self.classes.push(more),
+                None => self.classes.push(class),
             }
         }
         self
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -1,4 +1,4 @@
-//! The few engines that one of many gateways sends to, and what it holds for crowded.
+//! The subset of engines that one of many gateways sends to, and the slowdown by which answers indicate congestion.
 
 use crate::interface::{AttemptEnded, EngineId};
 use crate::policy::{CONGESTED, Gateway};
@@ -6,68 +6,71 @@
 use sedgebeam_fleet::circle;
 use std::collections::BTreeSet;
 
-/// All engines known, in the order in which every gateway walks them.
+/// All known engines in hash order, which is the same at every gateway.
 #[derive(Default)]
 pub(crate) struct Ring(Vec<EngineId>);
 
 impl Ring {
     pub fn add(&mut self, id: EngineId) {
-        let place = self
+        let index = self
             .0
             .binary_search_by_key(&splitmix64(id.0), |known| splitmix64(known.0));
-        if let Err(place) = place {
-            self.0.insert(place, id);
+        if let Err(index) = index {
+            self.0.insert(index, id);
         }
     }
 
-    pub fn keep(&mut self, stays: impl Fn(EngineId) -> bool) {
-        self.0.retain(|id| stays(*id));
+    pub fn keep(&mut self, is_kept: impl Fn(EngineId) -> bool) {
+        self.0.retain(|id| is_kept(*id));
     }
 }
 
 impl Gateway {
-    /// How many times as long as alone an answer took; without its work told, by its estimate. What an engine
-    /// that has started lately can't do yet is no crowd.
+    /// Time of an answer over its time on an idle engine, by the reported work or else the estimate. The reduced
+    /// capacity of an engine in slow start does not count as congestion.
     pub(crate) fn slowdown(&self, request: &Request, end: &AttemptEnded) -> f64 {
-        let told = end.work.map(|work| work.0 as f64 / request.threads);
-        let usual = self.stats[request.class].usual_ratio;
-        let guess = usual.map(|usual| request.estimated_duration_us().unwrap_or(1e6) * usual.exp());
-        let Some(alone) = told.or(guess) else {
+        let reported = end.work.map(|work| work.0 as f64 / request.threads);
+        let usual_ratio = self.stats[request.class].usual_ratio;
+        let estimated = usual_ratio
+            .map(|usual_ratio| request.estimated_duration_us().unwrap_or(1e6) * usual_ratio.exp());
+        let Some(idle_us) = reported.or(estimated) else {
             return 1.0;
         };
-        let able = self.capacity_share(end.engine);
-        // An answer is heard up to a tick late.
-        let tick = self.settings.tick.0 as f64;
-        end.elapsed.0 as f64 * able / (alone + tick).max(1.0)
+        let capacity_share = self.capacity_share(end.engine);
+        // An answer is processed up to one tick late.
+        let tick_us = self.settings.tick.0 as f64;
+        end.elapsed.0 as f64 * capacity_share / (idle_us + tick_us).max(1.0)
     }
 
-    /// Share of its capacity that an engine has by now: less than all of it where it has started lately.
+    /// Share of its capacity that an engine has now: less than 1 during slow start.
     pub(crate) fn capacity_share(&self, id: EngineId) -> f64 {
         let engine = self.engines.get(&id);
-        let age = engine.and_then(|engine| engine.cold_age_us(self.now, self.settings.warm_after));
-        age.map_or(1.0, |age| self.settings.slow_start().able(age))
+        let age_us =
+            engine.and_then(|engine| engine.cold_age_us(self.now, self.settings.warm_after));
+        age_us.map_or(1.0, |age_us| self.settings.slow_start().able(age_us))
     }
 
-    /// This gateway's number among all of them.
+    /// This gateway's index among all of them; pseudo-random if not configured.
     pub(crate) fn gateway_number(&self) -> u32 {
-        let drawn = splitmix64(self.seed) as u32 % self.settings.gateways.max(1);
-        self.settings.gateway_index.unwrap_or(drawn)
+        let random = splitmix64(self.seed) as u32 % self.settings.gateways.max(1);
+        self.settings.gateway_index.unwrap_or(random)
     }
 
-    /// The ring without the engines that are cold, or not listed any more.
+    /// The ring without the engines that are cold or no longer listed.
     pub(crate) fn warm_ring(&self) -> Vec<EngineId> {
-        let is_out = |engine: &&EngineView| !engine.is_listed() || self.is_cold(engine, self.now);
-        let out = self.engines.values().filter(is_out);
-        let out: BTreeSet<EngineId> = out.map(|engine| engine.entry.id).collect();
+        let is_excluded =
+            |engine: &&EngineView| !engine.is_listed() || self.is_cold(engine, self.now);
+        let excluded = self.engines.values().filter(is_excluded);
+        let excluded: BTreeSet<EngineId> = excluded.map(|engine| engine.entry.id).collect();
         let ring = self.ring.0.iter().copied();
-        if out.is_empty() {
+        if excluded.is_empty() {
             return ring.collect();
         }
-        ring.filter(|id| !out.contains(id)).collect()
+        ring.filter(|id| !excluded.contains(id)).collect()
     }
 
-    /// Keeps the engines of this gateway's circle, and cold ones on which a right is open. An engine that is
-    /// crowded or set aside gives its place to the next of the walk. They come by their numbers.
+    /// Keeps the engines of this gateway's subset, and cold ones that admission tokens allow. A congested or
+    /// ejected engine is replaced by the next one of the walk. `eligible` is sorted by id.
     pub(crate) fn narrow_to_subset(&self, eligible: &mut Vec<&EngineView>) {
         if !self.has_small_share {
             return;
@@ -76,16 +79,16 @@
         prefer(eligible, |engine| {
             engine.congestion.stretch(self.now.0) < CONGESTED
         });
-        let may = |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
-        let (me, gateways) = (
+        let find = |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
+        let (index, gateways) = (
             self.gateway_number() as usize,
             self.settings.gateways as usize,
         );
         let width = circle::width(self.concurrency_limit.rate(), ring.len());
-        let walk = circle::walk(me, gateways, ring.len()).map(|place| ring[place]);
-        let taken = walk.filter(|id| may(id).is_ok()).take(width);
-        let circle: BTreeSet<EngineId> = taken.collect();
+        let walk = circle::walk(index, gateways, ring.len()).map(|position| ring[position]);
+        let members = walk.filter(|id| find(id).is_ok()).take(width);
+        let subset: BTreeSet<EngineId> = members.collect();
         eligible
-            .retain(|engine| circle.contains(&engine.entry.id) || self.is_cold(engine, self.now));
+            .retain(|engine| subset.contains(&engine.entry.id) || self.is_cold(engine, self.now));
     }
 }
