--- a/src/reconfigure.rs
+++ b/src/reconfigure.rs
@@ -1,5 +1,5 @@
-//! New settings while the gateway runs. Classes and tenants keep their places in them; what was learned goes
-//! by name. Nothing is decided here.
+//! Applies new settings to a running gateway. Classes and tenants keep their indices; statistics are matched by
+//! class name. Contains no decisions.
 
 use crate::interface::{Class, Settings};
 use crate::policy::Gateway;
@@ -8,32 +8,31 @@
 use sedgebeam_fleet::cold::Rights;
 
 impl Settings {
-    /// Attempts that a request may have.
     pub(crate) fn attempts_allowed(&self) -> usize {
         match self.max_attempts {
             0 => usize::MAX,
-            most => most as usize,
+            max => max as usize,
         }
     }
 
-    /// Places of the classes that are in use.
+    /// Indices of the classes that are not retired.
     pub(crate) fn active_classes(&self) -> impl Iterator<Item = usize> + Clone {
         let classes = self.classes.iter().enumerate();
-        let used = classes.filter(|(_, class)| !class.retired);
-        used.map(|(place, _)| place)
+        let active = classes.filter(|(_, class)| !class.retired);
+        active.map(|(index, _)| index)
     }
 }
 
-/// The place at which a class of this name was: the same one, or else the last.
-fn earlier_index(classes: &[Class], place: usize, name: &str) -> Option<usize> {
-    let named = |class: &Class| class.name == name;
-    let here = classes.get(place).filter(|class| named(class));
-    here.map(|_| place)
-        .or_else(|| classes.iter().rposition(named))
+/// The index of the earlier class of this name: the same index, or else the last one.
+fn earlier_index(classes: &[Class], index: usize, name: &str) -> Option<usize> {
+    let is_named = |class: &Class| class.name == name;
+    let same = classes.get(index).filter(|class| is_named(class));
+    same.map(|_| index)
+        .or_else(|| classes.iter().rposition(is_named))
 }
 
 impl Credit {
-    /// The same parties and more of them, under other weights.
+    /// The same credits under other weights, with zero credit for additional parties.
     fn with_weights(&self, weights: Vec<f64>) -> Credit {
         let mut credit = self.credit.clone();
         credit.resize(weights.len(), 0.0);
@@ -42,45 +41,45 @@
 }
 
 impl Gateway {
-    /// Takes new settings. Classes and tenants that were there before have the places that they had; a request
-    /// under way keeps its class's place, and has the fewest attempts that were allowed since it came.
+    /// Applies new settings. Classes and tenants must keep their earlier indices. A request that was accepted
+    /// before keeps its class's index, and the smallest limit of attempts since its arrival.
     pub fn reconfigure(&mut self, settings: Settings) {
         let old = std::mem::replace(&mut self.settings, settings);
         let (settings, classes) = (&self.settings, self.settings.classes.iter());
-        let usual = |(place, class): (usize, &Class)| {
-            let earlier = earlier_index(&old.classes, place, &class.name);
-            earlier.map_or_else(ClassStats::default, |place| self.stats[place].clone())
+        let stats = |(index, class): (usize, &Class)| {
+            let earlier = earlier_index(&old.classes, index, &class.name);
+            earlier.map_or_else(ClassStats::default, |index| self.stats[index].clone())
         };
-        self.stats = classes.clone().enumerate().map(usual).collect();
+        self.stats = classes.clone().enumerate().map(stats).collect();
         let worths = classes.map(|class| class.worth.max(0.0)).collect();
         self.class_credit = self.class_credit.with_weights(worths);
-        let (before, unknown) = (old.tenants.len(), settings.tenants.len());
+        let (old_unknown, unknown) = (old.tenants.len(), settings.tenants.len());
         self.tenant_credit
             .resize(settings.classes.len(), Credit::default());
         for credit in &mut self.tenant_credit {
-            // The last place, that of no known tenant, stays the last.
+            // The last index, for requests without a known tenant, stays the last.
             let last = credit.credit.pop().unwrap_or_default();
             credit.credit.resize(unknown, 0.0);
             credit.credit.push(last);
             *credit = credit.with_weights(tenant_shares(&settings.tenants));
         }
         self.queues.resize(settings.classes.len(), unknown + 1);
-        let allowed = settings.attempts_allowed();
+        let attempts_allowed = settings.attempts_allowed();
         for request in self.requests.values_mut() {
-            request.attempts_allowed = request.attempts_allowed.min(allowed);
-            if request.tenant == before {
+            request.attempts_allowed = request.attempts_allowed.min(attempts_allowed);
+            if request.tenant == old_unknown {
                 request.tenant = unknown;
             }
         }
-        // A gateway that is told of fewer others has a larger part from now on, not of what was granted before; and its
-        // place between two rights is another, as at a start: the places of before lie close together.
-        let (me, other) = (
+        // With fewer other gateways its share grows from now on, but not that of tokens granted before. Its phase between
+        // two tokens changes as at a start, as the earlier phases of the gateways lie close together.
+        let (gateway_index, slow_start_changed) = (
             settings.gateway_index,
             old.slow_start() != settings.slow_start(),
         );
         for engine in self.engines.values_mut() {
             engine.admission_tokens.begin_anew();
-            if other || old.gateway_index != me {
+            if slow_start_changed || old.gateway_index != gateway_index {
                 engine.admission_tokens = Rights::default();
                 self.started_at = Some(self.now);
             }
@@ -116,23 +115,23 @@
     }
 
     #[test]
-    fn what_was_learned_goes_by_name_and_credit_by_place() {
+    fn statistics_move_with_the_class_name_and_credit_stays_at_its_index() {
         let mut gateway = Gateway::new(settings(&["a", "b"], &["x"]), 1);
-        for (place, taken) in [(0, 5.0), (1, 7.0)] {
-            gateway.stats[place].accepted_requests = taken;
-            gateway.class_credit.credit[place] = taken;
-            gateway.tenant_credit[place].credit = vec![1.0, -2.0];
+        for (index, value) in [(0, 5.0), (1, 7.0)] {
+            gateway.stats[index].accepted_requests = value;
+            gateway.class_credit.credit[index] = value;
+            gateway.tenant_credit[index].credit = vec![1.0, -2.0];
         }
         gateway.reconfigure(settings(&["c", "b", "a"], &["x", "y"]));
-        let taken: Vec<f64> = gateway
+        let accepted: Vec<f64> = gateway
             .stats
             .iter()
-            .map(|usual| usual.accepted_requests)
+            .map(|stats| stats.accepted_requests)
             .collect();
-        assert_eq!(taken, [0.0, 7.0, 5.0]);
+        assert_eq!(accepted, [0.0, 7.0, 5.0]);
         assert_eq!(gateway.class_credit.credit, [5.0, 7.0, 0.0]);
-        let credit = |place: usize| gateway.tenant_credit[place].credit.clone();
-        // Whoever names no tenant stands last, as before.
+        let credit = |index: usize| gateway.tenant_credit[index].credit.clone();
+        // The entry for requests without a known tenant is still the last one.
         assert_eq!(
             (credit(1), credit(2)),
             (vec![1.0, 0.0, -2.0], vec![0.0, 0.0, 0.0])
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -1,10 +1,11 @@
-//! Whether a request may be sent again, and by when: the second rule, and the budget of attempts.
+//! Whether a request may be sent again, and by when: at most once or within the deduplication window, as its class
+//! demands, and within the limits on attempts.
 
 use crate::interface::*;
 use crate::policy::Gateway;
 use crate::state::Request;
 
-/// A keyed repeat stays this far inside its window: a send takes time to arrive.
+/// A keyed repeat begins this long before its window ends, as a send takes time to arrive.
 const DEDUP_WINDOW_MARGIN: Micros = Micros::from_millis(50);
 
 impl Gateway {
@@ -14,17 +15,21 @@
             return true;
         };
         let first = self.engines.get(&earlier.engine).map(|first| &first.entry);
-        let same = match class.effect {
+        let is_deduplicated = match class.effect {
             Effect::Repeatable => return true,
             Effect::Once => false,
             Effect::Keyed(DedupScope::All) => true,
             Effect::Keyed(DedupScope::Zone) => first.is_some_and(|first| first.zone == engine.zone),
             Effect::Keyed(DedupScope::Cell) => first.is_some_and(|first| first.cell == engine.cell),
         };
-        same && self.latest_start(request).is_some_and(|by| self.now < by)
+        is_deduplicated
+            && self
+                .latest_start(request)
+                .is_some_and(|latest| self.now < latest)
     }
 
-    /// By when a repeat has to begin at its engine: engines drop it within the window of the first that may have run.
+    /// When a repeat must begin at the latest: engines drop it within the window after the first attempt that may
+    /// have run.
     pub(crate) fn latest_start(&self, request: &Request) -> Option<Micros> {
         let class = &self.settings.classes[request.class];
         let keyed = matches!(class.effect, Effect::Keyed(_));
@@ -33,13 +38,14 @@
     }
 
     pub(crate) fn attempt_limits_allow(&self, request: &Request) -> bool {
-        let (made, out) = (request.attempts.len(), request.attempts_in_flight());
+        let (made, in_flight) = (request.attempts.len(), request.attempts_in_flight());
         let copies = usize::from(self.settings.second_copies);
-        let rationed = self.settings.attempt_budget.is_some_and(|budget| {
-            let made = self.extra_attempts.count(self.now, budget.window) + 1.0;
-            made > budget.free_attempts
-                + budget.extra_per_request * self.accepted.count(self.now, budget.window)
+        let over_budget = self.settings.attempt_budget.is_some_and(|budget| {
+            let extra = self.extra_attempts.count(self.now, budget.window) + 1.0;
+            extra
+                > budget.free_attempts
+                    + budget.extra_per_request * self.accepted.count(self.now, budget.window)
         });
-        made < request.attempts_allowed && out <= copies && (made == 0 || !rationed)
+        made < request.attempts_allowed && in_flight <= copies && (made == 0 || !over_budget)
     }
 }
