--- a/src/sizing.rs
+++ b/src/sizing.rs
@@ -1,26 +1,26 @@
-//! What follows from the settings alone: the size of the fleet against that of its queries.
+//! Values derived from the settings alone, from the size of the fleet relative to its queries.
 
 use crate::interface::{Class, Settings, Tenant};
 use sedgebeam_fleet::cold::Warming;
 use sedgebeam_fleet::{Multiple, Rests};
 
-/// Threads out a core, over all gateways, that an engine under pressure gets (DESIGN).
+/// Threads in flight per core, over all gateways, on an engine under pressure.
 pub(crate) const THREADS_PER_CORE: f64 = 2.0;
-/// Own threads beyond this multiple of the budget are pressure by themselves: the signs come late.
+/// Limit of own threads as a multiple of the budget while there is no pressure, as signs of pressure come late.
 pub(crate) const OWN_BUDGET_FACTOR: f64 = 2.0;
-/// Least multiple of its part that a gateway may have out: enough to hear when a crowd is over.
+/// Least multiple of its share that a gateway may have in flight: enough to notice the end of congestion.
 const MIN_SHARE_MULTIPLE: f64 = 0.25;
-/// Most multiple of all.
+/// Largest multiple for any gateway.
 const MAX_SHARE_MULTIPLE: f64 = 8.0;
-/// Standard deviations of a gateway's own traffic that it may have out beyond its part.
+/// Standard deviations of its own traffic that a gateway may have in flight beyond its share.
 const TRAFFIC_DEVIATIONS: f64 = 0.667;
-/// The lightest query takes about this part of its time limit.
+/// The lightest query takes about this share of its time limit.
 const LIGHTEST_QUERY_SHARE: f64 = 0.25;
 
-/// Shares of tenants where told, else all alike; last those of no known tenant.
+/// The tenants' shares if configured, else equal ones; the last is for requests without a known tenant.
 pub(crate) fn tenant_shares(tenants: &[Tenant]) -> Vec<f64> {
-    let told = tenants.iter().any(|tenant| tenant.share > 0.0);
-    let share = |tenant: &Tenant| if told { tenant.share } else { 1.0 };
+    let configured = tenants.iter().any(|tenant| tenant.share > 0.0);
+    let share = |tenant: &Tenant| if configured { tenant.share } else { 1.0 };
     tenants.iter().map(share).chain([1.0]).collect()
 }
 
@@ -35,7 +35,7 @@
         f64::from(self.gateways.max(1))
     }
 
-    /// Requests a second that come to each gateway, as far as tenants' shares tell; zero where they do not.
+    /// Requests per second at each gateway by the tenants' settings; zero if unknown.
     fn expected_rate(&self) -> f64 {
         let rates = self
             .tenants
@@ -44,7 +44,8 @@
         rates.sum::<f64>() / self.gateway_count()
     }
 
-    /// How much of the fleet a gateway may have out. Engines with a line for memory bound themselves what they run.
+    /// Concurrency limit of a gateway. Engines that queue for memory limit themselves what they run, so that the
+    /// bounds are wider.
     pub(crate) fn concurrency_limit(&self) -> Multiple {
         let bounds = if self.queues_for_memory {
             (OWN_BUDGET_FACTOR, MAX_SHARE_MULTIPLE)
@@ -54,30 +55,30 @@
         Multiple::new(OWN_BUDGET_FACTOR, bounds, self.expected_rate())
     }
 
-    /// The most of that, for a gateway whose part is so many threads: what engines bear of all together, and what its own
-    /// traffic scatters by chance, which is more the fewer of the heaviest queries a part holds.
-    pub(crate) fn max_share_multiple(&self, part: f64) -> f64 {
+    /// Largest concurrency limit of a gateway whose share is `share_threads`: what the engines can take from all
+    /// gateways, plus the random variation of its own traffic, which grows as the share holds fewer heavy queries.
+    pub(crate) fn max_share_multiple(&self, share_threads: f64) -> f64 {
         if self.queues_for_memory {
             return MAX_SHARE_MULTIPLE;
         }
         let heaviest = self.heaviest_class_threads();
         // One query must fit an engine, whatever its size.
-        let whole = heaviest / (self.max_cores() * THREADS_PER_CORE);
-        let chance = (heaviest / part.max(f64::MIN_POSITIVE)).sqrt();
-        (1.0 + TRAFFIC_DEVIATIONS * chance).clamp(whole.max(1.0), MAX_SHARE_MULTIPLE.max(whole))
+        let one_query = heaviest / (self.max_cores() * THREADS_PER_CORE);
+        let deviation = (heaviest / share_threads.max(f64::MIN_POSITIVE)).sqrt();
+        (1.0 + TRAFFIC_DEVIATIONS * deviation)
+            .clamp(one_query.max(1.0), MAX_SHARE_MULTIPLE.max(one_query))
     }
 
-    /// A gateway's part of an engine is less than its heaviest query: its own counts say next to nothing of
-    /// the engine's load, and what is told must.
+    /// Whether a gateway's share of an engine is less than its heaviest query. Then its own counts say little about
+    /// the engine's load, and reported load decides.
     pub(crate) fn has_small_share(&self) -> bool {
         self.max_cores() * THREADS_PER_CORE < self.heaviest_class_threads() * self.gateway_count()
     }
 
-    /// Threads of the heaviest class.
     fn heaviest_class_threads(&self) -> f64 {
         let threads = self
             .active_classes()
-            .map(|place| self.classes[place].threads);
+            .map(|index| self.classes[index].threads);
         threads.fold(1.0, f64::max)
     }
 
@@ -91,11 +92,11 @@
         }
     }
 
-    /// Rests of engines that are tried with the lightest query.
+    /// Ejection policy; ejected engines are tried with the lightest query.
     pub(crate) fn ejection_policy(&self) -> Rests {
-        let work = |class: &Class| class.threads.max(1.0) * class.on_time.0 as f64 / 1e6;
-        let classes = self.active_classes().map(|place| &self.classes[place]);
-        let lightest = classes.map(work).fold(f64::MAX, f64::min) * LIGHTEST_QUERY_SHARE;
+        let thread_secs = |class: &Class| class.threads.max(1.0) * class.on_time.0 as f64 / 1e6;
+        let classes = self.active_classes().map(|index| &self.classes[index]);
+        let lightest = classes.map(thread_secs).fold(f64::MAX, f64::min) * LIGHTEST_QUERY_SHARE;
         let (gateways, cores) = (self.gateway_count(), self.max_cores());
         Rests::new(gateways, cores, lightest, self.has_small_share())
     }
