--- a/src/fleet_scan.rs
+++ b/src/fleet_scan.rs
@@ -1,25 +1,26 @@
-//! What holds for all engines together. It is found by looking at each, and anew only where that may say something else.
+//! Caches values that depend on all engines. They are recomputed only after a change that may affect them, as a scan
+//! of all engines in each call would be slow.
 
 use crate::interface::{EngineId, Event, Micros};
 use crate::policy::Gateway;
 use crate::state::{EngineView, FleetTotals};
 
-/// How far the last look at all engines holds.
+/// Result of the last scan of all engines, and how long it is valid.
 #[derive(Default)]
 pub(crate) struct FleetScan {
-    /// Something has happened that it depends on.
+    /// An event that may affect the result has happened since.
     pub is_outdated: bool,
-    /// Nothing about an engine changes by itself before.
+    /// Time of the next change without an event: the end of an ejection or of a slow start.
     valid_until: Micros,
-    /// Engines that are listed and set aside, and until when if nothing is heard of them.
+    /// Listed engines that are ejected, and until when unless they reply before.
     ejected: Vec<(EngineId, Micros)>,
-    /// Engines that are listed and warm, in the order of the ring.
+    /// Engines that are listed and warm, in ring order.
     pub warm_ring: Vec<EngineId>,
     pub any_cold: bool,
 }
 
-/// Whether an event may change what is known of an engine. What is sent, and what is found out by a look at what waits,
-/// is noted where it happens.
+/// Whether an event may change the state of an engine. Sends and the checks of requests set `is_outdated`
+/// themselves.
 pub(crate) fn affects_engines(event: &Event) -> bool {
     !matches!(
         event,
@@ -36,43 +37,46 @@
         !self.scan.is_outdated && self.now < self.scan.valid_until
     }
 
-    /// Finds what holds for the fleet as a whole, where that may have changed. The pace is that of the middle engine: a
-    /// trouble common to all slows none against the others.
+    /// Scans the engines if the last result may be outdated. The fleet's service time ratio is the median of the
+    /// engines', so that trouble common to all engines makes none of them appear slow.
     pub(crate) fn refresh_scan(&mut self) {
         if !self.is_scan_current() {
             self.scan_engines();
         }
-        let most = self.settings.max_share_multiple(self.fleet.thread_share);
-        self.concurrency_limit.bound(most);
+        let max_multiple = self.settings.max_share_multiple(self.fleet.thread_share);
+        self.concurrency_limit.bound(max_multiple);
     }
 
     fn scan_engines(&mut self) {
-        let (mut fleet, mut paces) = (
+        let (mut fleet, mut ratios) = (
             FleetTotals::default(),
             Vec::with_capacity(self.engines.len()),
         );
         for engine in self.engines.values().filter(|engine| engine.is_listed()) {
-            paces.push(engine.service_time_ratio);
+            ratios.push(engine.service_time_ratio);
             let share = self.usable_share(engine);
             fleet.thread_share += share * self.thread_budget(engine);
             fleet.memory_share_mb += share * engine.memory_mb / self.settings.gateway_count();
         }
-        let middle = paces.len() / 2;
-        if !paces.is_empty() {
-            fleet.median_ratio = *paces.select_nth_unstable_by(middle, f64::total_cmp).1;
+        let middle = ratios.len() / 2;
+        if !ratios.is_empty() {
+            fleet.median_ratio = *ratios.select_nth_unstable_by(middle, f64::total_cmp).1;
         }
         self.scan = FleetScan {
-            // Budgets go by the pace of the look before.
+            // Thread budgets were computed with the median of the scan before.
             is_outdated: fleet.median_ratio != self.fleet.median_ratio,
             valid_until: self.next_change(),
             ejected: self.find_ejected(),
             warm_ring: self.warm_ring(),
-            any_cold: self.engines.values().any(|e| self.is_cold(e, self.now)),
+            any_cold: self
+                .engines
+                .values()
+                .any(|engine| self.is_cold(engine, self.now)),
         };
         self.fleet = fleet;
     }
 
-    /// When a rest or a warm-up ends next.
+    /// When the next ejection or slow start ends.
     fn next_change(&self) -> Micros {
         let changes = self.engines.values().flat_map(|engine| {
             let warm_at = engine.entry.started_at + self.settings.warm_after;
@@ -88,7 +92,7 @@
         until.filter(|(_, until)| *until > self.now).collect()
     }
 
-    /// Engines that are listed and set aside, and until when if nothing is heard of them.
+    /// Listed engines that are ejected, and until when unless they reply before.
     pub fn ejected_engines(&self) -> Vec<(EngineId, Micros)> {
         if self.is_scan_current() {
             self.scan.ejected.clone()
--- a/src/fleet_scan/tests.rs
+++ b/src/fleet_scan/tests.rs
@@ -1,5 +1,5 @@
-//! A look at all engines that is left out changes no decision: a gateway that looks at each call does the same as one that
-//! looks only where something may have changed.
+//! Skipping a scan of the engines must not change a decision: a gateway that scans in each call must act the same as one
+//! that scans only after changes.
 
 use crate::interface::*;
 use crate::policy::Gateway;
@@ -8,9 +8,9 @@
 
 const MS: u64 = 1000;
 
-struct Draws(u64);
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = splitmix64(self.0);
         self.0 % bound
@@ -58,28 +58,28 @@
     }
 }
 
-/// What the engines and clients do next, given what was sent.
-fn events(draws: &mut Draws, now: Micros, out: &mut VecDeque<AttemptEnded>) -> Vec<Event> {
+/// Random events of engines and clients after the attempts that were sent.
+fn events(random: &mut Random, now: Micros, in_flight: &mut VecDeque<AttemptEnded>) -> Vec<Event> {
     let mut events = Vec::new();
-    for _ in 0..draws.below(3) {
-        let class = ClassId(draws.below(3) as usize);
-        let remaining = Micros::from_millis(300 + draws.below(2000));
+    for _ in 0..random.below(3) {
+        let class = ClassId(random.below(3) as usize);
+        let remaining = Micros::from_millis(300 + random.below(2000));
         let query = Query {
-            work: Micros::from_millis(20 + draws.below(400)),
-            table_group: TableGroupId(draws.below(9)),
+            work: Micros::from_millis(20 + random.below(400)),
+            table_group: TableGroupId(random.below(9)),
             ..Query::new(
-                RequestId(splitmix64(now.0 ^ draws.below(1 << 40))),
+                RequestId(splitmix64(now.0 ^ random.below(1 << 40))),
                 class,
                 remaining,
             )
         };
         events.push(Event::Request(query));
     }
-    for _ in 0..draws.below(3) {
-        let Some(mut end) = out.pop_front() else {
+    for _ in 0..random.below(3) {
+        let Some(mut end) = in_flight.pop_front() else {
             break;
         };
-        end.outcome = match draws.below(8) {
+        end.outcome = match random.below(8) {
             0 => Outcome::Reset,
             1 => Outcome::ConnectFailed,
             2 => Outcome::TimedOut,
@@ -87,32 +87,32 @@
             _ => Outcome::Ok,
         };
         end.request_finished = end.outcome == Outcome::Ok;
-        end.elapsed = Micros::from_millis(5 + draws.below(900));
+        end.elapsed = Micros::from_millis(5 + random.below(900));
         events.push(Event::Ended(end));
     }
-    if draws.below(20) == 0 {
-        let id = 1 + draws.below(12);
-        let state = if draws.below(3) == 0 {
+    if random.below(20) == 0 {
+        let id = 1 + random.below(12);
+        let state = if random.below(3) == 0 {
             EngineState::Draining
         } else {
             EngineState::Ready
         };
-        let started_at = Micros(draws.below(2) * now.0);
+        let started_at = Micros(random.below(2) * now.0);
         let engines = vec![engine(id, state, started_at)];
         let kind = ListKind::Changes;
         events.push(Event::List { kind, engines });
     }
-    if draws.below(10) == 0 {
-        let engine = EngineId(1 + draws.below(12));
+    if random.below(10) == 0 {
+        let engine = EngineId(1 + random.below(12));
         events.push(Event::Probed(engine, Outcome::Ok, None));
     }
     events.push(Event::Timer(TimerId(0)));
     events
 }
 
-fn play(seed: u64, gateways: u32) {
-    let mut draws = Draws(seed);
-    let (mut always, mut seldom) = (
+fn compare_gateways(seed: u64, gateways: u32) {
+    let mut random = Random(seed);
+    let (mut always_scans, mut scans_on_change) = (
         Gateway::new(settings(gateways), seed),
         Gateway::new(settings(gateways), seed),
     );
@@ -122,15 +122,19 @@
         kind: ListKind::Complete,
         engines: listed.collect(),
     }];
-    let mut out = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     let mut sent = 0;
     for _ in 0..1500 {
-        always.scan.is_outdated = true;
-        let actions = always.handle(now, next.clone());
-        assert_eq!(actions, seldom.handle(now, next), "seed {seed} at {now:?}");
+        always_scans.scan.is_outdated = true;
+        let actions = always_scans.handle(now, next.clone());
         assert_eq!(
-            always.ejected_engines(),
-            seldom.ejected_engines(),
+            actions,
+            scans_on_change.handle(now, next),
+            "seed {seed} at {now:?}"
+        );
+        assert_eq!(
+            always_scans.ejected_engines(),
+            scans_on_change.ejected_engines(),
             "seed {seed} at {now:?}"
         );
         for action in &actions {
@@ -139,12 +143,12 @@
             } = action
             {
                 sent += 1;
-                let earlier = out
+                let earlier = in_flight
                     .iter()
                     .filter(|end: &&AttemptEnded| end.request == *request);
-                assert_eq!(earlier.count(), 0, "two attempts are out");
-                let known = &always.requests[request];
-                out.push_back(AttemptEnded {
+                assert_eq!(earlier.count(), 0, "two attempts are in flight");
+                let known = &always_scans.requests[request];
+                in_flight.push_back(AttemptEnded {
                     request: *request,
                     attempt: AttemptNo(known.attempts.len() as u32 - 1),
                     engine: *engine,
@@ -156,17 +160,17 @@
                 });
             }
         }
-        now = now + Micros(draws.below(40 * MS));
-        next = events(&mut draws, now, &mut out);
+        now = now + Micros(random.below(40 * MS));
+        next = events(&mut random, now, &mut in_flight);
     }
     assert!(sent > 100, "{sent}");
 }
 
 #[test]
-fn a_look_that_is_left_out_changes_no_decision() {
+fn skipping_a_scan_of_the_engines_changes_no_decision() {
     for seed in 1..=20 {
         for gateways in [1, 3, 60] {
-            play(seed, gateways);
+            compare_gateways(seed, gateways);
         }
     }
 }
