--- a/src/policy.rs
+++ b/src/policy.rs
@@ -11,9 +11,9 @@
 use sedgebeam_fleet::{Multiple, Rests, STRIKES, asking};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bound of credit and debt, in releases: limits the effect of an idle period or of many yielded turns.
+/// Limit of credit and debt, in releases, so that an idle period or many yielded turns have no long effect.
 pub const MAX_CREDIT: f64 = 4.0;
-/// A class is light if its requests take less than this share of the heaviest class's thread seconds.
+/// A class is light if a request takes less than this share of the heaviest class's thread seconds.
 const LIGHT_RATIO: f64 = 0.25;
 /// An engine slower than usual by this factor is under pressure.
 const PRESSURE_SLOWDOWN: f64 = 1.5;
@@ -25,7 +25,7 @@
 const MAX_MEMORY_SHARE: f64 = 0.75;
 /// How long a note of waiting or spilling, or a rejection, counts as pressure.
 const PRESSURE_DURATION: Micros = Micros::from_millis(1000);
-/// Least bound of a queue's length: with a bound of zero the smallest burst would be refused.
+/// Smallest bound of a queue's length: a bound of zero would refuse the smallest burst.
 const MIN_QUEUE_BOUND: f64 = 3.0;
 /// Loads of one table group run on at most this share of the engines; further ones wait.
 const MAX_LOADING_SHARE: f64 = 0.4;
@@ -37,10 +37,10 @@
 const USUAL_STEP: f64 = 0.03;
 /// Quantile of the samples taken as usual: below the median, so that congestion does not become usual.
 const USUAL_QUANTILE: f64 = 0.4;
-/// Least share of its cores that an engine counts with, however slow it appears.
+/// Smallest share of its cores that an engine counts with, however slow it appears.
 const MIN_CORES_SHARE: f64 = 0.2;
 const LIST_RETRY_DELAY: Micros = Micros::from_millis(2000);
-/// Note intervals without a note after which an attempt is lost, or an engine with attempts is silent.
+/// Note intervals without a note after which an attempt is lost, or an engine that runs attempts is silent.
 const MISSED_NOTES: f64 = 2.5;
 /// A plan is bad if the remaining time at its speed is this multiple of a new attempt's time.
 const BAD_PLAN_FACTOR: f64 = 2.5;
@@ -64,6 +64,7 @@
 /// How long another gateway's load, noticed by a query that waits for it, is assumed to run.
 const FOREIGN_LOAD_DURATION: Micros = Micros::from_millis(800);
 const CHECK_INTERVAL: Micros = Micros::from_millis(10);
+/// Reported load expires after this; the engine then counts as having a free slot.
 const REPORT_TTL: Micros = Micros::from_millis(3000);
 /// A load report younger than this replaces a probe; a probe unanswered for this long has failed.
 const PROBE_TTL: Micros = Micros::from_millis(150);
@@ -126,9 +127,9 @@
     /// Multiple of its share of the fleet that this gateway may have in flight.
     pub(crate) concurrency_limit: Multiple,
     pub(crate) ejection: Rests,
-    /// Of the requests received.
+    /// Mean over the received requests.
     mean_worth: MovingMean,
-    /// Of the answered attempts; their ratio is the mean threads of a query in flight.
+    /// Means over the answered attempts; their ratio is the mean number of threads of a query in flight.
     mean_thread_time: MovingMean,
     mean_attempt_time: MovingMean,
     pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
@@ -257,10 +258,11 @@
             || (engine.total_threads() + request.threads <= limit && memory_fits)
     }
 
-    /// Whether this gateway's share of the fleet has threads and memory left; used where an engine's budget
-    /// is under one query. The limit follows the congestion of answers, as a fixed one would refuse random
-    /// bursts that engines could run. A random part of the query must fit, as the share may be under one too.
-    /// Heavy queries do not count against light ones, which take little, but a flood of them comes on top.
+    /// Whether this gateway's share of the fleet has threads and memory left; used if its budget on an engine
+    /// is under one query. The limit follows the congestion that answers indicate: a fixed limit would refuse
+    /// random bursts that engines could run. A random part of the query must fit, as even the share of the
+    /// fleet may be under one query. Heavy queries in flight do not count against light ones, which take
+    /// little; the cost is that a flood of light ones comes on top.
     fn fits_fleet_share(&self, request: &Request) -> bool {
         if !self.has_small_share {
             return true;
@@ -276,7 +278,7 @@
                 memory_mb += class_memory_mb;
             }
         }
-        // Light queries take little and run first on engines: they keep at least the whole share.
+        // Light queries take little and run first on engines: they may always use the full share.
         let multiple = self.concurrency_limit.parts(if light { 1.0 } else { 0.0 });
         let fraction = self.pseudo_random(request.query.id.0);
         let max_memory_mb = self.fleet.memory_share_mb
@@ -362,8 +364,9 @@
         asking::asked(cost, worth, self.mean_worth.0.unwrap_or(worth))
     }
 
-    /// Refuses requests over the queue bound of their class, the newest of the tenant farthest over its share
-    /// first: otherwise a tenant that floods the queue would get the requests of others refused.
+    /// Refuses requests over the queue bound of their class once no more can be released to any engine. The
+    /// newest one of the tenant farthest over its share goes first: otherwise a tenant that floods the queue
+    /// would get the requests of others refused.
     fn refuse_over_queue_bound(&mut self) {
         for id in std::mem::take(&mut self.arrivals).into_iter().rev() {
             let request = self.requests.get(&id).filter(|request| request.is_queued);
--- a/src/sharding.rs
+++ b/src/sharding.rs
@@ -1,4 +1,4 @@
-//! One gateway as several shards: each decides for its own requests, and together they keep the limits of one.
+//! One gateway as several shards: each decides for its own requests, and together they keep the limits of one gateway.
 //!
 //! A shard gets the usage of its siblings before it decides ([`Gateway::update_siblings`]) and publishes its own
 //! afterwards ([`Gateway::publish`]). In between it sends at most its thread quota, so that shards that decide at
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -73,7 +73,7 @@
         if !self.uses_admission_tokens() || !self.scan.any_cold {
             return;
         }
-        let (now, settings, gateway) = (self.now, &self.settings, self.gateway_number());
+        let (now, settings, gateway) = (self.now, &self.settings, self.gateway_index());
         let slow_start = settings.slow_start();
         let works = (0..settings.classes.len()).map(|class| self.core_secs(class));
         let works: Vec<f64> = works.collect();
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -51,7 +51,7 @@
     }
 
     /// This gateway's index among all of them; pseudo-random if not configured.
-    pub(crate) fn gateway_number(&self) -> u32 {
+    pub(crate) fn gateway_index(&self) -> u32 {
         let random = splitmix64(self.seed) as u32 % self.settings.gateways.max(1);
         self.settings.gateway_index.unwrap_or(random)
     }
@@ -81,7 +81,7 @@
         });
         let find = |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
         let (index, gateways) = (
-            self.gateway_number() as usize,
+            self.gateway_index() as usize,
             self.settings.gateways as usize,
         );
         let width = circle::width(self.concurrency_limit.rate(), ring.len());
