--- a/src/fleet_scan.rs
+++ b/src/fleet_scan.rs
@@ -1,96 +1,103 @@
-//! What holds for all engines together. It is found by looking at each, and anew only where that may say something else.
+//! Caches values that depend on all engines. They are recomputed only after a change that may affect them, as a scan
+//! of all engines in each call would be slow.
 
 use crate::interface::{EngineId, Event, Micros};
 use crate::policy::Gateway;
-use crate::state::{EngineView, Fleet};
+use crate::state::{EngineView, FleetTotals};
 
-/// How far the last look at all engines holds.
+/// Result of the last scan of all engines, and how long it is valid.
 #[derive(Default)]
-pub(crate) struct Surveyed {
-    /// Something has happened that it depends on.
-    pub outdated: bool,
-    /// Nothing about an engine changes by itself before.
-    until: Micros,
-    /// Engines that are listed and set aside, and until when if nothing is heard of them.
-    resting: Vec<(EngineId, Micros)>,
-    /// Engines that are listed and warm, in the order of the ring.
+pub(crate) struct FleetScan {
+    /// An event that may affect the result has happened since.
+    pub is_outdated: bool,
+    /// Time of the next change without an event: the end of an ejection or of a slow start.
+    valid_until: Micros,
+    /// Listed engines that are ejected, and until when unless they reply before.
+    ejected: Vec<(EngineId, Micros)>,
+    /// Engines that are listed and warm, in ring order.
     pub warm_ring: Vec<EngineId>,
     pub any_cold: bool,
 }
 
-/// Whether an event may change what is known of an engine. What is sent, and what is found out by a look at what waits,
-/// is noted where it happens.
-pub(crate) fn bears_on_engines(event: &Event) -> bool {
+/// Whether an event may change the state of an engine. Sends and the checks of requests set `is_outdated`
+/// themselves.
+pub(crate) fn affects_engines(event: &Event) -> bool {
     !matches!(
         event,
         Event::Request(_) | Event::Started(..) | Event::ClientLeft(_) | Event::Timer(_)
     )
 }
 
-fn rests_until(engine: &EngineView) -> Micros {
-    Micros(engine.health.ejected_until(engine.attempts_out > 0))
+fn ejected_until(engine: &EngineView) -> Micros {
+Micros(engine.health.ejected_until(engine.attempts_in_flight > 0))
 }
 
 impl Gateway {
-    fn survey_holds(&self) -> bool {
-        !self.surveyed.outdated && self.now < self.surveyed.until
+    fn is_scan_current(&self) -> bool {
+        !self.scan.is_outdated && self.now < self.scan.valid_until
     }
 
-    /// Finds what holds for the fleet as a whole, where that may have changed. The pace is that of the middle engine: a
-    /// trouble common to all slows none against the others.
-    pub(crate) fn survey(&mut self) {
-        if !self.survey_holds() {
-            self.look_at_engines();
+    /// Scans the engines if the last result may be outdated. The fleet's service time ratio is the median of the
+    /// engines', so that trouble common to all engines makes none of them appear slow.
+    pub(crate) fn refresh_scan(&mut self) {
+        if !self.is_scan_current() {
+            self.scan_engines();
         }
-        let most = self.settings.most_parts(self.fleet.threads);
-        self.multiple.set_max(most);
+ let max_multiple = self.settings.max_share_multiple(self.fleet.thread_share);
+self.concurrency_limit.set_max(max_multiple);
     }
 
-    fn look_at_engines(&mut self) {
-        let (mut fleet, mut paces) = (Fleet::default(), Vec::with_capacity(self.engines.len()));
-        for engine in self.engines.values().filter(|engine| engine.listed()) {
-            paces.push(engine.pace);
-            let share = self.able_share(engine);
-            fleet.threads += share * self.budget(engine);
-            fleet.memory_mb += share * engine.memory_mb / self.settings.all_gateways();
+    fn scan_engines(&mut self) {
+        let (mut fleet, mut ratios) = (
+            FleetTotals::default(),
+            Vec::with_capacity(self.engines.len()),
+        );
+        for engine in self.engines.values().filter(|engine| engine.is_listed()) {
+            ratios.push(engine.service_time_ratio);
+            let share = self.usable_share(engine);
+            fleet.thread_share += share * self.thread_budget(engine);
+            fleet.memory_share_mb += share * engine.memory_mb / self.settings.gateway_count();
         }
-        let middle = paces.len() / 2;
-        if !paces.is_empty() {
-            fleet.pace = *paces.select_nth_unstable_by(middle, f64::total_cmp).1;
+        let middle = ratios.len() / 2;
+        if !ratios.is_empty() {
+            fleet.median_ratio = *ratios.select_nth_unstable_by(middle, f64::total_cmp).1;
         }
-        self.surveyed = Surveyed {
-            // Budgets go by the pace of the look before.
-            outdated: fleet.pace != self.fleet.pace,
-            until: self.next_change(),
-            resting: self.resting(),
+        self.scan = FleetScan {
+            // Thread budgets were computed with the median of the scan before.
+            is_outdated: fleet.median_ratio != self.fleet.median_ratio,
+            valid_until: self.next_change(),
+            ejected: self.find_ejected(),
             warm_ring: self.warm_ring(),
-            any_cold: self.engines.values().any(|e| self.is_cold(e, self.now)),
+            any_cold: self
+                .engines
+                .values()
+                .any(|engine| self.is_cold(engine, self.now)),
         };
         self.fleet = fleet;
     }
 
-    /// When a rest or a warm-up ends next.
+    /// When the next ejection or slow start ends.
     fn next_change(&self) -> Micros {
         let changes = self.engines.values().flat_map(|engine| {
             let warm_at = engine.entry.started_at + self.settings.warm_after;
-            [rests_until(engine), warm_at]
+            [ejected_until(engine), warm_at]
         });
         let changes = changes.filter(|at| *at > self.now);
         changes.min().unwrap_or(Micros::MAX)
     }
 
-    fn resting(&self) -> Vec<(EngineId, Micros)> {
-        let listed = self.engines.iter().filter(|(_, engine)| engine.listed());
-        let until = listed.map(|(id, engine)| (*id, rests_until(engine)));
+    fn find_ejected(&self) -> Vec<(EngineId, Micros)> {
+        let listed = self.engines.iter().filter(|(_, engine)| engine.is_listed());
+        let until = listed.map(|(id, engine)| (*id, ejected_until(engine)));
         until.filter(|(_, until)| *until > self.now).collect()
     }
 
-    /// Engines that are listed and set aside, and until when if nothing is heard of them.
+    /// Listed engines that are ejected, and until when unless they reply before.
     pub fn ejected_engines(&self) -> Vec<(EngineId, Micros)> {
-        if self.survey_holds() {
-            self.surveyed.resting.clone()
+        if self.is_scan_current() {
+            self.scan.ejected.clone()
         } else {
-            self.resting()
+            self.find_ejected()
         }
     }
 }
