--- a/src/fleet_scan.rs
+++ b/src/fleet_scan.rs
@@ -29,7 +29,7 @@
 }
 
 fn ejected_until(engine: &EngineView) -> Micros {
-Micros(engine.health.ejected_until(engine.attempts_in_flight > 0))
+    Micros(engine.health.ejected_until(engine.attempts_in_flight > 0))
 }
 
 impl Gateway {
@@ -43,8 +43,8 @@
         if !self.is_scan_current() {
             self.scan_engines();
         }
- let max_multiple = self.settings.max_share_multiple(self.fleet.thread_share);
-self.concurrency_limit.set_max(max_multiple);
+        let max_multiple = self.settings.max_share_multiple(self.fleet.thread_share);
+        self.concurrency_limit.set_max(max_multiple);
     }
 
     fn scan_engines(&mut self) {
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -50,7 +50,7 @@
     /// Exports this gateway's usage and statistics.
     pub fn handover_state(&self) -> HandoverState {
         let engines = self.engines.iter().map(|(id, engine)| {
- let (failures_until, stall_until) = engine.health.handover_state();
+            let (failures_until, stall_until) = engine.health.handover_state();
             EngineHandover {
                 engine: *id,
                 usage: EngineUsage {
@@ -86,7 +86,7 @@
         HandoverState {
             engines: engines.collect(),
             classes,
- concurrency_limit: self.concurrency_limit.handover_state(),
+            concurrency_limit: self.concurrency_limit.handover_state(),
         }
     }
 
@@ -107,14 +107,14 @@
                 spill_margin: known.spill_margin,
             };
         }
- for handover in &state.engines {
-if let Some(engine) = self.engines.get_mut(&handover.engine) {
-engine.service_time_ratio = handover.service_time_ratio;
-let (failures_until, stall_until) = handover.ejected_until;
-engine.health.restore((failures_until.0, stall_until.0));
+        for handover in &state.engines {
+            if let Some(engine) = self.engines.get_mut(&handover.engine) {
+                engine.service_time_ratio = handover.service_time_ratio;
+                let (failures_until, stall_until) = handover.ejected_until;
+                engine.health.restore((failures_until.0, stall_until.0));
             }
         }
- self.concurrency_limit.restore(state.concurrency_limit);
+        self.concurrency_limit.restore(state.concurrency_limit);
     }
 
     /// Gives every request its final answer, as the process is about to end.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -99,9 +99,9 @@
         self.cores * share.clamp(MIN_CORES_SHARE, 1.0)
     }
 
- /// Ejected, or on trial while the trial attempt is in flight.
-pub(crate) fn is_ejected(&self, now: Micros) -> bool {
-self.health.is_ejected(now.0, self.attempts_in_flight > 0)
+    /// Ejected, or on trial while the trial attempt is in flight.
+    pub(crate) fn is_ejected(&self, now: Micros) -> bool {
+        self.health.is_ejected(now.0, self.attempts_in_flight > 0)
     }
 }
 
@@ -123,20 +123,20 @@
     pub(crate) scan: FleetScan,
     /// Seeds the pseudo-random choices that differ among gateways.
     pub(crate) seed: u64,
- pub(crate) has_small_share: bool,
-/// Multiple of its share of the fleet that this gateway may have in flight.
-pub(crate) concurrency_limit: ConcurrencyLimit,
-pub(crate) ejection: EjectionPolicy,
-/// Mean over the received requests.
-mean_worth: MovingMean,
-/// Means over the answered attempts; their ratio is the mean number of threads of a query in flight.
-mean_thread_time: MovingMean,
-mean_attempt_time: MovingMean,
-pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
-/// Requests accepted, and attempts after their first, within the attempt budget's window.
-pub(crate) accepted: SlidingWindow,
-pub(crate) extra_attempts: SlidingWindow,
-resubscribe_at: Option<Micros>,
+    pub(crate) has_small_share: bool,
+    /// Multiple of its share of the fleet that this gateway may have in flight.
+    pub(crate) concurrency_limit: ConcurrencyLimit,
+    pub(crate) ejection: EjectionPolicy,
+    /// Mean over the received requests.
+    mean_worth: MovingMean,
+    /// Means over the answered attempts; their ratio is the mean number of threads of a query in flight.
+    mean_thread_time: MovingMean,
+    mean_attempt_time: MovingMean,
+    pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
+    /// Requests accepted, and attempts after their first, within the attempt budget's window.
+    pub(crate) accepted: SlidingWindow,
+    pub(crate) extra_attempts: SlidingWindow,
+    resubscribe_at: Option<Micros>,
     timer_set: bool,
     /// Requests that arrived in this call.
     arrivals: Vec<RequestId>,
@@ -230,11 +230,11 @@
         (self.now < at + REPORT_TTL).then_some(load)
     }
 
- /// Own threads per core, plus the slowdown of answers if this gateway's share is too small to tell.
-fn utilization(&self, engine: &EngineView) -> f64 {
-let own = engine.total_threads() / engine.net_cores(self.fleet.median_ratio);
-let slowdown = engine.congestion.slowdown(self.now.0);
-own + if self.has_small_share { slowdown } else { 0.0 }
+    /// Own threads per core, plus the slowdown of answers if this gateway's share is too small to tell.
+    fn utilization(&self, engine: &EngineView) -> f64 {
+        let own = engine.total_threads() / engine.net_cores(self.fleet.median_ratio);
+        let slowdown = engine.congestion.slowdown(self.now.0);
+        own + if self.has_small_share { slowdown } else { 0.0 }
     }
 
     /// Whether the engine has a free slot: one query always; more within the thread budget, which is strict
@@ -278,14 +278,14 @@
                 memory_mb += class_memory_mb;
             }
         }
- // Light queries take little and run first on engines: they may always use the full share.
-let multiple = self.concurrency_limit.limit(if light { 1.0 } else { 0.0 });
-let fraction = self.pseudo_random(request.query.id.0);
-let max_memory_mb = self.fleet.memory_share_mb
-* (MEMORY_PER_THREAD_SHARE * multiple)
-.min(MAX_MEMORY_SHARE * self.concurrency_limit.traffic_ratio());
-request.threads <= self.siblings.quota.0
-&& threads + fraction * request.threads <= self.fleet.thread_share * multiple
+        // Light queries take little and run first on engines: they may always use the full share.
+        let multiple = self.concurrency_limit.limit(if light { 1.0 } else { 0.0 });
+        let fraction = self.pseudo_random(request.query.id.0);
+        let max_memory_mb = self.fleet.memory_share_mb
+            * (MEMORY_PER_THREAD_SHARE * multiple)
+                .min(MAX_MEMORY_SHARE * self.concurrency_limit.traffic_ratio());
+        request.threads <= self.siblings.quota.0
+            && threads + fraction * request.threads <= self.fleet.thread_share * multiple
             && (self.settings.queues_for_memory
                 || memory_mb + fraction * self.needed_mb(request) <= max_memory_mb)
     }
@@ -310,11 +310,11 @@
                 .work_us
                 .add(MEAN_GAIN, query.work.0 as f64);
         }
- self.mean_worth.add(MEAN_GAIN, class_settings.worth);
-self.stats[class].accepted_requests += 1.0;
-self.concurrency_limit.record_request(self.now.0);
-if let Some(key) = query.key.filter(|_| class_settings.in_key_order) {
-self.key_queues.entry(key).or_default().queue.push_back(id);
+        self.mean_worth.add(MEAN_GAIN, class_settings.worth);
+        self.stats[class].accepted_requests += 1.0;
+        self.concurrency_limit.record_request(self.now.0);
+        if let Some(key) = query.key.filter(|_| class_settings.in_key_order) {
+            self.key_queues.entry(key).or_default().queue.push_back(id);
         }
         let unknown = self.settings.tenants.len();
         let tenant = query.tenant.map_or(unknown, |tenant| tenant.0.min(unknown));
@@ -358,10 +358,10 @@
         Some(())
     }
 
- /// Number of engines probed for a query of the class.
-fn probe_count(&self, class: usize) -> usize {
-let (cost, worth) = (self.settings.probe_cost, self.settings.classes[class].worth);
-probing::probe_count(cost, worth, self.mean_worth.0.unwrap_or(worth))
+    /// Number of engines probed for a query of the class.
+    fn probe_count(&self, class: usize) -> usize {
+        let (cost, worth) = (self.settings.probe_cost, self.settings.classes[class].worth);
+        probing::probe_count(cost, worth, self.mean_worth.0.unwrap_or(worth))
     }
 
     /// Refuses requests over the queue bound of their class once no more can be released to any engine. The
@@ -483,8 +483,8 @@
             if self.now < probed_at + PROBE_TTL && eligible.iter().any(awaited) {
                 return None;
             }
- // Without further probes, an engine without a report beats a probed one without a slot.
-if !probing::may_probe_repeatedly(self.probe_count(request.class)) {
+            // Without further probes, an engine without a report beats a probed one without a slot.
+            if !probing::may_probe_repeatedly(self.probe_count(request.class)) {
                 eligible.retain(|engine| self.has_slot(engine, request));
             }
             prefer(&mut eligible, fresh);
@@ -547,10 +547,10 @@
         if let Some(load) = loads.max_by(f64::total_cmp) {
             engine.report = Some((load, self.now));
         }
- if ok {
-engine.last_seen_at = self.now;
-if engine.health.mark_responsive() {
-let log = format!("engine {} is no longer ejected", id.0);
+        if ok {
+            engine.last_seen_at = self.now;
+            if engine.health.mark_responsive() {
+                let log = format!("engine {} is no longer ejected", id.0);
                 self.actions.push(Action::Log(log));
             }
         }
@@ -566,11 +566,11 @@
     fn record_failure(&mut self, id: EngineId, failures: u32, reason: &str) -> Option<()> {
         self.scan.is_outdated = true;
         let engine = self.engines.get_mut(&id)?;
- if engine
-.health
-.record_failures(failures, self.now.0, self.ejection)
-{
-let log = format!("engine {} ejected: {reason}", id.0);
+        if engine
+            .health
+            .record_failures(failures, self.now.0, self.ejection)
+        {
+            let log = format!("engine {} ejected: {reason}", id.0);
             self.actions.push(Action::Log(log));
         }
         Some(())
@@ -590,11 +590,14 @@
         let fraction = self.pseudo_random(id.0 ^ self.now.0);
         self.scan.is_outdated = true;
         let engine = self.engines.get_mut(&id)?;
- if engine.health.record_stall(self.now.0, self.ejection, fraction) {
-let log = format!("engine {} ejected: its queries hardly progress", id.0);
+        if engine
+            .health
+            .record_stall(self.now.0, self.ejection, fraction)
+        {
+            let log = format!("engine {} ejected: its queries hardly progress", id.0);
             self.actions.push(Action::Log(log));
         }
- self.concurrency_limit.adjust(true);
+        self.concurrency_limit.adjust(true);
         Some(())
     }
 
@@ -625,8 +628,12 @@
         }
         for id in faulty {
             let engine = self.engines.get_mut(&id);
- if engine.is_some_and(|engine| engine.health.record_engine_error()) {
-self.record_failure(id, FAILURES_TO_EJECT, "fails requests that other engines serve");
+            if engine.is_some_and(|engine| engine.health.record_engine_error()) {
+                self.record_failure(
+                    id,
+                    FAILURES_TO_EJECT,
+                    "fails requests that other engines serve",
+                );
             }
         }
         Some(())
@@ -644,8 +651,8 @@
 
     /// Updates the statistics of the class and the engine from an answer.
     fn learn(&mut self, request: RequestId, engine: EngineId, end: &AttemptEnded) -> Option<()> {
- self.concurrency_limit
-.adjust(self.indicates_congestion(self.requests.get(&request)?, end));
+        self.concurrency_limit
+            .adjust(self.indicates_congestion(self.requests.get(&request)?, end));
         let request = self.requests.get(&request)?;
         let slowdown = self.slowdown(request, end);
         let stats = &mut self.stats[request.class];
@@ -661,10 +668,10 @@
         self.mean_attempt_time.add(MEAN_GAIN, us);
         stats.spill_margin *= 1.0 - SPILL_DECAY;
         if let Some(engine) = self.engines.get_mut(&engine) {
- engine.service_time_ratio += RATIO_GAIN * (deviation - engine.service_time_ratio);
-engine.congestion.record(self.now.0, slowdown);
-if slowdown < CONGESTED {
-engine.health.record_fast_response(self.now.0);
+            engine.service_time_ratio += RATIO_GAIN * (deviation - engine.service_time_ratio);
+            engine.congestion.record(self.now.0, slowdown);
+            if slowdown < CONGESTED {
+                engine.health.record_fast_response(self.now.0);
             }
         }
         Some(())
@@ -728,14 +735,14 @@
         if engine.attempts_in_flight == 0 {
             engine.last_seen_at = now;
         }
- request.granted_memory_mb = memory_mb;
-let was_ejected = engine.is_ejected(now);
-engine.attempt_started(request, self.settings.classes[request.class].holds_group);
-// A trial attempt may be in flight now.
-self.scan.is_outdated |= engine.is_ejected(now) != was_ejected;
-self.siblings.quota.0 -= request.threads;
-engine.record_send(now, window, work);
-engine.admission_tokens.consume(request.class);
+        request.granted_memory_mb = memory_mb;
+        let was_ejected = engine.is_ejected(now);
+        engine.attempt_started(request, self.settings.classes[request.class].holds_group);
+        // A trial attempt may be in flight now.
+        self.scan.is_outdated |= engine.is_ejected(now) != was_ejected;
+        self.siblings.quota.0 -= request.threads;
+        engine.record_send(now, window, work);
+        engine.admission_tokens.consume(request.class);
         if let (Some(budget), false) = (self.settings.attempt_budget, request.attempts.is_empty()) {
             self.extra_attempts.add(now, budget.window);
         }
@@ -769,9 +776,9 @@
             engine.attempt_ended(request, self.settings.classes[request.class].holds_group);
         }
         match end.outcome {
- // One of many gateways sends to an engine so rarely that it ejects it at the first refusal.
-Outcome::ConnectFailed if self.has_small_share => {
-self.record_failure(to, FAILURES_TO_EJECT, "can't be reached")
+            // One of many gateways sends to an engine so rarely that it ejects it at the first refusal.
+            Outcome::ConnectFailed if self.has_small_share => {
+                self.record_failure(to, FAILURES_TO_EJECT, "can't be reached")
             }
             Outcome::ConnectFailed => self.record_failure(to, 1, "refuses connections"),
             Outcome::Reset | Outcome::Error | Outcome::Ok => {
@@ -783,7 +790,7 @@
         let healthy = matches!(end.outcome, Outcome::Ok | Outcome::Rejected);
         self.record_reply(to, healthy, end.load_report);
         match end.outcome {
- Outcome::Rejected | Outcome::TimedOut => self.concurrency_limit.adjust(true),
+            Outcome::Rejected | Outcome::TimedOut => self.concurrency_limit.adjust(true),
             Outcome::Ok => self.learn(end.request, to, &end)?,
             _ => {}
         }
@@ -882,12 +889,12 @@
         }
         let to = attempt.engine;
         match note {
- Note::Progress(done) if self.is_stalled(request, attempt, done) => self
-.record_stall(to, attempt.sent_at)
-.and_then(|()| self.cancel_for_retry(id, number)),
-Note::Progress(done) if self.has_bad_plan(request, attempt, Some(done)) => {
-if !self.has_answered_quickly_since(to, attempt.sent_at) {
-self.concurrency_limit.adjust(true);
+            Note::Progress(done) if self.is_stalled(request, attempt, done) => self
+                .record_stall(to, attempt.sent_at)
+                .and_then(|()| self.cancel_for_retry(id, number)),
+            Note::Progress(done) if self.has_bad_plan(request, attempt, Some(done)) => {
+                if !self.has_answered_quickly_since(to, attempt.sent_at) {
+                    self.concurrency_limit.adjust(true);
                 }
                 self.cancel_for_retry(id, number)
             }
@@ -1006,11 +1013,11 @@
             if request.is_queued && now + CHECK_INTERVAL >= latest {
                 late.push(*id);
             }
- // The first of a queue probes other engines if the probed ones had no slot.
-let reprobe = self.queues.by_class[request.class][request.tenant].front() == Some(id);
-let reprobe = reprobe && probing::may_probe_repeatedly(self.probe_count(request.class));
-if reprobe && request.probed_at.is_some_and(|at| now >= at + PROBE_TTL) {
-to_probe.push(*id);
+            // The first of a queue probes other engines if the probed ones had no slot.
+            let reprobe = self.queues.by_class[request.class][request.tenant].front() == Some(id);
+            let reprobe = reprobe && probing::may_probe_repeatedly(self.probe_count(request.class));
+            if reprobe && request.probed_at.is_some_and(|at| now >= at + PROBE_TTL) {
+                to_probe.push(*id);
             }
             for (number, attempt) in request.attempts.iter().enumerate() {
                 let to = attempt.engine;
@@ -1031,9 +1038,9 @@
         for id in late {
             self.give_up(id);
         }
- let outage = 2 * silent.len() > self.engines.len();
-for engine in silent.into_iter().filter(|_| !outage) {
-self.record_failure(engine, FAILURES_TO_EJECT, "is silent");
+        let outage = 2 * silent.len() > self.engines.len();
+        for engine in silent.into_iter().filter(|_| !outage) {
+            self.record_failure(engine, FAILURES_TO_EJECT, "is silent");
         }
         for (id, number, to, sent_at, _) in lost.into_iter().filter(|lost| !(outage && lost.4)) {
             self.record_stall(to, sent_at);
--- a/src/reconfigure.rs
+++ b/src/reconfigure.rs
@@ -78,16 +78,17 @@
             old.slow_start() != settings.slow_start(),
         );
         for engine in self.engines.values_mut() {
- engine.admission_tokens.reset_baseline();
-if slow_start_changed || old.gateway_index != gateway_index {
-engine.admission_tokens = AdmissionTokens::default();
+            engine.admission_tokens.reset_baseline();
+            if slow_start_changed || old.gateway_index != gateway_index {
+                engine.admission_tokens = AdmissionTokens::default();
                 self.started_at = Some(self.now);
             }
         }
- self.scan.is_outdated = true;
-self.has_small_share = settings.has_small_share();
-self.concurrency_limit.reconfigure(settings.concurrency_limit());
-self.ejection = settings.ejection_policy();
+        self.scan.is_outdated = true;
+        self.has_small_share = settings.has_small_share();
+        self.concurrency_limit
+            .reconfigure(settings.concurrency_limit());
+        self.ejection = settings.ejection_policy();
     }
 }
 
--- a/src/sizing.rs
+++ b/src/sizing.rs
@@ -44,15 +44,15 @@
         rates.sum::<f64>() / self.gateway_count()
     }
 
- /// Concurrency limit of a gateway. Engines that queue for memory limit themselves what they run, so that the
-/// bounds are wider.
-pub(crate) fn concurrency_limit(&self) -> ConcurrencyLimit {
+    /// Concurrency limit of a gateway. Engines that queue for memory limit themselves what they run, so that the
+    /// bounds are wider.
+    pub(crate) fn concurrency_limit(&self) -> ConcurrencyLimit {
         let bounds = if self.queues_for_memory {
             (OWN_BUDGET_FACTOR, MAX_SHARE_MULTIPLE)
         } else {
             (MIN_SHARE_MULTIPLE, OWN_BUDGET_FACTOR)
         };
- ConcurrencyLimit::new(OWN_BUDGET_FACTOR, bounds, self.expected_rate())
+        ConcurrencyLimit::new(OWN_BUDGET_FACTOR, bounds, self.expected_rate())
     }
 
     /// Largest concurrency limit of a gateway whose share is `share_threads`: what the engines can take from all
@@ -82,22 +82,22 @@
         threads.fold(1.0, f64::max)
     }
 
- pub(crate) fn slow_start(&self) -> SlowStart {
-SlowStart {
-initial_capacity: self.start_capacity,
-warm_up_us: self.warm_after.0,
-overload_factor: self.overload_multiple,
-window_us: self.overload_window.0,
-gateway_count: self.gateway_count(),
+    pub(crate) fn slow_start(&self) -> SlowStart {
+        SlowStart {
+            initial_capacity: self.start_capacity,
+            warm_up_us: self.warm_after.0,
+            overload_factor: self.overload_multiple,
+            window_us: self.overload_window.0,
+            gateway_count: self.gateway_count(),
         }
     }
 
- /// Ejection policy; ejected engines are tried with the lightest query.
-pub(crate) fn ejection_policy(&self) -> EjectionPolicy {
-let thread_secs = |class: &Class| class.threads.max(1.0) * class.on_time.0 as f64 / 1e6;
-let classes = self.active_classes().map(|index| &self.classes[index]);
-let lightest = classes.map(thread_secs).fold(f64::MAX, f64::min) * LIGHTEST_QUERY_SHARE;
-let (gateways, cores) = (self.gateway_count(), self.max_cores());
-EjectionPolicy::new(gateways, cores, lightest, self.has_small_share())
+    /// Ejection policy; ejected engines are tried with the lightest query.
+    pub(crate) fn ejection_policy(&self) -> EjectionPolicy {
+        let thread_secs = |class: &Class| class.threads.max(1.0) * class.on_time.0 as f64 / 1e6;
+        let classes = self.active_classes().map(|index| &self.classes[index]);
+        let lightest = classes.map(thread_secs).fold(f64::MAX, f64::min) * LIGHTEST_QUERY_SHARE;
+        let (gateways, cores) = (self.gateway_count(), self.max_cores());
+        EjectionPolicy::new(gateways, cores, lightest, self.has_small_share())
     }
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -59,8 +59,8 @@
             return true;
         }
         let settled = self.started_at.is_some_and(|at| now >= at + window);
- if self.uses_admission_tokens() {
-return settled && engine.admission_tokens.is_available(request.class, now.0);
+        if self.uses_admission_tokens() {
+            return settled && engine.admission_tokens.is_available(request.class, now.0);
         }
         let capacity = engine.cores * settings.start_capacity * window.0 as f64 / 1e6;
         let budget = settings.overload_multiple * capacity * COLD_MARGIN / settings.gateway_count();
@@ -87,8 +87,10 @@
         let demand = demand.map(|((stats, work), class)| match class.retired {
             true => 0.0,
             false => {
- let share = (stats.accepted_requests + 1.0) / total_accepted;
-share * work * slow_start.use_probability(share * self.concurrency_limit.request_rate())
+                let share = (stats.accepted_requests + 1.0) / total_accepted;
+                share
+                    * work
+                    * slow_start.use_probability(share * self.concurrency_limit.request_rate())
             }
         });
         let demand: Vec<f64> = demand.collect();
@@ -100,18 +102,18 @@
             let Some(age_us) = engine.cold_age_us(now, warm_after) else {
                 continue;
             };
- let granted = slow_start.granted_work(age_us, engine.cores);
+            let granted = slow_start.granted_work(age_us, engine.cores);
             let salt = engine.entry.id.0;
             let phase = |class: usize| {
- slow_start::phase(
-gateway,
-slow_start.gateway_count,
+                slow_start::phase(
+                    gateway,
+                    slow_start.gateway_count,
                     splitmix64(salt ^ splitmix64(class as u64)),
                 )
             };
             engine
- .admission_tokens
-.refill(now.0, granted, &slow_start, &classes, phase);
+                .admission_tokens
+                .refill(now.0, granted, &slow_start, &classes, phase);
         }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -130,17 +130,17 @@
     pub foreign_loading_groups: Vec<(TableGroupId, Micros)>,
     pub last_seen_at: Micros,
     pub health: Health,
- /// Recent slowdown of its answers.
-pub congestion: Congestion,
-/// Allow sends while it is cold, where a gateway's share of it is under one query.
-pub admission_tokens: AdmissionTokens,
-/// Times and work, in core seconds, of the sends within the overload window.
-pub recent_sends: VecDeque<(Micros, f64)>,
-/// Work sent since this shard last published its usage.
-pub unpublished_work_core_s: f64,
-/// Whether siblings have published their usage of it, and that usage.
-pub siblings_known: bool,
-pub siblings: SiblingEngineUsage,
+    /// Recent slowdown of its answers.
+    pub congestion: Congestion,
+    /// Allow sends while it is cold, where a gateway's share of it is under one query.
+    pub admission_tokens: AdmissionTokens,
+    /// Times and work, in core seconds, of the sends within the overload window.
+    pub recent_sends: VecDeque<(Micros, f64)>,
+    /// Work sent since this shard last published its usage.
+    pub unpublished_work_core_s: f64,
+    /// Whether siblings have published their usage of it, and that usage.
+    pub siblings_known: bool,
+    pub siblings: SiblingEngineUsage,
 }
 
 impl EngineView {
@@ -183,9 +183,9 @@
     pub fn apply(&mut self, entry: Engine, kind: Kind) {
         (self.cores, self.memory_mb) = (kind.cores.max(1.0), kind.memory_mb);
         if entry.started_at > self.entry.started_at {
- (self.report, self.service_time_ratio) = (None, 0.0);
-(self.health, self.admission_tokens) = (Health::default(), AdmissionTokens::default());
-self.congestion = Congestion::default();
+            (self.report, self.service_time_ratio) = (None, 0.0);
+            (self.health, self.admission_tokens) = (Health::default(), AdmissionTokens::default());
+            self.congestion = Congestion::default();
         }
         self.entry = entry;
     }
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -45,9 +45,11 @@
     /// Share of its capacity that an engine has now: less than 1 during slow start.
     pub(crate) fn capacity_share(&self, id: EngineId) -> f64 {
         let engine = self.engines.get(&id);
- let age_us =
-engine.and_then(|engine| engine.cold_age_us(self.now, self.settings.warm_after));
-age_us.map_or(1.0, |age_us| self.settings.slow_start().capacity_share(age_us))
+        let age_us =
+            engine.and_then(|engine| engine.cold_age_us(self.now, self.settings.warm_after));
+        age_us.map_or(1.0, |age_us| {
+            self.settings.slow_start().capacity_share(age_us)
+        })
     }
 
     /// This gateway's index among all of them; pseudo-random if not configured.
@@ -77,17 +79,18 @@
         }
         let ring = &self.scan.warm_ring;
         prefer(eligible, |engine| {
- engine.congestion.slowdown(self.now.0) < CONGESTED
+            engine.congestion.slowdown(self.now.0) < CONGESTED
         });
- let find = |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
-let (index, gateways) = (
-self.gateway_index() as usize,
-self.settings.gateways as usize,
-);
-let width = subset::subset_size(self.concurrency_limit.request_rate(), ring.len());
-let walk = subset::selection_order(index, gateways, ring.len()).map(|position| ring[position]);
-let members = walk.filter(|id| find(id).is_ok()).take(width);
-let subset: BTreeSet<EngineId> = members.collect();
+        let find = |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
+        let (index, gateways) = (
+            self.gateway_index() as usize,
+            self.settings.gateways as usize,
+        );
+        let width = subset::subset_size(self.concurrency_limit.request_rate(), ring.len());
+        let walk =
+            subset::selection_order(index, gateways, ring.len()).map(|position| ring[position]);
+        let members = walk.filter(|id| find(id).is_ok()).take(width);
+        let subset: BTreeSet<EngineId> = members.collect();
         eligible
             .retain(|engine| subset.contains(&engine.entry.id) || self.is_cold(engine, self.now));
     }
