--- a/leases/src/engine_leases.rs
+++ b/leases/src/engine_leases.rs
@@ -97,7 +97,7 @@
         } else {
             free
         };
-        self.entry(shard).ended_threads = demand.ended.min(own_threads);
+        self.entry(shard).ended_threads = demand.ended_threads.min(own_threads);
         let quota = if free <= 0.0 || (has_sibling_lease && (is_cold || is_nearly_full)) {
             0.0
         } else if is_nearly_full {
--- a/leases/tests/interleavings.rs
+++ b/leases/tests/interleavings.rs
@@ -72,26 +72,26 @@
             .map_or(0.0, |queries| queries.iter().sum())
     }
 
- fn usage(&self, cold_work: f64) -> ShardUsage {
-let engine_usage = |engine| EngineUsage {
+    fn usage(&self, cold_work: f64) -> ShardUsage {
+        let engine_usage = |engine| EngineUsage {
             threads: self.threads(engine),
             ..EngineUsage::default()
         };
- let engines: Vec<_> = (0..ENGINE_COUNT)
-.map(EngineId)
-.map(|id| (id, engine_usage(id)))
-.collect();
-let threads = engines.iter().map(|(_, usage)| usage.threads).sum();
-ShardUsage {
+        let engines: Vec<_> = (0..ENGINE_COUNT)
+            .map(EngineId)
+            .map(|id| (id, engine_usage(id)))
+            .collect();
+        let threads = engines.iter().map(|(_, usage)| usage.threads).sum();
+        ShardUsage {
             engines,
             classes: vec![ClassUsage {
                 threads,
                 memory_mb: 0.0,
             }],
- waiting_requests: vec![vec![1]],
-work_sent_core_s: vec![(COLD_ENGINE, cold_work)],
-all_ended_by: Micros::MAX,
-..ShardUsage::default()
+            waiting_requests: vec![vec![1]],
+            work_sent_core_s: vec![(COLD_ENGINE, cold_work)],
+            all_ended_by: Micros::MAX,
+            ..ShardUsage::default()
         }
     }
 }
@@ -133,11 +133,11 @@
                 threads_before - shard.threads(id),
             ));
         }
- shard.open_requests = shard.open_requests.saturating_sub(usize::from(ended));
-let demand = Demand {
-threads: f64::from(demanded_threads),
-heaviest_class_threads: HEAVIEST_THREADS,
-engines,
+        shard.open_requests = shard.open_requests.saturating_sub(usize::from(ended));
+        let demand = Demand {
+            threads: f64::from(demanded_threads),
+            heaviest_class_threads: HEAVIEST_THREADS,
+            engines,
         };
         let lease =
             self.lease_table
@@ -156,30 +156,31 @@
             return;
         };
         let threads = f64::from(threads);
- let (mut sends, mut cold_work, mut fleet_quota) = (Vec::new(), 0.0, lease.siblings.quota.0);
-for sibling_usage in &lease.siblings.engines {
-let (mut quota, mut own_threads) =
-(sibling_usage.quota.0, shard.threads(sibling_usage.engine));
+        let (mut sends, mut cold_work, mut fleet_quota) = (Vec::new(), 0.0, lease.siblings.quota.0);
+        for sibling_usage in &lease.siblings.engines {
+            let (mut quota, mut own_threads) =
+                (sibling_usage.quota.0, shard.threads(sibling_usage.engine));
             for _ in 0..queries {
- let total_threads = own_threads + sibling_usage.usage.threads;
-let fits_limit = total_threads == 0.0 || total_threads + threads <= ENGINE_LIMIT;
-let cold_total = work_in_window(&shard.sent_to_cold, self.now)
-+ sibling_usage.cold_work_core_s + cold_work
-+ 0.5;
-let fits_cold_limit =
-sibling_usage.engine != COLD_ENGINE || cold_total <= COLD_LIMIT;
-if threads <= quota && threads <= fleet_quota && fits_limit && fits_cold_limit {
-sends.push(sibling_usage.engine);
-(quota, fleet_quota, own_threads) = (
-quota - threads,
-fleet_quota - threads,
-own_threads + threads,
-);
-cold_work += if sibling_usage.engine == COLD_ENGINE {
-0.5
-} else {
-0.0
-};
+                let total_threads = own_threads + sibling_usage.usage.threads;
+                let fits_limit = total_threads == 0.0 || total_threads + threads <= ENGINE_LIMIT;
+                let cold_total = work_in_window(&shard.sent_to_cold, self.now)
+                    + sibling_usage.cold_work_core_s
+                    + cold_work
+                    + 0.5;
+                let fits_cold_limit =
+                    sibling_usage.engine != COLD_ENGINE || cold_total <= COLD_LIMIT;
+                if threads <= quota && threads <= fleet_quota && fits_limit && fits_cold_limit {
+                    sends.push(sibling_usage.engine);
+                    (quota, fleet_quota, own_threads) = (
+                        quota - threads,
+                        fleet_quota - threads,
+                        own_threads + threads,
+                    );
+                    cold_work += if sibling_usage.engine == COLD_ENGINE {
+                        0.5
+                    } else {
+                        0.0
+                    };
                 }
             }
         }
@@ -284,11 +285,11 @@
 }
 
 fn engine_demand(engine: EngineId, is_cold: bool, ended: f64) -> EngineDemand {
-EngineDemand {
+    EngineDemand {
         engine,
- max_threads: ENGINE_LIMIT,
-is_cold: cold: is_cold,
-ended_threads: ended,
+        max_threads: ENGINE_LIMIT,
+        is_cold,
+        ended_threads: ended,
     }
 }
 
@@ -304,22 +305,22 @@
 }
 
 fn demand(threads: f64, is_cold: bool) -> Demand {
-Demand {
+    Demand {
         threads,
- heaviest_class_threads: HEAVIEST_THREADS,
-engines: vec![engine_demand(EngineId(1), is_cold, 0.0)],
+        heaviest_class_threads: HEAVIEST_THREADS,
+        engines: vec![engine_demand(EngineId(1), is_cold, 0.0)],
     }
 }
 
 fn usage(threads: f64, until: Micros) -> ShardUsage {
-let engine_usage = EngineUsage {
+    let engine_usage = EngineUsage {
         threads,
         table_groups: vec![TableGroupId(7)],
         ..EngineUsage::default()
     };
- ShardUsage {
-engines: vec![(EngineId(1), engine_usage)],
-classes: vec![ClassUsage {
+    ShardUsage {
+        engines: vec![(EngineId(1), engine_usage)],
+        classes: vec![ClassUsage {
             threads,
             memory_mb: 0.0,
         }],
@@ -330,7 +331,7 @@
 }
 
 fn quota(lease: &Lease) -> f64 {
-lease.siblings.engines[0].quota.0
+    lease.siblings.engines[0].quota.0
 }
 
 #[test]
@@ -344,10 +345,10 @@
             .commit(first, lease.id, Micros(1), usage(8.0, Micros(900)))
             .is_valid
     );
- let lease = lease_table.acquire(second, Micros(2), &demand(30.0, false), 0);
-assert_eq!(quota(&lease), 2.0);
-assert_eq!(lease.siblings.engines[0].usage.threads, 8.0);
-assert_eq!(lease.siblings.waiting_requests, [[0, 2]]);
+    let lease = lease_table.acquire(second, Micros(2), &demand(30.0, false), 0);
+    assert_eq!(quota(&lease), 2.0);
+    assert_eq!(lease.siblings.engines[0].usage.threads, 8.0);
+    assert_eq!(lease.siblings.waiting_requests, [[0, 2]]);
     assert!(
         lease_table
             .commit(second, lease.id, Micros(3), usage(2.0, Micros(900)))
@@ -397,8 +398,10 @@
     );
     let lease = lease_table.acquire(other, Micros(400), &demand(30.0, false), 0);
     assert_eq!(
- (quota(&lease), lease.siblings.engines[0].usage.table_groups.len()
-),
+        (
+            quota(&lease),
+            lease.siblings.engines[0].usage.table_groups.len()
+        ),
         (2.0, 1)
     );
     let lease = lease_table.acquire(other, Micros(600), &demand(30.0, false), 0);
@@ -407,24 +410,24 @@
 
 #[test]
 fn a_crashed_shard_has_nothing_in_flight_but_its_work_sent_to_a_cold_engine_counts() {
-let mut lease_table = LeaseTable::new(terms(2));
-let (crashed, other) = (ShardId(0), ShardId(1));
-let lease = lease_table.acquire(crashed, Micros(0), &demand(8.0, true), 0);
-let mut published = usage(8.0, Micros(500));
-published.work_sent_core_s = vec![(EngineId(1), 2.5)];
-assert!(
-lease_table
-.commit(crashed, lease.id, Micros(1), published)
-.is_valid
-);
-lease_table.remove_crashed_shard(crashed);
-for shard in [other, crashed] {
-let lease = lease_table.acquire(shard, Micros(100), &demand(8.0, true), 0);
-let sibling_usage = &lease.siblings.engines[0];
-assert_eq!(
-(sibling_usage.usage.threads, sibling_usage.cold_work_core_s),
-(0.0, 2.5)
-);
+    let mut lease_table = LeaseTable::new(terms(2));
+    let (crashed, other) = (ShardId(0), ShardId(1));
+    let lease = lease_table.acquire(crashed, Micros(0), &demand(8.0, true), 0);
+    let mut published = usage(8.0, Micros(500));
+    published.work_sent_core_s = vec![(EngineId(1), 2.5)];
+    assert!(
+        lease_table
+            .commit(crashed, lease.id, Micros(1), published)
+            .is_valid
+    );
+    lease_table.remove_crashed_shard(crashed);
+    for shard in [other, crashed] {
+        let lease = lease_table.acquire(shard, Micros(100), &demand(8.0, true), 0);
+        let sibling_usage = &lease.siblings.engines[0];
+        assert_eq!(
+            (sibling_usage.usage.threads, sibling_usage.cold_work_core_s),
+            (0.0, 2.5)
+        );
         assert!(
             lease_table
                 .commit(shard, lease.id, Micros(101), usage(0.0, Micros(0)))
@@ -452,8 +455,8 @@
 fn all_shards_share_one_credit() {
     let mut lease_table = LeaseTable::new(terms(2));
     for (shard, change) in [(0, 0.5), (1, 0.75)] {
- let lease = lease_table.acquire(ShardId(shard), Micros(0), &demand(0.0, false), 0);
-let published = ShardUsage {
+        let lease = lease_table.acquire(ShardId(shard), Micros(0), &demand(0.0, false), 0);
+        let published = ShardUsage {
             class_credit: vec![change, -change],
             tenant_credit: vec![vec![], vec![change]],
             ..ShardUsage::default()
@@ -471,27 +474,27 @@
 
 #[test]
 fn usage_of_a_peer_process_counts_for_every_shard_until_it_must_have_ended() {
-let mut lease_table = LeaseTable::new(terms(2));
-let peer_usage = |threads, until| ShardUsage {
-waiting_requests: Vec::new(),
-..usage(threads, until)
+    let mut lease_table = LeaseTable::new(terms(2));
+    let peer_usage = |threads, until| ShardUsage {
+        waiting_requests: Vec::new(),
+        ..usage(threads, until)
     };
     lease_table.set_peer_process_usage(Micros(0), peer_usage(8.0, Micros(900)));
     for shard in [ShardId(0), ShardId(1)] {
- let lease = lease_table.acquire(shard, Micros(1), &demand(30.0, false), 0);
-let sibling_usage = &lease.siblings.engines[0].usage;
-assert_eq!(
-(quota(&lease), sibling_usage.threads),
-(ENGINE_LIMIT - 8.0, 8.0)
-);
-assert_eq!(lease.siblings.classes[0].threads, 8.0);
-assert!(sibling_usage.table_groups.contains(&TableGroupId(7)));
-let no_usage = peer_usage(0.0, Micros(0));
-assert!(
-lease_table
-.commit(shard, lease.id, Micros(2), no_usage)
-.is_valid
-);
+        let lease = lease_table.acquire(shard, Micros(1), &demand(30.0, false), 0);
+        let sibling_usage = &lease.siblings.engines[0].usage;
+        assert_eq!(
+            (quota(&lease), sibling_usage.threads),
+            (ENGINE_LIMIT - 8.0, 8.0)
+        );
+        assert_eq!(lease.siblings.classes[0].threads, 8.0);
+        assert!(sibling_usage.table_groups.contains(&TableGroupId(7)));
+        let no_usage = peer_usage(0.0, Micros(0));
+        assert!(
+            lease_table
+                .commit(shard, lease.id, Micros(2), no_usage)
+                .is_valid
+        );
     }
     // The peer process reports less usage and then nothing more: it may have crashed.
     lease_table.set_peer_process_usage(Micros(3), peer_usage(4.0, Micros(900)));
--- a/leases/tests/sharded_gateways.rs
+++ b/leases/tests/sharded_gateways.rs
@@ -58,8 +58,8 @@
         may_cancel: true,
         start_capacity: START_CAPACITY,
         warm_after: ms(14_000),
- overload_multiple: OVERLOAD_FACTOR,
-overload_window: ms(1000),
+        overload_multiple: OVERLOAD_FACTOR,
+        overload_window: ms(1000),
         answer_slack: ms(20),
         tick: Micros(TICK_US),
         ..Settings::default()
@@ -139,9 +139,9 @@
         let terms = LeaseTerms {
             shard_count,
             lease_duration: ms(250),
- redistribution_interval: Micros(TICK_US),
-cold_window: settings().overload_window,
-max_credit: sedgebeam_core::MAX_CREDIT,
+            redistribution_interval: Micros(TICK_US),
+            cold_window: settings().overload_window,
+            max_credit: sedgebeam_core::MAX_CREDIT,
             max_open_requests: 1_000_000,
         };
         let mut simulation = Simulation {
@@ -182,13 +182,13 @@
         } else {
             LOAD_CLASS
         };
- let tenant = ((self.random.next() * 3.0) as usize).min(2);
-let group = TableGroupId((self.random.next() * self.group_count as f64) as u64);
-let shard_count = self.shards.len() as u64;
-let shard = (id.0 % shard_count) as usize;
+        let tenant = ((self.random.next() * 3.0) as usize).min(2);
+        let group = TableGroupId((self.random.next() * self.group_count as f64) as u64);
+        let shard_count = self.shards.len() as u64;
+        let shard = (id.0 % shard_count) as usize;
         let query = Query {
- tenant: Some(TenantId(tenant)),
-table_group: group,
+            tenant: Some(TenantId(tenant)),
+            table_group: group,
             work: Micros((CLASSES[class].0 * CLASSES[class].1 as f64) as u64),
             memory_mb: 1.0,
             ..Query::new(id, ClassId(class), ms(20_000))
@@ -252,22 +252,22 @@
         let Some(attempt) = self.in_flight.remove(&id) else {
             return;
         };
- self.counts.served[attempt.class][attempt.tenant] += 1;
-let duration = Micros(CLASSES[attempt.class].1);
-self.shards[attempt.shard]
-.events
-.push(Event::Ended(AttemptEnded {
-request: id,
-attempt: attempt.attempt,
-engine: attempt.engine,
-outcome: Outcome::Ok,
-elapsed: took: duration,
-request_finished: true,
-work: Some(Micros(
-(duration.0 as f64 * CLASSES[attempt.class].0) as u64,
-)),
-load_report: None,
-}));
+        self.counts.served[attempt.class][attempt.tenant] += 1;
+        let duration = Micros(CLASSES[attempt.class].1);
+        self.shards[attempt.shard]
+            .events
+            .push(Event::Ended(AttemptEnded {
+                request: id,
+                attempt: attempt.attempt,
+                engine: attempt.engine,
+                outcome: Outcome::Ok,
+                elapsed: duration,
+                request_finished: true,
+                work: Some(Micros(
+                    (duration.0 as f64 * CLASSES[attempt.class].0) as u64,
+                )),
+                load_report: None,
+            }));
     }
 
     fn acquire(&mut self, index: usize) -> (usize, Vec<Event>, Option<Lease>) {
@@ -275,19 +275,19 @@
         let shard = &mut self.shards[index];
         shard.is_woken = false;
         let events = std::mem::take(&mut shard.events);
- let lease = self.lease_table.as_mut().map(|lease_table| {
-let demand = shard.gateway.demand(now, &events);
-lease_table.acquire(ShardId(index), now, &demand, 0)
+        let lease = self.lease_table.as_mut().map(|lease_table| {
+            let demand = shard.gateway.demand(now, &events);
+            lease_table.acquire(ShardId(index), now, &demand, 0)
         });
         (index, events, lease)
     }
 
     fn decide(&mut self, index: usize, events: Vec<Event>, lease: Option<Lease>) {
         let now = Micros(self.now);
- let shard = &mut self.shards[index];
-let lease_id = lease.as_ref().map(|lease| lease.id);
-if let Some(lease) = lease {
-shard.gateway.update_siblings(lease.siblings);
+        let shard = &mut self.shards[index];
+        let lease_id = lease.as_ref().map(|lease| lease.id);
+        if let Some(lease) = lease {
+            shard.gateway.update_siblings(lease.siblings);
         }
         let actions = shard.gateway.handle(now, events);
         if let (Some(lease_table), Some(lease_id)) = (&mut self.lease_table, lease_id) {
