--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -17,7 +17,7 @@
     Action, AttemptEnded, AttemptNo, Effect, EngineId, Event, Gateway, HandoverState, Key, Micros,
     Outcome, Query, RequestId, Settings, ShardUsage, TimerId,
 };
-use sedgebeam_operation::{Figures, figures};
+use sedgebeam_operation::{Metrics, metrics};
 use sedgebeam_port::clock::{Clock, to_duration, to_micros};
 use sedgebeam_port::{
     Answer, Attempt, AttemptResult, BrokerMessage, BrokerSender, EngineCommand, EngineReport,
@@ -73,9 +73,9 @@
     /// Engines that the administration has drained, whatever the list says.
     drained: BTreeSet<String>,
     counters: Tally,
-    figures: Figures,
+    figures: Metrics,
     /// What it has last told the figures of its engines.
-    told: figures::Engines,
+    told: metrics::ShardEngines,
     /// Events that the gateway has not been told yet.
     events: Vec<Event>,
     /// Requests that are over and have nothing out, once the gateway knows.
@@ -91,7 +91,7 @@
     pub runtime_settings: Arc<Tuning>,
     pub seed: u64,
     pub clock: Clock,
-    pub metrics: Figures,
+    pub metrics: Metrics,
     /// Starts the actors of engines.
     pub engine_transport: Arc<dyn EngineTransport>,
     /// Where this is one shard of several.
@@ -123,7 +123,7 @@
         drained: BTreeSet::new(),
         counters: Tally::default(),
         figures: setup.metrics,
-        told: figures::Engines::default(),
+        told: metrics::ShardEngines::default(),
         events: Vec::new(),
         over: Vec::new(),
         due: BTreeMap::new(),
@@ -272,13 +272,13 @@
     /// Tells the figures what is believed of the engines, where that has changed.
     fn tell_engines(&mut self) {
         let avoided = self.gateway.ejected_engines().into_iter();
-        let engines = figures::Engines {
+        let engines = metrics::ShardEngines {
             discovered: self.engines.len(),
-            avoided: avoided.map(|(id, until)| (id.0, until.0)).collect(),
+            ejected: avoided.map(|(id, until)| (id.0, until.0)).collect(),
         };
         if engines != self.told {
             let shard = self.part.as_ref().map_or(0, Shard::index);
-            self.figures.engines(shard, engines.clone());
+            self.figures.set_engines(shard, engines.clone());
             self.told = engines;
         }
     }
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -45,7 +45,7 @@
         runtime_settings: Arc::new(tuning),
         seed: 1,
         clock: Clock::start(),
-        metrics: Figures::default(),
+        metrics: Metrics::default(),
         engine_transport: Arc::new(NoWorld),
         shard: None,
     }
--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/beside.rs
@@ -12,7 +12,7 @@
 use sedgebeam_handover::{
     Freshness, HandoverMessage, Incarnation, Phase, ProcessPair, ProcessStatus,
 };
-use sedgebeam_operation::Orders;
+use sedgebeam_operation::DrainState;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{AdminRequest, RequestRouter};
 use std::io;
@@ -112,7 +112,7 @@
     pub clock: Clock,
     pub desk: RequestRouter,
     pub places: SessionSlots,
-    pub orders: watch::Receiver<Orders>,
+    pub orders: watch::Receiver<DrainState>,
     /// The change log's number.
     pub reached: watch::Receiver<crate::roster::Reached>,
     /// The platform's file that is in use.
@@ -123,9 +123,12 @@
     fn phase(&self) -> Phase {
         let orders = *self.orders.borrow();
         match orders {
-            Orders { ends: true, .. } => Phase::Ending,
-            Orders {
-                prepared: false, ..
+            DrainState {
+                is_shutting_down: true,
+                ..
+            } => Phase::Ending,
+            DrainState {
+                is_prepared: false, ..
             } => Phase::Starting,
             _ => Phase::Serving,
         }
--- a/dispatcher/src/crew.rs
+++ b/dispatcher/src/crew.rs
@@ -10,7 +10,7 @@
 use sedgebeam_broker::shards::{Shard, ShardLeases};
 use sedgebeam_broker::{self as broker, BrokerConfig};
 use sedgebeam_leases::placement::{self, WorkerLoad};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{EngineTransport, RequestRouter, supervise};
 use std::future::Future;
@@ -76,7 +76,7 @@
     pub async fn start(
         config: &Config,
         world: Arc<dyn EngineTransport>,
-        figures: &Figures,
+        figures: &Metrics,
         clock: Clock,
     ) -> io::Result<Crew> {
         let tuning = config.tuning();
--- a/dispatcher/src/door.rs
+++ b/dispatcher/src/door.rs
@@ -6,8 +6,8 @@
 use crate::duty::Duty;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
-use sedgebeam_operation::call::{Call, MOST_LINE};
-use sedgebeam_operation::{Drain, Figures};
+use sedgebeam_operation::control_command::{ControlCommand, MAX_LINE_BYTES};
+use sedgebeam_operation::{Drain, Metrics};
 use sedgebeam_port::clock::Clock;
 use sedgebeam_sockets::{SocketStream, listen};
 use std::collections::VecDeque;
@@ -34,7 +34,7 @@
 #[derive(Clone)]
 pub struct Desk {
     pub duty: Duty,
-    pub figures: Figures,
+    pub figures: Metrics,
     pub clock: Clock,
     /// Callers at once; beyond it whoever has been here for longest without a whole line gives way.
     pub callers: usize,
@@ -133,7 +133,7 @@
 /// The line of a caller; `None` where it ended without a word.
 async fn line(stream: &mut SocketStream) -> io::Result<Option<Vec<u8>>> {
     let mut line = Vec::new();
-    let mut bytes = [0; MOST_LINE];
+    let mut bytes = [0; MAX_LINE_BYTES];
     loop {
         let room = bytes.len() - line.len();
         let count = stream.read(&mut bytes[..room]).await?;
@@ -143,7 +143,7 @@
             return Ok(Some(line));
         }
         // A caller that ends its side has said all that it will.
-        if count == 0 || line.len() >= MOST_LINE {
+        if count == 0 || line.len() >= MAX_LINE_BYTES {
             return Ok(Some(line).filter(|line| !line.is_empty()));
         }
     }
@@ -156,23 +156,25 @@
 }
 
 fn told(desk: &Desk, line: &[u8]) -> String {
-    match Call::read(line) {
-        Some(Call::Ping) if desk.duty.orders().ready => "200 ready\n".to_string(),
-        Some(Call::Ping) => "400 not ready\n".to_string(),
-        Some(Call::Info) => match desk.figures.text(desk.clock.micros(Instant::now()).0) {
-            Ok(text) => format!("200 figures\n{text}"),
-            Err(error) => format!("400 {error}\n"),
-        },
-        Some(Call::LameDuck) => {
+    match ControlCommand::parse(line) {
+        Some(ControlCommand::Ping) if desk.duty.orders().is_ready => "200 ready\n".to_string(),
+        Some(ControlCommand::Ping) => "400 not ready\n".to_string(),
+        Some(ControlCommand::Info) => {
+            match desk.figures.encode(desk.clock.micros(Instant::now()).0) {
+                Ok(text) => format!("200 figures\n{text}"),
+                Err(error) => format!("400 {error}\n"),
+            }
+        }
+        Some(ControlCommand::LameDuck) => {
             log::info!("lame duck: clients are sent away");
-            desk.duty.change(Drain::lame_duck);
+            desk.duty.change(Drain::start_lame_duck);
             "200 draining\n".to_string()
         }
-        Some(Call::Rejoin) if desk.duty.change(|drain, _| drain.rejoin()) => {
+        Some(ControlCommand::Rejoin) if desk.duty.change(|drain, _| drain.rejoin()) => {
             log::info!("rejoined: clients are taken");
             "200 serving\n".to_string()
         }
-        Some(Call::Rejoin) => "400 the process is ending\n".to_string(),
+        Some(ControlCommand::Rejoin) => "400 the process is ending\n".to_string(),
         None => "400 no such call\n".to_string(),
     }
 }
--- a/dispatcher/src/duty.rs
+++ b/dispatcher/src/duty.rs
@@ -1,7 +1,7 @@
 //! The drain's state where all parts of the program see it: changed by calls and signals, and by time.
 
 use sedgebeam_fronts::connection_drain::DrainWatcher;
-use sedgebeam_operation::{Drain, Orders};
+use sedgebeam_operation::{Drain, DrainState};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use tokio::sync::watch;
@@ -15,7 +15,7 @@
 
 struct Shared {
     drain: Mutex<Drain>,
-    orders: watch::Sender<Orders>,
+    orders: watch::Sender<DrainState>,
     began: Instant,
 }
 
@@ -23,7 +23,7 @@
     /// `passed` where the platform holds the clients' socket.
     pub fn new(passed: bool) -> Duty {
         let drain = Drain::new(passed);
-        let (orders, _) = watch::channel(drain.orders(Duration::ZERO));
+        let (orders, _) = watch::channel(drain.state(Duration::ZERO));
         let shared = Shared {
             drain: Mutex::new(drain),
             orders,
@@ -44,7 +44,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         let now = self.shared.began.elapsed();
         let told = change(&mut drain, now);
-        let orders = drain.orders(now);
+        let orders = drain.state(now);
         // Under the lock, so that no older orders come behind newer ones.
         self.shared
             .orders
@@ -53,11 +53,11 @@
     }
 
     /// What holds now, whether or not the time for it has been told yet.
-    pub fn orders(&self) -> Orders {
-        self.change(|drain, now| drain.orders(now))
+    pub fn orders(&self) -> DrainState {
+        self.change(|drain, now| drain.state(now))
     }
 
-    pub fn subscribe(&self) -> watch::Receiver<Orders> {
+    pub fn subscribe(&self) -> watch::Receiver<DrainState> {
         self.shared.orders.subscribe()
     }
 
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -5,7 +5,7 @@
 
 use crate::config::{self, Config, Environment, Wrong, wrong};
 use miniserde::json::{self, Value};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::RequestRouter;
 use sedgebeam_retune::{MOST_PLACES, file};
 use sedgebeam_settings::Connections;
@@ -66,7 +66,7 @@
     pub in_use: watch::Sender<Arc<str>>,
     /// Classes may have been retired.
     pub retired: watch::Sender<()>,
-    pub figures: Figures,
+    pub figures: Metrics,
 }
 
 impl Reload {
@@ -77,7 +77,7 @@
             while let Err(wrong) = self.read().await {
                 log::warn!("the running configuration is kept ({attempt} of {TRIES}): {wrong}");
                 if attempt == TRIES {
-                    self.figures.reloaded(false);
+                    self.figures.count_reload(false);
                     break;
                 }
                 attempt += 1;
@@ -87,7 +87,7 @@
                         if again.is_none() {
                             return;
                         }
-                        self.figures.reloaded(false);
+                        self.figures.count_reload(false);
                         attempt = 1;
                     }
                     () = sleep(BETWEEN) => {}
@@ -109,7 +109,7 @@
             let why = format!("there are more than {MOST_PLACES}, with those that end");
             return Err(wrong("settings.services or settings.tenants", why));
         }
-        self.figures.reloaded(true);
+        self.figures.count_reload(true);
         self.retired.send_replace(());
         self.connections.send_replace(config.connections);
         let moved = self.changelog.send_if_modified(|address| {
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -22,7 +22,7 @@
 use limits::SharedLimits;
 use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_handover::HandoverMessage;
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::supervise;
 use shutdown::Shutdown;
@@ -40,7 +40,7 @@
 struct Program {
     config: Config,
     duty: Duty,
-    figures: Figures,
+    figures: Metrics,
     clock: Clock,
     crew: Arc<Crew>,
     /// For connections that are closed without a place.
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -5,7 +5,7 @@
 use sedgebeam_fronts::connection_drain::DrainWatcher;
 use sedgebeam_fronts::pg;
 use sedgebeam_fronts::session_slots::SessionSlots;
-use sedgebeam_operation::{Newcomers, Orders};
+use sedgebeam_operation::{DrainState, NewConnections};
 use sedgebeam_port::{SessionKey, supervise};
 use sedgebeam_sockets::set_nodelay;
 use std::sync::Arc;
@@ -40,12 +40,14 @@
     pub async fn accept(
         mut self,
         listener: TcpListener,
-        mut orders: watch::Receiver<Orders>,
+        mut orders: watch::Receiver<DrainState>,
         newcomers_are_ours: bool,
     ) {
         loop {
-            let Orders {
-                newcomers, over, ..
+            let DrainState {
+                new_connections: newcomers,
+                is_shutdown_grace_over: over,
+                ..
             } = *orders.borrow_and_update();
             if over {
                 log::info!("ending: accepting is over");
@@ -60,10 +62,10 @@
                     Ok(()) => continue,
                     Err(_) => return,
                 },
-                accepted = listener.accept(), if newcomers != Newcomers::Left => accepted,
+                accepted = listener.accept(), if newcomers != NewConnections::LeaveInBacklog => accepted,
             };
             match accepted {
-                Ok((stream, _)) if newcomers == Newcomers::TurnedAway => {
+                Ok((stream, _)) if newcomers == NewConnections::Reject => {
                     self.turn_away(stream, pg::RejectReason::Draining);
                     yield_now().await;
                 }
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -10,7 +10,7 @@
 use crate::roster::{self, Reached};
 use sedgebeam_engines::{ConnectionSlots, NetworkTransport};
 use sedgebeam_handover::HandoverMessage;
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::clock::{Clock, to_duration};
 use sedgebeam_port::{AdminRequest, Listing, supervise};
 use sedgebeam_roster::Pauses;
@@ -34,10 +34,10 @@
         alive: mpsc::Sender<()>,
     ) -> io::Result<Program> {
         let duty = Duty::new(config.passed.is_some());
-        let figures = Figures::default();
+        let figures = Metrics::default();
         let clock = Clock::start();
         for class in &config.names.classes {
-            figures.class(class);
+            figures.register_class(class);
         }
         let farewells = Arc::new(Semaphore::new(config.descriptors.farewells));
         open_door(&config, &duty, &figures, clock, &farewells).await?;
@@ -144,7 +144,7 @@
         // Once one has answered, the brokers have the list.
         let health = self.crew.desk.administer(AdminRequest::Health).await;
         health.map_err(|_| io::Error::other("the brokers ended at once"))?;
-        self.duty.change(|drain, _| drain.prepared());
+        self.duty.change(|drain, _| drain.set_prepared());
         Ok(())
     }
 
@@ -159,7 +159,7 @@
 async fn open_door(
     config: &Config,
     duty: &Duty,
-    figures: &Figures,
+    figures: &Metrics,
     clock: Clock,
     farewells: &Arc<Semaphore>,
 ) -> io::Result<()> {
--- a/dispatcher/tests/beside.rs
+++ b/dispatcher/tests/beside.rs
@@ -4,7 +4,7 @@
 use sedgebeam::beside::{Member, Others, Own, Place, keep};
 use sedgebeam::roster::Reached;
 use sedgebeam_fronts::session_slots::SessionSlots;
-use sedgebeam_operation::{Drain, Figures, Orders};
+use sedgebeam_operation::{Drain, DrainState, Metrics};
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{BrokerMessage, RequestRouter};
 use sedgebeam_retune::Tuning;
@@ -54,19 +54,19 @@
     told: mpsc::Receiver<BrokerMessage>,
     others: watch::Receiver<Others>,
     // They end with it.
-    _orders: watch::Sender<Orders>,
+    _orders: watch::Sender<DrainState>,
     _reached: watch::Sender<Reached>,
     _file: watch::Sender<Arc<str>>,
 }
 
 impl Process {
     async fn start(member: Member) -> Process {
-        let desk = RequestRouter::new(1, 0, Figures::default(), Tuning::default());
+        let desk = RequestRouter::new(1, 0, Metrics::default(), Tuning::default());
         let (mailbox, told) = mpsc::channel(16);
         desk.open_shard(0, mailbox).await.expect("a broker");
         let mut drain = Drain::new(true);
-        drain.prepared();
-        let (_orders, orders) = watch::channel(drain.orders(Duration::ZERO));
+        drain.set_prepared();
+        let (_orders, orders) = watch::channel(drain.state(Duration::ZERO));
         let (_reached, reached) = watch::channel(Reached::default());
         let (_file, file) = watch::channel("{}".into());
         let own = Own {
--- a/dispatcher/tests/followers.rs
+++ b/dispatcher/tests/followers.rs
@@ -3,7 +3,7 @@
 //! follower of a log that is too crowded to take its connection at once.
 
 use sedgebeam::roster::{self, Reached};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{BrokerMessage, Listing, RequestRouter, Target, apply};
 use sedgebeam_retune::Tuning;
 use sedgebeam_roster::Pauses;
@@ -144,7 +144,7 @@
 }
 
 async fn follower(number: u32, log: &Log) -> Follower {
-    let desk = RequestRouter::new(1, 0, Figures::default(), Tuning::default());
+    let desk = RequestRouter::new(1, 0, Metrics::default(), Tuning::default());
     let (mailbox, mut told) = mpsc::channel(16);
     let (kept, list) = watch::channel(Vec::new());
     tokio::spawn(async move {
@@ -282,7 +282,7 @@
         let log = listener(0);
         let address = log.local_addr().expect("an address");
         let _fills_the_queue = TcpStream::connect(address).await.expect("connects");
-        let desk = RequestRouter::new(1, 0, Figures::default(), Tuning::default());
+        let desk = RequestRouter::new(1, 0, Metrics::default(), Tuning::default());
         let (_address, changes) = watch::channel(Some(address));
         let (reached, _heard) = watch::channel(Reached::default());
         tokio::spawn(roster::follow(changes, reached, desk, Pauses::new(1, 1)));
--- a/dispatcher/tests/scenarios/actors.rs
+++ b/dispatcher/tests/scenarios/actors.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use sedgebeam_core::{AttemptNo, EngineId, Micros, RequestId};
 use sedgebeam_engines::{ConnectionSlots, NetworkTransport};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{
     Attempt, AttemptResult, BrokerMessage, EngineCommand, EngineReport, EngineReporter,
     EngineSender, EngineTransport, Page, ProbeResult, Target,
@@ -67,7 +67,7 @@
     };
     let wires = NetworkTransport {
         connections: watch::channel(connections).1,
-        metrics: Figures::default(),
+        metrics: Metrics::default(),
         slots,
     };
     let actor = wires.start(&target, EngineReporter::new(EngineId(1), broker));
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -6,7 +6,7 @@
 use sedgebeam_fronts::connection_drain::DrainWatcher;
 use sedgebeam_fronts::session_slots::{SessionSlots, SessionState};
 use sedgebeam_fronts::{FrontContext, pg};
-use sedgebeam_operation::{Drain, Figures, Orders};
+use sedgebeam_operation::{Drain, DrainState, Metrics};
 use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter, SessionKey};
 use sedgebeam_retune::Tuning;
 use sedgebeam_settings::Facts;
@@ -25,7 +25,7 @@
     serving: pg::SessionContext,
     broker: mpsc::Receiver<BrokerMessage>,
     places: SessionSlots,
-    orders: watch::Sender<Orders>,
+    orders: watch::Sender<DrainState>,
 }
 
 async fn front(places: usize) -> Front {
@@ -35,11 +35,11 @@
         names: facts.names(),
         most_open: 100,
     };
-    let desk = RequestRouter::new(1, 1, Figures::default(), tuning);
+    let desk = RequestRouter::new(1, 1, Metrics::default(), tuning);
     let (mailbox, broker) = mpsc::channel(64);
     desk.open_shard(0, mailbox).await.expect("a broker");
     let mut drain = Drain::new(false);
-    drain.prepared();
+    drain.set_prepared();
     let mut front = Front {
         serving: pg::SessionContext {
             front_context: FrontContext { router: desk },
@@ -48,7 +48,7 @@
         },
         broker,
         places: SessionSlots::new(places),
-        orders: watch::channel(drain.orders(Duration::ZERO)).0,
+        orders: watch::channel(drain.state(Duration::ZERO)).0,
     };
     // The settings and the list.
     for _ in 0..2 {
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -4,7 +4,7 @@
 use sedgebeam::config::{self, Config, Environment};
 use sedgebeam::crew::Crew;
 use sedgebeam_core::{AttemptNo, ClassId, Micros, RequestId, TableGroupId};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{
     AdminError, AdminRequest, AdminResponse, Answer, Attempt, AttemptResult, EngineCommand,
@@ -214,7 +214,7 @@
 
 struct Bench {
     crew: Crew,
-    figures: Figures,
+    figures: Metrics,
     world: Arc<World>,
     hears: mpsc::UnboundedReceiver<Sent>,
     /// How often each request was sent.
@@ -230,7 +230,7 @@
 impl Bench {
     async fn new() -> Bench {
         let (world, hears) = World::new();
-        let figures = Figures::default();
+        let figures = Metrics::default();
         let (config, clock) = (config(), Clock::start());
         let crew = Crew::start(&config, world.clone(), &figures, clock).await;
         let crew = crew.expect("starts");
@@ -387,11 +387,11 @@
             }
         }
         // Results are counted once a client has taken them, and nobody has here.
-        let counts = bench.figures.counts();
+        let counts = bench.figures.request_counts();
         let loads = lost.iter().filter(|id| class(id.0) == LOAD).count() as u64;
         let others = lost.len() as u64 - loads;
-        assert_eq!(counts["lookup"].ended, [0, others, 0]);
-        assert_eq!(counts["journal-load"].ended, [0, 0, loads]);
+        assert_eq!(counts["lookup"].ended_by_disposition, [0, others, 0]);
+        assert_eq!(counts["journal-load"].ended_by_disposition, [0, 0, loads]);
         bench.until(|bench| bench.crew.restarts() == 1).await;
         // Its names are free again, and it serves again, with the list that the others have.
         let (pending, sent) = all_out(&mut bench, 101..125).await;
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -15,7 +15,7 @@
 use prost::Message;
 use sedgebeam_arrow as arrow;
 use sedgebeam_core::{AttemptNo, LoadReport, Micros, Note, RequestId};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::clock::to_duration;
 use sedgebeam_port::{
     Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, Page, PageRequest,
@@ -404,7 +404,7 @@
     attempt: Attempt,
     endpoint: String,
     reports: EngineReporter,
-    metrics: Figures,
+    metrics: Metrics,
 }
 
 impl Task {
@@ -426,7 +426,7 @@
         }
         match self.result(client(channel)).await {
             Ok((stream, work)) => {
-                self.metrics.forwarded(1);
+                self.metrics.count_forwards(1);
                 self.pages(stream, work, asked).await;
                 false
             }
@@ -435,7 +435,7 @@
                 let end = end(&status);
                 let broken = matches!(end, AttemptResult::Reset | AttemptResult::ConnectFailed);
                 if end != AttemptResult::ConnectFailed {
-                    self.metrics.forwarded(1);
+                    self.metrics.count_forwards(1);
                 }
                 self.reports.attempt_ended(id, number, end).await;
                 broken
--- a/engines/src/flight/tests.rs
+++ b/engines/src/flight/tests.rs
@@ -24,7 +24,7 @@
         attempt,
         endpoint: String::new(),
         reports: EngineReporter::new(EngineId(1), broker),
-        metrics: Figures::default(),
+        metrics: Metrics::default(),
     };
     task.request(()).metadata().clone()
 }
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub use connection_slots::ConnectionSlots;
 
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{EngineReporter, EngineSender, EngineTransport, Target, supervise};
 use sedgebeam_settings::Connections;
 use tokio::sync::{mpsc, watch};
@@ -23,7 +23,7 @@
     /// They may change while engines are served.
     pub connections: watch::Receiver<Connections>,
     /// Attempts are counted there once they are written.
-    pub metrics: Figures,
+    pub metrics: Metrics,
     /// Connections to all engines take one each.
     pub slots: ConnectionSlots,
 }
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -6,7 +6,7 @@
 use futures::StreamExt;
 use sedgebeam_core::RequestId;
 use sedgebeam_fleet::reconnect::TrackedConnection;
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_sockets::{SocketReader, is_local_shortage, set_nodelay, should_retry};
 use std::collections::VecDeque;
 use std::io;
@@ -129,7 +129,7 @@
     /// It is up within this time, or never.
     pub limit: Duration,
     pub came: mpsc::Sender<(Number, Came)>,
-    pub metrics: Figures,
+    pub metrics: Metrics,
 }
 
 fn fetched(command: &Command) -> Option<RequestId> {
@@ -238,7 +238,7 @@
             for named in withdrawn {
                 self.tell(Came::Withdrawn(named)).await;
             }
-            self.metrics.forwarded(written.begun);
+            self.metrics.count_forwards(written.begun);
             for id in written.aborted {
                 self.tell(Came::Aborted(id)).await;
             }
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::ConnectionSlots;
 use sedgebeam_core::EngineId;
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{BrokerMessage, EngineSender};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -197,7 +197,7 @@
     fn start_at(engine: SocketAddr, connections: Connections) -> Dispatcher {
         let transport = NetworkTransport {
             connections: watch::channel(connections).1,
-            metrics: Figures::default(),
+            metrics: Metrics::default(),
             slots: ConnectionSlots::default(),
         };
         let (mailbox, incoming) = mpsc::channel(1024);
@@ -616,7 +616,7 @@
     };
     let transport = NetworkTransport {
         connections: watch::channel(connections).1,
-        metrics: Figures::default(),
+        metrics: Metrics::default(),
         slots: ConnectionSlots::default(),
     };
     let (broker, _told) = mpsc::channel(4);
--- a/fronts/src/connection_drain.rs
+++ b/fronts/src/connection_drain.rs
@@ -1,7 +1,7 @@
 //! When a connection that is kept between requests must go.
 
-use sedgebeam_operation::drain::goes_at;
-use sedgebeam_operation::{Kept, Orders};
+use sedgebeam_operation::drain::idle_close_at;
+use sedgebeam_operation::{DrainState, ExistingConnections};
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
@@ -9,13 +9,13 @@
 /// What the drain orders, for all connections.
 #[derive(Clone)]
 pub struct DrainWatcher {
-    orders: watch::Receiver<Orders>,
+    orders: watch::Receiver<DrainState>,
     /// The moment since which the drain counts time.
     began: Instant,
 }
 
 impl DrainWatcher {
-    pub fn new(orders: watch::Receiver<Orders>, began: Instant) -> DrainWatcher {
+    pub fn new(orders: watch::Receiver<DrainState>, began: Instant) -> DrainWatcher {
         DrainWatcher { orders, began }
     }
 
@@ -32,7 +32,7 @@
 
 /// The same for one connection.
 pub struct ConnectionDrain {
-    orders: watch::Receiver<Orders>,
+    orders: watch::Receiver<DrainState>,
     began: Instant,
     came: Duration,
     draw: f64,
@@ -41,22 +41,24 @@
 impl ConnectionDrain {
     /// Whether the dispatcher takes work.
     pub fn accepts_work(&self) -> bool {
-        self.orders.borrow().ready
+        self.orders.borrow().is_ready
     }
 
     /// Whether it goes now that it has answered.
     pub fn closes_after_answer(&self) -> bool {
-        self.orders.borrow().kept != Kept::Stay
+        self.orders.borrow().existing_connections != ExistingConnections::Keep
     }
 
     /// Becomes ready when it goes, idle as it is.
     pub async fn wait_for_idle_close(&mut self) {
         loop {
-            let kept = self.orders.borrow_and_update().kept;
+            let kept = self.orders.borrow_and_update().existing_connections;
             let at = match kept {
-                Kept::Go => return,
-                Kept::Leave(since) => Some(self.began + goes_at(self.came, since, self.draw)),
-                Kept::Stay => None,
+                ExistingConnections::CloseWhenIdle => return,
+                ExistingConnections::CloseGradually(since) => {
+                    Some(self.began + idle_close_at(self.came, since, self.draw))
+                }
+                ExistingConnections::Keep => None,
             };
             tokio::select! {
                 // Whoever gave the orders has ended, and all with him.
--- a/fronts/src/pg/tests.rs
+++ b/fronts/src/pg/tests.rs
@@ -4,7 +4,7 @@
 use crate::connection_drain::DrainWatcher;
 use crate::session_slots::SessionSlots;
 use crate::test_router::{STATEMENT, desk, refuse, submitted};
-use sedgebeam_operation::{Drain, Orders};
+use sedgebeam_operation::{Drain, DrainState};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -75,14 +75,14 @@
     desk: &RequestRouter,
     drain: Drain,
     said: &[u8],
-) -> (TcpStream, watch::Sender<Orders>) {
+) -> (TcpStream, watch::Sender<DrainState>) {
     let (mut client, server) = pair().await;
     client.write_all(said).await.expect("writes");
     // All of it is there to be read before the session begins.
     let mut there = vec![0; said.len()];
     while server.peek(&mut there).await.expect("reads") < said.len() {}
     let (place, _) = SessionSlots::new(1).acquire().expect("a place");
-    let (order, orders) = watch::channel(drain.orders(Duration::ZERO));
+    let (order, orders) = watch::channel(drain.state(Duration::ZERO));
     let leave = DrainWatcher::new(orders, Instant::now()).new_connection(0.5);
     tokio::spawn(serve(server, serving(desk), SessionKey(7), leave, place));
     (client, order)
@@ -149,8 +149,8 @@
         inside(async {
             let (desk, _broker) = desk(longest).await;
             let mut drain = Drain::new(false);
-            drain.prepared();
-            drain.lame_duck(Duration::ZERO);
+            drain.set_prepared();
+            drain.start_lame_duck(Duration::ZERO);
             // The platform's front asks with an empty query whether work is taken.
             let heard = refused(&desk, drain, ";", None).await;
             assert_eq!(heard, advising(reason, told), "{longest}");
@@ -257,8 +257,8 @@
         let (client, order) = session(&desk, Drain::new(false), &said).await;
         let (_, reply) = submitted(&mut broker).await;
         let mut ending = Drain::new(false);
-        ending.end(Duration::ZERO);
-        order.send_replace(ending.orders(Duration::from_secs(1)));
+        ending.start_shutdown(Duration::ZERO);
+        order.send_replace(ending.state(Duration::from_secs(1)));
         assert!(reply.send(NO_ADVICE).is_ok(), "is waited for");
         assert_eq!(codes(client).await, ["53300", "57P03", "57P03", "57P03"]);
         assert!(broker.try_recv().is_err(), "nothing of them is sent on");
@@ -272,7 +272,7 @@
         let mut said = startup_and(&limited(1, 60_000));
         (2..=80).for_each(|name| said.extend(query(&limited(name, 60_000))));
         let mut serving = Drain::new(false);
-        serving.prepared();
+        serving.set_prepared();
         let (client, _order) = session(&desk, serving, &said).await;
         let (_, _reply) = submitted(&mut broker).await;
         let codes = codes(client).await;
--- a/fronts/src/test_router.rs
+++ b/fronts/src/test_router.rs
@@ -1,7 +1,7 @@
 //! A desk whose broker the test plays.
 
 use sedgebeam_core::{Class, Micros, Settings};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter};
 use sedgebeam_retune::Tuning;
 use sedgebeam_settings::Names;
@@ -31,7 +31,7 @@
         },
         most_open: 100,
     };
-    let desk = RequestRouter::new(1, 1, Figures::default(), tuning);
+    let desk = RequestRouter::new(1, 1, Metrics::default(), tuning);
     let (mailbox, broker) = mpsc::channel(64);
     desk.open_shard(0, mailbox).await.expect("a broker");
     (desk, broker)
--- a/operation/src/call.rs
+++ b/operation/src/control_command.rs
@@ -1,10 +1,10 @@
 //! What an operator may ask at the door: one line a connection.
 
 /// The longest line that is read: calls are single words, and what is longer is none.
-pub const MOST_LINE: usize = 256;
+pub const MAX_LINE_BYTES: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum ControlCommand {
     /// Whether this process is ready to serve.
     Ping,
     /// The figures.
@@ -15,14 +15,14 @@
     Rejoin,
 }
 
-impl Call {
+impl ControlCommand {
     /// Reads a line, with or without its end; `None` where it is no call.
-    pub fn read(line: &[u8]) -> Option<Call> {
+    pub fn parse(line: &[u8]) -> Option<ControlCommand> {
         match line.trim_ascii() {
-            b"PING" => Some(Call::Ping),
-            b"INFO" => Some(Call::Info),
-            b"LAMEDUCK" => Some(Call::LameDuck),
-            b"REJOIN" => Some(Call::Rejoin),
+            b"PING" => Some(ControlCommand::Ping),
+            b"INFO" => Some(ControlCommand::Info),
+            b"LAMEDUCK" => Some(ControlCommand::LameDuck),
+            b"REJOIN" => Some(ControlCommand::Rejoin),
             _ => None,
         }
     }
@@ -35,10 +35,10 @@
     #[test]
     fn a_line_is_one_of_four_words_and_nothing_else() {
         for (line, call) in [
-            (&b"PING\n"[..], Some(Call::Ping)),
-            (b" INFO \r\n", Some(Call::Info)),
-            (b"LAMEDUCK", Some(Call::LameDuck)),
-            (b"REJOIN\r", Some(Call::Rejoin)),
+            (&b"PING\n"[..], Some(ControlCommand::Ping)),
+            (b" INFO \r\n", Some(ControlCommand::Info)),
+            (b"LAMEDUCK", Some(ControlCommand::LameDuck)),
+            (b"REJOIN\r", Some(ControlCommand::Rejoin)),
             (b"", None),
             (b"\n", None),
             (b"ping", None),
@@ -46,7 +46,7 @@
             (b"PIN\0G", None),
             (b"\xff\xfe", None),
         ] {
-            assert_eq!(Call::read(line), call, "{line:?}");
+            assert_eq!(ControlCommand::parse(line), call, "{line:?}");
         }
     }
 }
--- a/operation/src/drain.rs
+++ b/operation/src/drain.rs
@@ -22,35 +22,35 @@
 
 /// What becomes of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Newcomers {
-    Taken,
+pub enum NewConnections {
+    Accept,
     /// Refused with a word, and closed.
-    TurnedAway,
+    Reject,
     /// Not accepted: it is for another process, or for nobody.
-    Left,
+    LeaveInBacklog,
 }
 
 /// What becomes of a connection that is kept between requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
-    Stay,
+pub enum ExistingConnections {
+    Keep,
     /// It goes once it has answered, and when idle at a time of its own ([`goes_at`]); so since then.
-    Leave(Duration),
-    Go,
+    CloseGradually(Duration),
+    CloseWhenIdle,
 }
 
 /// All that follows from the state at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Orders {
-    pub ready: bool,
-    pub newcomers: Newcomers,
-    pub kept: Kept,
+pub struct DrainState {
+    pub is_ready: bool,
+    pub new_connections: NewConnections,
+    pub existing_connections: ExistingConnections,
     /// The list and the engines are there.
-    pub prepared: bool,
+    pub is_prepared: bool,
     /// The process was told to end.
-    pub ends: bool,
+    pub is_shutting_down: bool,
     /// The last call is over: the process ends once all that was taken is answered.
-    pub over: bool,
+    pub is_shutdown_grace_over: bool,
 }
 
 /// The state of a dispatcher as to its clients.
@@ -73,12 +73,12 @@
         }
     }
 
-    pub fn prepared(&mut self) {
+    pub fn set_prepared(&mut self) {
         self.prepared = true;
     }
 
     /// LAMEDUCK; a second one does not begin the drain anew.
-    pub fn lame_duck(&mut self, now: Duration) {
+    pub fn start_lame_duck(&mut self, now: Duration) {
         self.lame_duck.get_or_insert(now);
     }
 
@@ -91,40 +91,42 @@
     }
 
     /// SIGTERM; a second one does not begin the last call anew.
-    pub fn end(&mut self, now: Duration) {
+    pub fn start_shutdown(&mut self, now: Duration) {
         self.ending.get_or_insert(now);
     }
 
-    pub fn orders(&self, now: Duration) -> Orders {
+    pub fn state(&self, now: Duration) -> DrainState {
         let (newcomers, kept) = match (self.ending, self.lame_duck) {
             (Some(since), lame_duck) => {
                 let over = now >= since + LAST_CALL;
                 let kept = match lame_duck {
-                    _ if over => Kept::Go,
+                    _ if over => ExistingConnections::CloseWhenIdle,
                     Some(since) => leaving(since, now).1,
-                    None => Kept::Stay,
+                    None => ExistingConnections::Keep,
                 };
                 let newcomers = if self.passed || over {
-                    Newcomers::Left
+                    NewConnections::LeaveInBacklog
                 } else {
-                    Newcomers::Taken
+                    NewConnections::Accept
                 };
                 (newcomers, kept)
             }
             (None, Some(since)) => leaving(since, now),
             // Who comes before all is there waits to be accepted.
-            (None, None) if !self.prepared => (Newcomers::Left, Kept::Stay),
-            (None, None) => (Newcomers::Taken, Kept::Stay),
+            (None, None) if !self.prepared => {
+                (NewConnections::LeaveInBacklog, ExistingConnections::Keep)
+            }
+            (None, None) => (NewConnections::Accept, ExistingConnections::Keep),
         };
         let over = self.ending.is_some_and(|since| now >= since + LAST_CALL);
         let ready = self.prepared && self.ending.is_none() && self.lame_duck.is_none();
-        Orders {
-            ready,
-            newcomers,
-            kept,
-            prepared: self.prepared,
-            ends: self.ending.is_some(),
-            over,
+        DrainState {
+            is_ready: ready,
+            new_connections: newcomers,
+            existing_connections: kept,
+            is_prepared: self.prepared,
+            is_shutting_down: self.ending.is_some(),
+            is_shutdown_grace_over: over,
         }
     }
 
@@ -138,25 +140,25 @@
     }
 }
 
-fn leaving(since: Duration, now: Duration) -> (Newcomers, Kept) {
+fn leaving(since: Duration, now: Duration) -> (NewConnections, ExistingConnections) {
     let newcomers = if now < since + TURNED_AWAY {
-        Newcomers::Taken
+        NewConnections::Accept
     } else {
-        Newcomers::TurnedAway
+        NewConnections::Reject
     };
     let kept = if now < since + STILL_COMING {
-        Kept::Stay
+        ExistingConnections::Keep
     } else if now < since + NONE_IDLE {
-        Kept::Leave(since)
+        ExistingConnections::CloseGradually(since)
     } else {
-        Kept::Go
+        ExistingConnections::CloseWhenIdle
     };
     (newcomers, kept)
 }
 
 /// When an idle connection that came at this time goes in a lame duck that began at that one; the draw is
 /// from 0 to 1.
-pub fn goes_at(came: Duration, since: Duration, draw: f64) -> Duration {
+pub fn idle_close_at(came: Duration, since: Duration, draw: f64) -> Duration {
     let drawn = STILL_COMING + (ALL_ASKED - STILL_COMING).mul_f64(draw.clamp(0.0, 1.0));
     (since + drawn).max(came + NEWCOMER).min(since + NONE_IDLE)
 }
--- a/operation/src/figures.rs
+++ b/operation/src/metrics.rs
@@ -30,76 +30,76 @@
 
 /// What was counted of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub taken: u64,
-    pub ended: [u64; 3],
+pub struct RequestCounts {
+    pub accepted: u64,
+    pub ended_by_disposition: [u64; 3],
     /// Requests whose client left before they ended.
-    pub left: u64,
+    pub client_disconnected: u64,
 }
 
-impl Counts {
+impl RequestCounts {
     pub fn outstanding(&self) -> u64 {
-        self.taken - self.ended.iter().sum::<u64>() - self.left
+        self.accepted - self.ended_by_disposition.iter().sum::<u64>() - self.client_disconnected
     }
 }
 
 /// The engines as one shard of the dispatcher sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Engines {
+pub struct ShardEngines {
     pub discovered: usize,
     /// Those that are set aside, by number, and until which Unix microsecond.
-    pub avoided: Vec<(u64, u64)>,
+    pub ejected: Vec<(u64, u64)>,
 }
 
 #[derive(Default)]
 struct State {
     /// Classes that have gone stay: their counts are still asked for.
-    classes: BTreeMap<Arc<str>, Counts>,
+    classes: BTreeMap<Arc<str>, RequestCounts>,
     forwards: u64,
     applied: u64,
     rejected: u64,
-    engines: BTreeMap<usize, Engines>,
+    engines: BTreeMap<usize, ShardEngines>,
 }
 
 /// The figures of one process; clones are handles on the same.
 #[derive(Clone, Default)]
-pub struct Figures(Arc<Mutex<State>>);
+pub struct Metrics(Arc<Mutex<State>>);
 
-impl Figures {
+impl Metrics {
     fn state(&self) -> MutexGuard<'_, State> {
         // Nothing panics while it is held; what it holds would be whole all the same.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Has a class stand among the figures before anything of it is counted.
-    pub fn class(&self, name: &str) {
+    pub fn register_class(&self, name: &str) {
         self.state().classes.entry(name.into()).or_default();
     }
 
     /// A request of this class is taken.
-    pub fn take(&self, class: &str) -> Running {
+    pub fn start_request(&self, class: &str) -> RunningRequest {
         let mut state = self.state();
         let known = state.classes.get_key_value(class);
         let class = known.map_or_else(|| class.into(), |(class, _)| class.clone());
-        state.classes.entry(class.clone()).or_default().taken += 1;
-        Running {
-            figures: self.clone(),
+        state.classes.entry(class.clone()).or_default().accepted += 1;
+        RunningRequest {
+            metrics: self.clone(),
             class,
             counted: false,
         }
     }
 
-    fn count(&self, class: &Arc<str>, count: impl FnOnce(&mut Counts)) {
+    fn count(&self, class: &Arc<str>, count: impl FnOnce(&mut RequestCounts)) {
         count(self.state().classes.entry(class.clone()).or_default());
     }
 
     /// So many attempts have been written whole to an engine.
-    pub fn forwarded(&self, attempts: usize) {
+    pub fn count_forwards(&self, attempts: usize) {
         self.state().forwards += attempts as u64;
     }
 
     /// A file was read at SIGHUP and taken, or turned down.
-    pub fn reloaded(&self, applied: bool) {
+    pub fn count_reload(&self, applied: bool) {
         let mut state = self.state();
         if applied {
             state.applied += 1;
@@ -109,11 +109,11 @@
     }
 
     /// What a shard now believes of the engines.
-    pub fn engines(&self, shard: usize, engines: Engines) {
+    pub fn set_engines(&self, shard: usize, engines: ShardEngines) {
         self.state().engines.insert(shard, engines);
     }
 
-    pub fn counts(&self) -> BTreeMap<Arc<str>, Counts> {
+    pub fn request_counts(&self) -> BTreeMap<Arc<str>, RequestCounts> {
         self.state().classes.clone()
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// The figures in the text form of OpenMetrics, as of this Unix microsecond; its last line is `EOF`.
-    pub fn text(&self, now: u64) -> Result<String, fmt::Error> {
+    pub fn encode(&self, now: u64) -> Result<String, fmt::Error> {
         let snapshot = Snapshot::new(&self.state(), now);
         let mut registry = Registry::default();
         registry.register_collector(Box::new(snapshot));
@@ -134,38 +134,40 @@
 }
 
 /// A request under way, counted as outstanding until this is told of its end; dropped, its client has left.
-pub struct Running {
-    figures: Figures,
+pub struct RunningRequest {
+    metrics: Metrics,
     class: Arc<str>,
     counted: bool,
 }
 
-impl Running {
-    pub fn ended(mut self, how: Disposition) {
+impl RunningRequest {
+    pub fn finish(mut self, how: Disposition) {
         self.counted = true;
-        self.figures
-            .count(&self.class, |counts| counts.ended[how as usize] += 1);
+        self.metrics.count(&self.class, |counts| {
+            counts.ended_by_disposition[how as usize] += 1
+        });
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         if !self.counted {
-            self.figures.count(&self.class, |counts| counts.left += 1);
+            self.metrics
+                .count(&self.class, |counts| counts.client_disconnected += 1);
         }
     }
 }
 
-impl fmt::Debug for Running {
+impl fmt::Debug for RunningRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Running({})", self.class)
+        write!(f, "RunningRequest({})", self.class)
     }
 }
 
 /// The figures of one moment.
 #[derive(Debug)]
 struct Snapshot {
-    classes: Vec<(Arc<str>, Counts)>,
+    classes: Vec<(Arc<str>, RequestCounts)>,
     totals: [(&'static str, &'static str, u64); 3],
     gauges: [(&'static str, &'static str, i64); 3],
 }
@@ -174,10 +176,10 @@
     fn new(state: &State, now: u64) -> Snapshot {
         let shards = state.engines.values();
         let discovered = shards.clone().map(|engines| engines.discovered).max();
-        let avoided = shards.flat_map(|engines| &engines.avoided);
+        let avoided = shards.flat_map(|engines| &engines.ejected);
         let avoided = avoided.filter(|(_, until)| now < *until).map(|(id, _)| *id);
         let ejected = avoided.collect::<BTreeSet<u64>>().len();
-        let outstanding: u64 = state.classes.values().map(Counts::outstanding).sum();
+        let outstanding: u64 = state.classes.values().map(RequestCounts::outstanding).sum();
         Snapshot {
             classes: state.classes.clone().into_iter().collect(),
             totals: [
@@ -217,7 +219,7 @@
         for (class, counts) in &self.classes {
             for (how, word) in DISPOSITIONS {
                 let labels = [("service", class.as_ref()), ("disposition", word)];
-                let count = ConstCounter::new(counts.ended[how as usize]);
+                let count = ConstCounter::new(counts.ended_by_disposition[how as usize]);
                 count.encode(family.encode_family(&labels)?)?;
             }
         }
@@ -225,7 +227,7 @@
         let mut family = encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
         for (class, counts) in &self.classes {
             let labels = [("service", class.as_ref())];
-            ConstCounter::new(counts.left).encode(family.encode_family(&labels)?)?;
+            ConstCounter::new(counts.client_disconnected).encode(family.encode_family(&labels)?)?;
         }
         for (name, help, count) in self.totals {
             let name = format!("dispatcher_{name}");
@@ -247,28 +249,29 @@
 
     #[test]
     fn the_figures_stand_under_the_names_that_staff_look_for() {
-        let figures = Figures::default();
-        figures.class("report");
-        let running: Vec<Running> = (0..6).map(|_| figures.take("lookup")).collect();
+        let figures = Metrics::default();
+        figures.register_class("report");
+        let running: Vec<RunningRequest> =
+            (0..6).map(|_| figures.start_request("lookup")).collect();
         let mut running = running.into_iter();
         let mut next = || running.next().expect("there are six");
-        next().ended(Disposition::Succeeded);
-        next().ended(Disposition::Succeeded);
-        next().ended(Disposition::Declined);
-        next().ended(Disposition::Aborted);
+        next().finish(Disposition::Succeeded);
+        next().finish(Disposition::Succeeded);
+        next().finish(Disposition::Declined);
+        next().finish(Disposition::Aborted);
         drop(next());
-        figures.forwarded(7);
-        figures.reloaded(true);
-        figures.reloaded(false);
-        figures.reloaded(false);
+        figures.count_forwards(7);
+        figures.count_reload(true);
+        figures.count_reload(false);
+        figures.count_reload(false);
         // Two shards, of whom both avoid one engine and one has found another well meanwhile.
-        let engines = |avoided: &[(u64, u64)]| Engines {
+        let engines = |avoided: &[(u64, u64)]| ShardEngines {
             discovered: 5,
-            avoided: avoided.to_vec(),
+            ejected: avoided.to_vec(),
         };
-        figures.engines(0, engines(&[(1, 900), (2, 400)]));
-        figures.engines(1, engines(&[(1, 800)]));
-        let text = figures.text(500).expect("is written");
+        figures.set_engines(0, engines(&[(1, 900), (2, 400)]));
+        figures.set_engines(1, engines(&[(1, 800)]));
+        let text = figures.encode(500).expect("is written");
         for line in [
             r#"dispatcher_results_total{service="lookup",disposition="succeeded"} 2"#,
             r#"dispatcher_results_total{service="lookup",disposition="declined"} 1"#,
--- a/operation/tests/drain.rs
+++ b/operation/tests/drain.rs
@@ -1,8 +1,8 @@
 //! The drain under any order of calls, signals, clients and time, held against the words of the platform's page.
 
 use proptest::prelude::*;
-use sedgebeam_operation::drain::goes_at;
-use sedgebeam_operation::{Drain, Kept, Newcomers, Orders};
+use sedgebeam_operation::drain::idle_close_at;
+use sedgebeam_operation::{Drain, DrainState, ExistingConnections, NewConnections};
 use std::time::Duration;
 
 /// From so long after LAMEDUCK no connection may be idle, or hold a request of the time before.
@@ -49,7 +49,7 @@
 }
 
 /// What a double does with the orders of the real one.
-type Bends = fn(Orders, Duration) -> Orders;
+type Bends = fn(DrainState, Duration) -> DrainState;
 
 /// A dispatcher whose sessions obey the drain.
 struct House {
@@ -64,24 +64,26 @@
 }
 
 impl House {
-    fn orders(&self) -> Orders {
-        (self.bends)(self.drain.orders(self.now), self.now)
+    fn orders(&self) -> DrainState {
+        (self.bends)(self.drain.state(self.now), self.now)
     }
 
     /// Sessions go as they must, and what holds at this moment is checked.
     fn settle(&mut self) -> Result<(), String> {
-        let (now, kept) = (self.now, self.orders().kept);
+        let (now, kept) = (self.now, self.orders().existing_connections);
         self.sessions.retain(|session| {
             let goes = match kept {
-                Kept::Stay => false,
-                Kept::Leave(since) => now >= goes_at(session.came, since, session.draw),
-                Kept::Go => true,
+                ExistingConnections::Keep => false,
+                ExistingConnections::CloseGradually(since) => {
+                    now >= idle_close_at(session.came, since, session.draw)
+                }
+                ExistingConnections::CloseWhenIdle => true,
             };
             session.busy.is_some() || !goes
         });
         let ready = self.prepared && self.called.is_none() && self.ended.is_none();
-        if self.orders().ready != ready {
-            return Err(format!("it says {} at {now:?}", self.orders().ready));
+        if self.orders().is_ready != ready {
+            return Err(format!("it says {} at {now:?}", self.orders().is_ready));
         }
         let away = self.called.filter(|called| now >= *called + AWAY);
         let held = self
@@ -98,10 +100,10 @@
     }
 
     fn connect(&mut self, draw: f64) -> Result<(), String> {
-        let newcomers = self.orders().newcomers;
+        let newcomers = self.orders().new_connections;
         let coming = match (self.ended, self.called) {
             (Some(ended), _) if self.passed => {
-                let left = newcomers == Newcomers::Left;
+                let left = newcomers == NewConnections::LeaveInBacklog;
                 return if left {
                     Ok(())
                 } else {
@@ -114,7 +116,7 @@
             (None, None) => self.prepared,
         };
         match newcomers {
-            Newcomers::Taken => self.sessions.push(Session {
+            NewConnections::Accept => self.sessions.push(Session {
                 came: self.now,
                 draw,
                 busy: None,
@@ -128,9 +130,11 @@
     /// Time passes in the steps at which the drain says that something changes, or a session goes.
     fn pass(&mut self, until: Duration) -> Result<(), String> {
         while self.now < until {
-            let kept = self.orders().kept;
+            let kept = self.orders().existing_connections;
             let going = self.sessions.iter().filter_map(|session| match kept {
-                Kept::Leave(since) => Some(goes_at(session.came, since, session.draw)),
+                ExistingConnections::CloseGradually(since) => {
+                    Some(idle_close_at(session.came, since, session.draw))
+                }
                 _ => None,
             });
             // The page's own moments are looked at whatever the drain says.
@@ -142,9 +146,9 @@
                 .chain(looks.into_iter().flatten())
                 .filter(|at| *at > self.now);
             let next = next.min().unwrap_or(until).min(until);
-            let before = self.drain.orders(self.now);
+            let before = self.drain.state(self.now);
             let just_before = next.saturating_sub(Duration::from_nanos(1)).max(self.now);
-            if self.drain.orders(just_before) != before {
+            if self.drain.state(just_before) != before {
                 return Err(format!(
                     "orders change before {next:?}, of which nobody was told"
                 ));
@@ -172,11 +176,11 @@
         let now = house.now;
         match *step {
             Step::Prepared => {
-                house.drain.prepared();
+                house.drain.set_prepared();
                 house.prepared = true;
             }
             Step::LameDuck => {
-                house.drain.lame_duck(now);
+                house.drain.start_lame_duck(now);
                 house.called.get_or_insert(now);
             }
             Step::Rejoin => {
@@ -189,7 +193,7 @@
                 }
             }
             Step::End => {
-                house.drain.end(now);
+                house.drain.start_shutdown(now);
                 house.ended.get_or_insert(now);
             }
             Step::Connect(draw) => house.connect(draw)?,
@@ -200,10 +204,13 @@
                 }
             }
             Step::Answer(place) => {
-                let (kept, stays) = (house.sessions.len().max(1), house.orders().kept);
+                let (kept, stays) = (
+                    house.sessions.len().max(1),
+                    house.orders().existing_connections,
+                );
                 if let Some(session) = house.sessions.get_mut(place % kept)
                     && session.busy.take().is_some()
-                    && stays != Kept::Stay
+                    && stays != ExistingConnections::Keep
                 {
                     house.sessions.remove(place % kept);
                 }
@@ -212,12 +219,17 @@
         }
         house.settle()?;
     }
-    let (over, kept) = (house.orders().over, house.orders().kept);
+    let (over, kept) = (
+        house.orders().is_shutdown_grace_over,
+        house.orders().existing_connections,
+    );
     let since = house.ended.map(|ended| house.now - ended);
     if over && since.is_none_or(|since| since < AFTER_TERM) {
         return Err("over while requests may come".to_string());
     }
-    if since.is_some_and(|since| since >= LAST) && !(over && kept == Kept::Go) {
+    if since.is_some_and(|since| since >= LAST)
+        && !(over && kept == ExistingConnections::CloseWhenIdle)
+    {
         return Err("it does not end".to_string());
     }
     Ok(())
@@ -267,23 +279,25 @@
         assert_eq!(play(steps, true, |orders, _| orders), Ok(()));
     }
     let doubles: [(&str, &[Step], Bends); 6] = [
-        ("still says yes", &lame_duck, |orders, _| Orders {
-            ready: true,
+        ("still says yes", &lame_duck, |orders, _| DrainState {
+            is_ready: true,
             ..orders
         }),
-        ("never says yes again", &lame_duck, |orders, now| Orders {
-            ready: orders.ready && now < Duration::from_secs(1),
-            ..orders
+        ("never says yes again", &lame_duck, |orders, now| {
+            DrainState {
+                is_ready: orders.is_ready && now < Duration::from_secs(1),
+                ..orders
+            }
         }),
-        ("keeps idle ones", &lame_duck, |orders, _| Orders {
-            kept: Kept::Stay,
+        ("keeps idle ones", &lame_duck, |orders, _| DrainState {
+            existing_connections: ExistingConnections::Keep,
             ..orders
         }),
         ("lets them go late", &lame_duck, |orders, _| {
-            match orders.kept {
-                Kept::Stay => orders,
-                _ => Orders {
-                    kept: Kept::Leave(LATELY + LAST),
+            match orders.existing_connections {
+                ExistingConnections::Keep => orders,
+                _ => DrainState {
+                    existing_connections: ExistingConnections::CloseGradually(LATELY + LAST),
                     ..orders
                 },
             }
@@ -291,17 +305,19 @@
         (
             "turns away who may come",
             &coming,
-            |orders, _| match orders.ready {
-                false => Orders {
-                    newcomers: Newcomers::TurnedAway,
+            |orders, _| match orders.is_ready {
+                false => DrainState {
+                    new_connections: NewConnections::Reject,
                     ..orders
                 },
                 true => orders,
             },
         ),
-        ("accepts what is another's", &ending, |orders, _| Orders {
-            newcomers: Newcomers::Taken,
-            ..orders
+        ("accepts what is another's", &ending, |orders, _| {
+            DrainState {
+                new_connections: NewConnections::Accept,
+                ..orders
+            }
         }),
     ];
     for (fault, steps, bends) in doubles {
--- a/operation/tests/figures.rs
+++ b/operation/tests/metrics.rs
@@ -1,7 +1,7 @@
 //! Whatever happens in whatever order: what was taken is what has ended, has left or is outstanding.
 
 use proptest::prelude::*;
-use sedgebeam_operation::{Disposition, Figures, Running};
+use sedgebeam_operation::{Disposition, Metrics, RunningRequest};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug)]
@@ -42,18 +42,18 @@
 proptest! {
     #[test]
     fn all_that_was_taken_is_accounted_for_at_any_moment(steps in prop::collection::vec(step(), 0..80)) {
-        let (figures, mut open) = (Figures::default(), Vec::<(usize, Running)>::new());
+        let (figures, mut open) = (Metrics::default(), Vec::<(usize, RunningRequest)>::new());
         let mut ended: BTreeMap<(usize, &str), u64> = BTreeMap::new();
         let (mut taken, mut left, mut forwards, mut reloads) = (0, 0, 0, [0, 0]);
         for step in steps {
             match step {
                 Step::Take(class) => {
                     taken += 1;
-                    open.push((class, figures.take(CLASSES[class])));
+                    open.push((class, figures.start_request(CLASSES[class])));
                 }
                 Step::End(which, how) if which < open.len() => {
                     let (class, running) = open.swap_remove(which);
-                    running.ended(how);
+                    running.finish(how);
                     let word = match how {
                         Disposition::Succeeded => "succeeded",
                         Disposition::Declined => "declined",
@@ -67,15 +67,15 @@
                 }
                 Step::Forward(count) => {
                     forwards += count as u64;
-                    figures.forwarded(count);
+                    figures.count_forwards(count);
                 }
                 Step::Reload(applied) => {
                     reloads[usize::from(applied)] += 1;
-                    figures.reloaded(applied);
+                    figures.count_reload(applied);
                 }
                 Step::End(..) | Step::Leave(_) => {}
             }
-            let text = figures.text(0).expect("is written");
+            let text = figures.encode(0).expect("is written");
             let results = sum(&text, "dispatcher_results_total");
             prop_assert_eq!(results, ended.values().sum::<u64>());
             prop_assert_eq!(sum(&text, "dispatcher_left_total"), left);
--- a/port/src/answer.rs
+++ b/port/src/answer.rs
@@ -5,7 +5,7 @@
     BrokerMessage, BrokerSender, EngineCommand, EngineSender, NewRequest, Page, PageRequest,
 };
 use sedgebeam_core::{AttemptNo, RequestId};
-use sedgebeam_operation::{Disposition, Running};
+use sedgebeam_operation::{Disposition, RunningRequest};
 use std::future::Future;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -50,7 +50,7 @@
     request: RequestId,
     number: AttemptNo,
     /// Counted once it is whole, or can't be.
-    running: Option<Running>,
+    running: Option<RunningRequest>,
 }
 
 /// The rest of a result can't be had.
@@ -79,7 +79,7 @@
 
     fn ended(&mut self, how: Disposition) {
         if let Some(running) = self.running.take() {
-            running.ended(how);
+            running.finish(how);
         }
     }
 
@@ -149,7 +149,7 @@
     lost: Option<Answer>,
     answered: bool,
     /// Counts the request; with a result it goes on to that.
-    running: Option<Running>,
+    running: Option<RunningRequest>,
     cancelled: CancellationToken,
     /// Names it to those who cancel what its session has under way.
     _under_way: Option<UnderWay>,
@@ -161,7 +161,7 @@
         answer: oneshot::Receiver<Answer>,
         broker: Option<BrokerSender>,
         lost: Answer,
-        running: Option<Running>,
+        running: Option<RunningRequest>,
         under_way: Option<UnderWay>,
     ) -> PendingAnswer {
         PendingAnswer {
@@ -183,9 +183,9 @@
         };
         match answer {
             Answer::Rows(delivery) => delivery.running = Some(running),
-            Answer::Refused { .. } => running.ended(Disposition::Declined),
+            Answer::Refused { .. } => running.finish(Disposition::Declined),
             // Whoever called it off is still there and hears that it failed.
-            Answer::Failed(_) => running.ended(Disposition::Aborted),
+            Answer::Failed(_) => running.finish(Disposition::Aborted),
         }
     }
 }
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -14,7 +14,7 @@
     NewRequest, PendingAnswer, SessionKey, Target,
 };
 use sedgebeam_core::{Effect, HandoverState, Key, Micros, RequestId, Tenant, splitmix64};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_retune::{Table, Tuning};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -83,7 +83,7 @@
 
 struct Shared {
     slots: Vec<Slot>,
-    figures: Figures,
+    figures: Metrics,
     /// The settings that hold at all brokers.
     tuning: RwLock<Arc<Tuning>>,
     /// Clients choose their ids: without it one could have all that it asks land on one shard.
@@ -155,7 +155,7 @@
 
 impl RequestRouter {
     /// A desk before so many brokers, none of which has come yet.
-    pub fn new(shards: usize, seed: u64, figures: Figures, tuning: Tuning) -> RequestRouter {
+    pub fn new(shards: usize, seed: u64, figures: Metrics, tuning: Tuning) -> RequestRouter {
         RequestRouter {
             shared: Arc::new(Shared {
                 slots: (0..shards).map(|_| Slot::new()).collect(),
@@ -295,7 +295,7 @@
             Some(class) if class.effect == Effect::Repeatable => self.refusal(),
             _ => Answer::Failed(Failure::ShuttingDown),
         };
-        let running = class.map(|class| self.shared.figures.take(&class.name));
+        let running = class.map(|class| self.shared.figures.start_request(&class.name));
         let under_way = UnderWay::new(&self.shared.sessions, &request);
         let route = match self.route(&request).await {
             Ok(route) => route,
@@ -470,7 +470,7 @@
         });
         futures::future::join_all(told).await;
         for class in &tuning.settings.classes {
-            self.shared.figures.class(&class.name);
+            self.shared.figures.register_class(&class.name);
         }
         *self
             .shared
--- a/port/tests/ordered_requests.rs
+++ b/port/tests/ordered_requests.rs
@@ -4,7 +4,7 @@
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
 use sedgebeam_core::{Class, ClassId, Micros, RequestId, Settings, TableGroupId};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{
     Answer, BrokerMessage, Failure, NewRequest, PendingAnswer, RequestRouter, SessionKey,
 };
@@ -36,7 +36,7 @@
         },
         ..Tuning::default()
     };
-    RequestRouter::new(SHARDS, SEED, Figures::default(), tuning)
+    RequestRouter::new(SHARDS, SEED, Metrics::default(), tuning)
 }
 
 fn request(id: u64) -> NewRequest {
