--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -4,7 +4,7 @@
 use sedgebeam_core::{Outcome, Tenant};
 use sedgebeam_port::{
     AdminError, AdminRequest, AdminResponse, Answer, AnswerCounts, Counters, EngineRow, Health,
-    Listing, Target, TenantRow,
+    ListUpdate, Target, TenantRow,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -91,11 +91,11 @@
             AdminRequest::Engines => return Ok(self.engine_rows()),
             // The desk has told of new shares as of all new settings.
             AdminRequest::Tenants | AdminRequest::SetTenant(..) => return Ok(self.tenant_rows()),
-            AdminRequest::SetEngine(target) => self.list(Listing::Changes, vec![target]),
+            AdminRequest::SetEngine(target) => self.list(ListUpdate::Changes, vec![target]),
             AdminRequest::RemoveEngine(uid) => {
                 let mut target = self.target(&uid)?;
                 target.state = "removed".to_string();
-                self.list(Listing::Changes, vec![target]);
+                self.list(ListUpdate::Changes, vec![target]);
             }
             AdminRequest::Drain(uid, drained) => {
                 let target = self.target(&uid)?;
@@ -104,7 +104,7 @@
                 } else {
                     self.drained.remove(&uid);
                 }
-                self.list(Listing::Changes, vec![target]);
+                self.list(ListUpdate::Changes, vec![target]);
             }
         }
         Ok(self.engine_rows())
--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -9,9 +9,9 @@
     Outcome, RequestId,
 };
 use sedgebeam_port::{
-    EngineCommand, EngineReporter, EngineTransport, IdleEngine, Listing, ProbeResult, Target,
+    EngineCommand, EngineReporter, EngineTransport, IdleEngine, ListUpdate, ProbeResult, Target,
 };
-use sedgebeam_settings::micros;
+use sedgebeam_settings::millis_to_micros;
 use std::collections::HashSet;
 use tokio::time::Instant;
 
@@ -59,14 +59,14 @@
     /// The list tells of its start. The clocks of two machines may be apart, and may have been stepped: it can't start later
     /// than now, and one that a change tells of did not start longer ago than a change may be late. What the first list
     /// tells of may be of any age. A start that is told again is the same one.
-    fn start_told(&mut self, told: Option<f64>, listing: Listing, now: Micros) {
+    fn start_told(&mut self, told: Option<f64>, listing: ListUpdate, now: Micros) {
         if self.told_start == told {
             return;
         }
-        let started_at = micros(told.unwrap_or_default());
+        let started_at = millis_to_micros(told.unwrap_or_default());
         let earliest = match listing {
-            Listing::Changes => now - CHANGE_LATE_BY,
-            Listing::Saved | Listing::Complete => Micros(0),
+            ListUpdate::Changes => now - CHANGE_LATE_BY,
+            ListUpdate::Saved | ListUpdate::Complete => Micros(0),
         };
         self.told_start = told;
         self.started_at = if started_at == Micros(0) {
@@ -108,7 +108,7 @@
         }
     }
 
-    pub(super) fn list(&mut self, listing: Listing, targets: Vec<Target>) {
+    pub(super) fn list(&mut self, listing: ListUpdate, targets: Vec<Target>) {
         let mut engines = Vec::new();
         for target in &targets {
             let id = self.identify(&target.uid);
@@ -125,11 +125,11 @@
             engines.push(self.entry(id, target, state));
         }
         let kind = match listing {
-            Listing::Saved => ListKind::Saved,
-            Listing::Complete => ListKind::Complete,
-            Listing::Changes => ListKind::Changes,
+            ListUpdate::Saved => ListKind::Saved,
+            ListUpdate::Complete => ListKind::Complete,
+            ListUpdate::Changes => ListKind::Changes,
         };
-        if listing != Listing::Changes {
+        if listing != ListUpdate::Changes {
             let listed: HashSet<EngineId> = engines.iter().map(|engine| engine.id).collect();
             let known = self.engines.keys().copied();
             let gone: Vec<EngineId> = known.filter(|id| !listed.contains(id)).collect();
@@ -179,7 +179,7 @@
         EngineId(number)
     }
 
-    fn know(&mut self, id: EngineId, target: &Target, ready: bool, listing: Listing) {
+    fn know(&mut self, id: EngineId, target: &Target, ready: bool, listing: ListUpdate) {
         let before = self.engines.get(&id).map(|known| &known.target.state);
         if before != Some(&target.state) {
             log::info!(
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -21,10 +21,10 @@
 use sedgebeam_port::clock::{Clock, to_duration, to_micros};
 use sedgebeam_port::{
     Answer, Attempt, AttemptResult, BrokerMessage, BrokerSender, EngineCommand, EngineReport,
-    EngineReporter, EngineSender, EngineTransport, Failure, HEARTBEAT_INTERVAL, Listing,
+    EngineReporter, EngineSender, EngineTransport, Failure, HEARTBEAT_INTERVAL, ListUpdate,
     NewRequest, Page, ResultPages, memory_grant,
 };
-use sedgebeam_retune::Tuning;
+use sedgebeam_retune::RuntimeSettings;
 use sedgebeam_settings::Names;
 use shards::Shard;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -88,7 +88,7 @@
 /// What a broker needs to know at its start.
 #[derive(Clone)]
 pub struct BrokerConfig {
-    pub runtime_settings: Arc<Tuning>,
+    pub runtime_settings: Arc<RuntimeSettings>,
     pub seed: u64,
     pub clock: Clock,
     pub metrics: Metrics,
@@ -101,10 +101,10 @@
 /// The broker and its mailbox.
 pub fn new(setup: BrokerConfig) -> (Broker, BrokerSender, mpsc::Receiver<BrokerMessage>) {
     let (own, incoming) = mpsc::channel(MAILBOX);
-    let Tuning {
+    let RuntimeSettings {
         settings,
         names,
-        most_open,
+        max_open_requests: most_open,
     } = (*setup.runtime_settings).clone();
     let broker = Broker {
         gateway: Gateway::new(settings.clone(), setup.seed),
@@ -394,13 +394,13 @@
     }
 
     /// Takes new settings: what came before was told under the old ones, and the gateway hears it first.
-    fn retune(&mut self, tuning: &Tuning) {
+    fn retune(&mut self, tuning: &RuntimeSettings) {
         if !self.events.is_empty() {
             self.batch(Instant::now());
         }
         self.settings = tuning.settings.clone();
         self.names = tuning.names.clone();
-        self.most_open = tuning.most_open;
+        self.most_open = tuning.max_open_requests;
         self.class_names = class_names(&self.settings);
         if let Some(part) = &self.part {
             part.reconfigure(&self.settings, self.most_open);
@@ -408,7 +408,7 @@
         self.gateway.reconfigure(tuning.settings.clone());
         // Kinds and zones may stand at other places now.
         let targets = self.engines.values().map(|known| known.target.clone());
-        self.list(Listing::Complete, targets.collect());
+        self.list(ListUpdate::Complete, targets.collect());
     }
 
     /// Other processes of this dispatcher hold so much. Of several shards the ledger tells each what the others
@@ -764,7 +764,7 @@
             outcome: Outcome::Ok,
             elapsed: to_micros(out.sent.elapsed()),
             request_finished: true,
-            work: work.filter(|_| self.names.tells_cost),
+            work: work.filter(|_| self.names.reports_cost),
             load_report: load,
         }));
     }
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -35,11 +35,12 @@
     let facts = r#"{"balancers": 1, "tick": 5, "domain": DOMAIN, "kinds": ["std"], "tenants": [{"name": "acme"}],
         "limits": {"cancel": true, "max_attempts": 3}, "services": [{"name": "load", "on_time": 9000, "give_up": 9000}]}"#;
     let facts = &facts.replace("DOMAIN", domain);
-    let facts: sedgebeam_settings::Facts = miniserde::json::from_str(facts).expect("settings");
-    let tuning = Tuning {
+    let facts: sedgebeam_settings::GatewaySettings =
+        miniserde::json::from_str(facts).expect("settings");
+    let tuning = RuntimeSettings {
         settings: facts.settings(),
         names: facts.names(),
-        most_open: 100,
+        max_open_requests: 100,
     };
     BrokerConfig {
         runtime_settings: Arc::new(tuning),
@@ -459,7 +460,7 @@
             state: "up".to_string(),
             ..Target::default()
         };
-        broker.take(BrokerMessage::EngineList(Listing::Complete, vec![up]));
+        broker.take(BrokerMessage::EngineList(ListUpdate::Complete, vec![up]));
         let (reply, _gone) = oneshot::channel();
         broker.submit(request(), reply);
         broker.client_left(ID, Failure::Cancelled);
@@ -501,7 +502,7 @@
         model: Some("std".to_string()),
         ..Target::default()
     };
-    broker.take(BrokerMessage::EngineList(Listing::Complete, vec![up]));
+    broker.take(BrokerMessage::EngineList(ListUpdate::Complete, vec![up]));
     let (reply, _answer) = oneshot::channel();
     let asked = NewRequest {
         memory_mb,
@@ -716,7 +717,7 @@
 
 /// The start of an engine by its own clock is so far from now, and it is told of in this way: how long ago it started, as the
 /// gateway hears it.
-fn told_age(listing: Listing, from_now_ms: f64) -> Micros {
+fn told_age(listing: ListUpdate, from_now_ms: f64) -> Micros {
     let setup = setup();
     let clock = setup.clock;
     let (mut broker, _, _) = new(setup);
@@ -744,7 +745,7 @@
 #[test]
 fn an_engine_whose_clock_is_ahead_has_started_when_it_is_told_of() {
     inside(|| {
-        for listing in [Listing::Saved, Listing::Complete, Listing::Changes] {
+        for listing in [ListUpdate::Saved, ListUpdate::Complete, ListUpdate::Changes] {
             let age = told_age(listing, HOUR_MS);
             assert!(age < Micros::from_millis(1_000), "{listing:?}: {age:?}");
         }
@@ -754,12 +755,12 @@
 #[test]
 fn an_engine_that_a_change_tells_of_is_no_older_than_a_change_may_be_late() {
     inside(|| {
-        let age = told_age(Listing::Changes, -HOUR_MS);
+        let age = told_age(ListUpdate::Changes, -HOUR_MS);
         assert!(age <= Micros::from_millis(8_000), "{age:?}");
-        let age = told_age(Listing::Changes, -3_000.0);
+        let age = told_age(ListUpdate::Changes, -3_000.0);
         assert!(age >= Micros::from_millis(3_000), "{age:?}");
         // The first list may tell of one that has long been there.
-        let age = told_age(Listing::Saved, -HOUR_MS);
+        let age = told_age(ListUpdate::Saved, -HOUR_MS);
         assert!(age >= Micros::from_millis(3_600_000), "{age:?}");
     });
 }
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -22,8 +22,8 @@
 use limits::Limits;
 use miniserde::json::Value;
 use sedgebeam_core::Settings;
-use sedgebeam_retune::Tuning;
-use sedgebeam_settings::{Connections, Names};
+use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_settings::{ConnectionSettings, Names};
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -53,7 +53,7 @@
     pub message: usize,
     pub settings: Settings,
     pub names: Names,
-    pub connections: Connections,
+    pub connections: ConnectionSettings,
     /// Threads that serve, each with a shard of the decision module where there are several.
     pub workers: usize,
     pub pin_workers: bool,
@@ -68,11 +68,11 @@
 
 impl Config {
     /// What can change while the program runs.
-    pub fn tuning(&self) -> Tuning {
-        Tuning {
+    pub fn tuning(&self) -> RuntimeSettings {
+        RuntimeSettings {
             settings: self.settings.clone(),
             names: self.names.clone(),
-            most_open: self.connections.max_open,
+            max_open_requests: self.connections.max_open_requests,
         }
     }
 }
@@ -141,12 +141,12 @@
     let engines = roster::fold(known.changes.clone()).len();
     let told = facts.connections();
     // One for each shard, however many dispatchers there are.
-    let told_most = told.most.max(shards);
+    let told_most = told.max_per_engine.max(shards);
     let to_engine = limits::engine_connections(descriptors.engines, engines).min(told_most);
-    let connections = Connections {
-        max_open: limits.max_open(told.max_open),
-        in_all: descriptors.engines,
-        most: checks::connections_per_shard(to_engine, shards)?,
+    let connections = ConnectionSettings {
+        max_open_requests: limits.max_open(told.max_open_requests),
+        max_total: descriptors.engines,
+        max_per_engine: checks::connections_per_shard(to_engine, shards)?,
         ..told
     };
     let listen = checks::address("listen", keys.listen.as_deref())?;
--- a/dispatcher/src/config/checks.rs
+++ b/dispatcher/src/config/checks.rs
@@ -7,7 +7,7 @@
 use miniserde::json::{Number, Value};
 use sedgebeam_core::{Class, Micros, Settings};
 use sedgebeam_port::Target;
-use sedgebeam_settings::Facts;
+use sedgebeam_settings::GatewaySettings;
 use std::net::SocketAddr;
 
 /// More workers than this are no use to a dispatcher, whose shards share every engine.
@@ -55,10 +55,10 @@
 }
 
 /// The decision module's settings, checked for what would make them useless.
-pub(super) fn settings(facts: &Facts) -> Result<Settings, Wrong> {
+pub(super) fn settings(facts: &GatewaySettings) -> Result<Settings, Wrong> {
     let mut settings = facts.settings();
     check_classes(&settings.classes)?;
-    if facts.attempts() == Some(0) {
+    if facts.max_attempts() == Some(0) {
         let why = "it must be more than 0";
         return Err(wrong("settings.limits.max_attempts", why));
     }
@@ -67,7 +67,7 @@
         settings.tick = DEFAULT_TICK;
     }
     // Both fronts tell their clients when to come back, whatever the simulator's clients are told.
-    settings.max_retry_after = facts.longest_advice();
+    settings.max_retry_after = facts.max_retry_after();
     Ok(settings)
 }
 
@@ -90,8 +90,8 @@
     Ok(())
 }
 
-fn check_fleet(facts: &Facts) -> Result<(), Wrong> {
-    let (gateways, me) = facts.fleet();
+fn check_fleet(facts: &GatewaySettings) -> Result<(), Wrong> {
+    let (gateways, me) = facts.gateway_count_and_index();
     if gateways.is_some_and(|count| !(1..=MAX_GATEWAYS).contains(&count)) {
         let why = format!("it is from 1 to {MAX_GATEWAYS}");
         return Err(wrong("settings.balancers", why));
--- a/dispatcher/src/config/keys.rs
+++ b/dispatcher/src/config/keys.rs
@@ -5,7 +5,7 @@
 use miniserde::Deserialize;
 use miniserde::json::Value;
 use sedgebeam_port::Target;
-use sedgebeam_settings::Facts;
+use sedgebeam_settings::GatewaySettings;
 
 /// What the platform tells a dispatcher; the dispatcher's own file may hold the same keys. A platform that
 /// knows more keys than these is not misread: what it means by them is not for this program.
@@ -18,7 +18,7 @@
     pub control: Option<String>,
     pub changelog: Option<String>,
     pub known: Option<KnownKeys>,
-    pub settings: Option<Facts>,
+    pub settings: Option<GatewaySettings>,
 }
 
 impl SharedKeys {
--- a/dispatcher/src/crew.rs
+++ b/dispatcher/src/crew.rs
@@ -116,7 +116,7 @@
         setup: BrokerConfig,
     ) -> io::Result<Crew> {
         let tuning = &setup.runtime_settings;
-        let (open, settings) = (tuning.most_open, &tuning.settings);
+        let (open, settings) = (tuning.max_open_requests, &tuning.settings);
         let shared = ShardLeases::new(config.shards, open, settings, desk.clone());
         widen_descriptors(config.sockets);
         let cores = if config.pin_workers {
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -7,8 +7,8 @@
 use miniserde::json::{self, Value};
 use sedgebeam_operation::Metrics;
 use sedgebeam_port::RequestRouter;
-use sedgebeam_retune::{MOST_PLACES, file};
-use sedgebeam_settings::Connections;
+use sedgebeam_retune::{MAX_TABLE_ENTRIES, completeness};
+use sedgebeam_settings::ConnectionSettings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -40,7 +40,9 @@
         let running: Option<Value> = json::from_str(in_use).ok();
         let lacks = |config: &Config| {
             let running = running.as_ref();
-            running.and_then(|running| file::missing(running, &config.file, &SKIPPED))
+            running.and_then(|running| {
+                completeness::first_missing_key(running, &config.file, &SKIPPED)
+            })
         };
         let why = match self.load() {
             Ok(config) => match lacks(&config) {
@@ -61,7 +63,7 @@
     pub running: Value,
     pub desk: RequestRouter,
     pub changelog: watch::Sender<Option<SocketAddr>>,
-    pub connections: watch::Sender<Connections>,
+    pub connections: watch::Sender<ConnectionSettings>,
     /// The text of the file that is in use.
     pub in_use: watch::Sender<Arc<str>>,
     /// Classes may have been retired.
@@ -99,14 +101,14 @@
     /// Reads the files, and takes them where nothing is wrong with them.
     async fn read(&mut self) -> Result<(), Wrong> {
         let config = self.source.load()?;
-        if let Some(key) = file::missing(&self.running, &config.file, &SKIPPED) {
+        if let Some(key) = completeness::first_missing_key(&self.running, &config.file, &SKIPPED) {
             return Err(wrong(
                 &key,
                 "it is there in the running configuration, and missing now",
             ));
         }
         if !self.desk.reconfigure(&config.tuning()).await {
-            let why = format!("there are more than {MOST_PLACES}, with those that end");
+            let why = format!("there are more than {MAX_TABLE_ENTRIES}, with those that end");
             return Err(wrong("settings.services or settings.tenants", why));
         }
         self.figures.count_reload(true);
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -2,8 +2,8 @@
 
 use futures::StreamExt;
 use miniserde::{Deserialize, json};
-use sedgebeam_port::{Listing, RequestRouter, Target, apply};
-use sedgebeam_roster::{Follower, Next, Pauses};
+use sedgebeam_port::{ListUpdate, RequestRouter, Target, apply_update};
+use sedgebeam_roster::{Follower, FollowerAction, RetryBackoff};
 use sedgebeam_sockets::{SocketStream, set_nodelay};
 use std::io;
 use std::net::SocketAddr;
@@ -28,10 +28,10 @@
         Change { seq: 0, fleet }
     }
 
-    fn listing(&self) -> Listing {
+    fn listing(&self) -> ListUpdate {
         match self.fleet.all {
-            Some(true) => Listing::Complete,
-            _ => Listing::Changes,
+            Some(true) => ListUpdate::Complete,
+            _ => ListUpdate::Changes,
         }
     }
 }
@@ -66,7 +66,7 @@
 pub fn fold(changes: Vec<Change>) -> Vec<Target> {
     let mut list: Vec<Target> = Vec::new();
     for change in changes {
-        apply(&mut list, change.listing(), &change.fleet.targets);
+        apply_update(&mut list, change.listing(), &change.fleet.targets);
     }
     list
 }
@@ -76,7 +76,7 @@
     mut address: watch::Receiver<Option<SocketAddr>>,
     reached: watch::Sender<Reached>,
     desk: RequestRouter,
-    mut pauses: Pauses,
+    mut pauses: RetryBackoff,
 ) {
     let mut follower = Follower::new(reached.borrow().seq);
     loop {
@@ -88,21 +88,21 @@
         tokio::select! {
             biased;
             // The old log tells nothing more: the new one is asked, with the number reached.
-            () = moved(&mut address) => pauses.heard(),
+            () = moved(&mut address) => pauses.reset(),
             ended = listen(current, &reached, &desk, &mut follower) => match ended {
                 Ok(()) => log::info!("the change log ended the connection after {}", reached.borrow().seq),
                 Err(error) => log::warn!("the change log after {}: {error}", reached.borrow().seq),
             },
         }
         if reached.borrow().seq > before {
-            pauses.heard();
+            pauses.reset();
         }
         tokio::select! {
             () = moved(&mut address) => {
-                pauses.heard();
-                sleep(pauses.draw()).await;
+                pauses.reset();
+                sleep(pauses.next_delay()).await;
             }
-            () = sleep(pauses.draw()) => {}
+            () = sleep(pauses.next_delay()) => {}
         }
     }
 }
@@ -126,7 +126,7 @@
     let stream = stream.map_err(late)??;
     set_nodelay(&stream);
     let mut stream = SocketStream::new(stream);
-    let after = follower.asks_after();
+    let after = follower.resume_after();
     let request = format!(
         "GET /changes HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {after}\r\n\r\n"
     );
@@ -137,7 +137,7 @@
             Ok(event) => event,
             Err(_) => {
                 if lines.decoder().begun {
-                    if !tell(follower.quiet(), reached, desk, follower).await {
+                    if !tell(follower.handle_silence(), reached, desk, follower).await {
                         return Ok(());
                     }
                     reached.send_modify(|reached| reached.caught_up = true);
@@ -149,9 +149,9 @@
         let Some(event) = event else { return Ok(()) };
         let Some(change) = event? else { continue };
         let (seq, listing) = (change.seq, change.listing());
-        let next = follower.hear(seq, listing, change.fleet.targets);
-        if next == Next::Again {
-            let what = if follower.rebuilds() {
+        let next = follower.handle_event(seq, listing, change.fleet.targets);
+        if next == FollowerAction::Reconnect {
+            let what = if follower.is_rebuilding() {
                 "asking for the whole list"
             } else {
                 "asking for what is missing"
@@ -167,19 +167,19 @@
 
 /// Tells the brokers what follows from what the change log said; false where nobody takes it any more.
 async fn tell(
-    next: Next,
+    next: FollowerAction,
     reached: &watch::Sender<Reached>,
     desk: &RequestRouter,
     follower: &mut Follower,
 ) -> bool {
-    let Next::Tell(seq, listing, targets) = next else {
+    let FollowerAction::Publish(seq, listing, targets) = next else {
         return true;
     };
     if desk.update_engine_list(listing, targets).await.is_err() {
         return false;
     }
     // Only now: what is dropped while it waits for the broker has not been told.
-    follower.told(seq);
+    follower.mark_published(seq);
     reached.send_modify(|reached| reached.seq = seq);
     true
 }
--- a/dispatcher/src/serve/limits.rs
+++ b/dispatcher/src/serve/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::beside::Others;
 use sedgebeam_fronts::session_slots::SessionSlots;
-use sedgebeam_settings::Connections;
+use sedgebeam_settings::ConnectionSettings;
 use tokio::sync::watch;
 
 /// A process takes at least one in so many of the sessions of one dispatcher, whatever another has.
@@ -12,8 +12,8 @@
 pub(super) struct SharedLimits {
     pub sessions: usize,
     pub places: SessionSlots,
-    pub whole: watch::Receiver<Connections>,
-    pub divided: watch::Sender<Connections>,
+    pub whole: watch::Receiver<ConnectionSettings>,
+    pub divided: watch::Sender<ConnectionSettings>,
 }
 
 impl SharedLimits {
@@ -24,9 +24,9 @@
         loop {
             let whole = *self.whole.borrow_and_update();
             let beside = *others.borrow_and_update();
-            self.divided.send_replace(Connections {
-                most: (whole.most / beside.parts).max(1),
-                in_all: (whole.in_all / beside.parts).max(1),
+            self.divided.send_replace(ConnectionSettings {
+                max_per_engine: (whole.max_per_engine / beside.parts).max(1),
+                max_total: (whole.max_total / beside.parts).max(1),
                 ..whole
             });
             let left = self.sessions.saturating_sub(beside.sessions);
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -12,9 +12,9 @@
 use sedgebeam_handover::HandoverMessage;
 use sedgebeam_operation::Metrics;
 use sedgebeam_port::clock::{Clock, to_duration};
-use sedgebeam_port::{AdminRequest, Listing, supervise};
-use sedgebeam_roster::Pauses;
-use sedgebeam_settings::Connections;
+use sedgebeam_port::{AdminRequest, ListUpdate, supervise};
+use sedgebeam_roster::RetryBackoff;
+use sedgebeam_settings::ConnectionSettings;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     /// Starts what answers operators, the drain's clock, and the workers.
     pub(super) async fn start(
         config: Config,
-        connections: watch::Receiver<Connections>,
+        connections: watch::Receiver<ConnectionSettings>,
         alive: mpsc::Sender<()>,
     ) -> io::Result<Program> {
         let duty = Duty::new(config.passed.is_some());
@@ -66,7 +66,7 @@
         let (known, desk) = (&self.config.known, &self.crew.desk);
         let ended = |_| io::Error::other("the broker ended at once");
         let saved = roster::fold(known.changes.clone());
-        desk.update_engine_list(Listing::Saved, saved)
+        desk.update_engine_list(ListUpdate::Saved, saved)
             .await
             .map_err(ended)?;
         let Some(share) = handed else {
@@ -77,7 +77,7 @@
         let seq = stated.change_log_seq.max(known.seq);
         if stated.change_log_seq > known.seq {
             let told = desk
-                .update_engine_list(Listing::Complete, stated.targets)
+                .update_engine_list(ListUpdate::Complete, stated.targets)
                 .await;
             told.map_err(ended)?;
         }
@@ -98,7 +98,7 @@
             seq,
             caught_up: false,
         });
-        let pauses = Pauses::new(config.settings.gateways, config.seed);
+        let pauses = RetryBackoff::new(config.settings.gateways, config.seed);
         let following = roster::follow(address, reached, self.crew.desk.clone(), pauses);
         supervise::spawn_critical("the change log", following);
         (changelog, heard)
@@ -110,7 +110,7 @@
         source: Source,
         hangup: Signal,
         changelog: watch::Sender<Option<SocketAddr>>,
-        connections: watch::Sender<Connections>,
+        connections: watch::Sender<ConnectionSettings>,
     ) -> watch::Receiver<Arc<str>> {
         let (retired, retired_told) = watch::channel(());
         let names = self.crew.desk.clone();
--- a/dispatcher/tests/beside.rs
+++ b/dispatcher/tests/beside.rs
@@ -7,7 +7,7 @@
 use sedgebeam_operation::{Drain, DrainState, Metrics};
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{BrokerMessage, RequestRouter};
-use sedgebeam_retune::Tuning;
+use sedgebeam_retune::RuntimeSettings;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -61,7 +61,7 @@
 
 impl Process {
     async fn start(member: Member) -> Process {
-        let desk = RequestRouter::new(1, 0, Metrics::default(), Tuning::default());
+        let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
         let (mailbox, told) = mpsc::channel(16);
         desk.open_shard(0, mailbox).await.expect("a broker");
         let mut drain = Drain::new(true);
--- a/dispatcher/tests/followers.rs
+++ b/dispatcher/tests/followers.rs
@@ -4,9 +4,9 @@
 
 use sedgebeam::roster::{self, Reached};
 use sedgebeam_operation::Metrics;
-use sedgebeam_port::{BrokerMessage, Listing, RequestRouter, Target, apply};
-use sedgebeam_retune::Tuning;
-use sedgebeam_roster::Pauses;
+use sedgebeam_port::{BrokerMessage, ListUpdate, RequestRouter, Target, apply_update};
+use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_roster::RetryBackoff;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -144,19 +144,19 @@
 }
 
 async fn follower(number: u32, log: &Log) -> Follower {
-    let desk = RequestRouter::new(1, 0, Metrics::default(), Tuning::default());
+    let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
     let (mailbox, mut told) = mpsc::channel(16);
     let (kept, list) = watch::channel(Vec::new());
     tokio::spawn(async move {
         while let Some(message) = told.recv().await {
             if let BrokerMessage::EngineList(listing, targets) = message {
-                kept.send_modify(|list| apply(list, listing, &targets));
+                kept.send_modify(|list| apply_update(list, listing, &targets));
             }
         }
     });
     desk.open_shard(0, mailbox).await.expect("a broker");
     let first = roster::fold(vec![read(1)]);
-    desk.update_engine_list(Listing::Complete, first)
+    desk.update_engine_list(ListUpdate::Complete, first)
         .await
         .expect("a broker");
     let (address, changes) = watch::channel(Some(log.address));
@@ -164,7 +164,7 @@
         seq: 1,
         caught_up: false,
     });
-    let pauses = Pauses::new(FOLLOWERS, u64::from(number));
+    let pauses = RetryBackoff::new(FOLLOWERS, u64::from(number));
     tokio::spawn(roster::follow(changes, reached, desk, pauses));
     Follower {
         address,
@@ -282,10 +282,15 @@
         let log = listener(0);
         let address = log.local_addr().expect("an address");
         let _fills_the_queue = TcpStream::connect(address).await.expect("connects");
-        let desk = RequestRouter::new(1, 0, Metrics::default(), Tuning::default());
+        let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
         let (_address, changes) = watch::channel(Some(address));
         let (reached, _heard) = watch::channel(Reached::default());
-        tokio::spawn(roster::follow(changes, reached, desk, Pauses::new(1, 1)));
+        tokio::spawn(roster::follow(
+            changes,
+            reached,
+            desk,
+            RetryBackoff::new(1, 1),
+        ));
         let port = loop {
             if let [port] = connecting_to(address.port())[..] {
                 break port;
--- a/dispatcher/tests/scenarios/actors.rs
+++ b/dispatcher/tests/scenarios/actors.rs
@@ -10,7 +10,7 @@
     Attempt, AttemptResult, BrokerMessage, EngineCommand, EngineReport, EngineReporter,
     EngineSender, EngineTransport, Page, ProbeResult, Target,
 };
-use sedgebeam_settings::Connections;
+use sedgebeam_settings::ConnectionSettings;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -51,13 +51,13 @@
     in_all: usize,
     slots: ConnectionSlots,
 ) -> Bench {
-    let connections = Connections {
-        most,
-        in_all,
+    let connections = ConnectionSettings {
+        max_per_engine: most,
+        max_total: in_all,
         max_streams: 2,
         connect_timeout: Micros::from_millis(5000),
-        idle: Micros::from_millis(30_000),
-        max_open: 10,
+        idle_timeout: Micros::from_millis(30_000),
+        max_open_requests: 10,
     };
     let (broker, reports) = mpsc::channel(16);
     let target = Target {
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -8,8 +8,8 @@
 use sedgebeam_fronts::{FrontContext, pg};
 use sedgebeam_operation::{Drain, DrainState, Metrics};
 use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter, SessionKey};
-use sedgebeam_retune::Tuning;
-use sedgebeam_settings::Facts;
+use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_settings::GatewaySettings;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -29,11 +29,12 @@
 }
 
 async fn front(places: usize) -> Front {
-    let facts: Facts = miniserde::json::from_str(crate::stage::SETTINGS).expect("settings");
-    let tuning = Tuning {
+    let facts: GatewaySettings =
+        miniserde::json::from_str(crate::stage::SETTINGS).expect("settings");
+    let tuning = RuntimeSettings {
         settings: facts.settings(),
         names: facts.names(),
-        most_open: 100,
+        max_open_requests: 100,
     };
     let desk = RequestRouter::new(1, 1, Metrics::default(), tuning);
     let (mailbox, broker) = mpsc::channel(64);
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -8,7 +8,7 @@
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{
     AdminError, AdminRequest, AdminResponse, Answer, Attempt, AttemptResult, EngineCommand,
-    EngineReporter, EngineSender, EngineTransport, Failure, Listing, NewRequest, Page,
+    EngineReporter, EngineSender, EngineTransport, Failure, ListUpdate, NewRequest, Page,
     PendingAnswer, Target,
 };
 use std::collections::{HashMap, HashSet};
@@ -236,7 +236,7 @@
         let crew = crew.expect("starts");
         let list = vec![target("e-1")];
         crew.desk
-            .update_engine_list(Listing::Complete, list)
+            .update_engine_list(ListUpdate::Complete, list)
             .await
             .expect("is told");
         Bench {
@@ -290,7 +290,7 @@
         let told = self
             .crew
             .desk
-            .update_engine_list(Listing::Changes, vec![target(uid)]);
+            .update_engine_list(ListUpdate::Changes, vec![target(uid)]);
         told.await.expect("is told");
     }
 
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -21,7 +21,7 @@
     Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, Page, PageRequest,
     ProbeResult, supervise,
 };
-use sedgebeam_settings::Connections;
+use sedgebeam_settings::ConnectionSettings;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -121,7 +121,7 @@
 }
 
 impl Actor {
-    fn settings(&self) -> Connections {
+    fn settings(&self) -> ConnectionSettings {
         *self.transport.connections.borrow()
     }
 
@@ -186,7 +186,7 @@
     }
 
     fn close_idle(&mut self) {
-        let idle = to_duration(self.settings().idle);
+        let idle = to_duration(self.settings().idle_timeout);
         let now = Instant::now();
         self.lanes
             .retain(|_, lane| lane.out > 0 || now < lane.used + idle);
@@ -200,10 +200,10 @@
             lane.out += 1;
             return Some((*number, lane.opening.clone()));
         }
-        if self.lanes.len() >= self.settings().most {
+        if self.lanes.len() >= self.settings().max_per_engine {
             return None;
         }
-        let Some(slot) = self.transport.slots.try_acquire(self.settings().in_all) else {
+        let Some(slot) = self.transport.slots.try_acquire(self.settings().max_total) else {
             self.transport.slots.signal_shortage();
             return None;
         };
@@ -314,7 +314,7 @@
         drop(up);
         let (endpoint, reports) = (self.endpoint.clone(), self.reports.clone());
         let limit = to_duration(self.settings().connect_timeout);
-        let (slots, in_all) = (self.transport.slots.clone(), self.settings().in_all);
+        let (slots, in_all) = (self.transport.slots.clone(), self.settings().max_total);
         tokio::spawn(async move {
             // Only a connection of its own takes a slot, for as long as the probe lasts.
             let slot = channel.is_none().then(|| slots.try_acquire(in_all));
@@ -377,7 +377,7 @@
             let (name, value) = gauge.split_once(':')?;
             Some((name, value.parse().ok()?))
         });
-    Some(sedgebeam_settings::load(values))
+    Some(sedgebeam_settings::load_report(values))
 }
 
 /// What an error says of an attempt.
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -8,7 +8,7 @@
 
 use sedgebeam_operation::Metrics;
 use sedgebeam_port::{EngineReporter, EngineSender, EngineTransport, Target, supervise};
-use sedgebeam_settings::Connections;
+use sedgebeam_settings::ConnectionSettings;
 use tokio::sync::{mpsc, watch};
 
 /// Requests that may wait in an engine's mailbox: far more than it ever runs.
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub struct NetworkTransport {
     /// They may change while engines are served.
-    pub connections: watch::Receiver<Connections>,
+    pub connections: watch::Receiver<ConnectionSettings>,
     /// Attempts are counted there once they are written.
     pub metrics: Metrics,
     /// Connections to all engines take one each.
--- a/engines/src/resp/codec.rs
+++ b/engines/src/resp/codec.rs
@@ -318,7 +318,7 @@
             let (name, value) = gauge.split_once(':')?;
             Some((name, value.parse().ok()?))
         });
-        Some(sedgebeam_settings::load(values))
+        Some(sedgebeam_settings::load_report(values))
     }
 
     fn note(&self) -> Option<Note> {
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -23,7 +23,7 @@
     Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, IdleEngine, Page,
     ProbeResult,
 };
-use sedgebeam_settings::Connections;
+use sedgebeam_settings::ConnectionSettings;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -209,7 +209,7 @@
         let aborts = self.aborts_due().map(|(_, due)| due);
         let limit = to_duration(settings.connect_timeout);
         let probes = self.probes.values().map(|asked| *asked + limit);
-        let idle = to_duration(settings.idle).mul_f64(IDLE_PART);
+        let idle = to_duration(settings.idle_timeout).mul_f64(IDLE_PART);
         let kept = self.connections.values().filter(|kept| !kept.busy());
         let goes = kept.map(|kept| {
             if kept.spent {
@@ -241,7 +241,7 @@
         kept.map(|((number, _), aborting)| (*number, aborting.since + ABORT_LIMIT))
     }
 
-    fn settings(&self) -> Connections {
+    fn settings(&self) -> ConnectionSettings {
         *self.transport.connections.borrow()
     }
 
@@ -402,10 +402,10 @@
     /// wanted.
     fn open(&mut self, needed: bool) -> Option<Number> {
         let settings = self.settings();
-        if self.connections.len() >= settings.most {
+        if self.connections.len() >= settings.max_per_engine {
             return None;
         }
-        let Some(slot) = self.transport.slots.try_acquire(settings.in_all) else {
+        let Some(slot) = self.transport.slots.try_acquire(settings.max_total) else {
             if needed {
                 self.transport.slots.signal_shortage();
             }
@@ -736,8 +736,8 @@
 
     async fn look(&mut self) {
         let now = Instant::now();
-        let idle = to_duration(self.settings().idle).mul_f64(IDLE_PART);
-        let (mut open, most) = (self.connections.len(), self.settings().most);
+        let idle = to_duration(self.settings().idle_timeout).mul_f64(IDLE_PART);
+        let (mut open, most) = (self.connections.len(), self.settings().max_per_engine);
         self.close_idle(|connection| {
             // Fewer may be open than were: idle ones go at once.
             let goes = connection.spent || now >= connection.used + idle || open > most;
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -164,14 +164,14 @@
 
 // ---- A dispatcher ----
 
-fn connections() -> Connections {
-    Connections {
-        most: 64,
-        in_all: 1024,
+fn connections() -> ConnectionSettings {
+    ConnectionSettings {
+        max_per_engine: 64,
+        max_total: 1024,
         max_streams: 32,
         connect_timeout: to_micros(CONNECT_TIMEOUT),
-        idle: Micros::from_millis(30_000),
-        max_open: 1000,
+        idle_timeout: Micros::from_millis(30_000),
+        max_open_requests: 1000,
     }
 }
 
@@ -190,11 +190,11 @@
         Dispatcher::start_with(engine, connections())
     }
 
-    fn start_with(engine: &StandIn, connections: Connections) -> Dispatcher {
+    fn start_with(engine: &StandIn, connections: ConnectionSettings) -> Dispatcher {
         Dispatcher::start_at(engine.address, connections)
     }
 
-    fn start_at(engine: SocketAddr, connections: Connections) -> Dispatcher {
+    fn start_at(engine: SocketAddr, connections: ConnectionSettings) -> Dispatcher {
         let transport = NetworkTransport {
             connections: watch::channel(connections).1,
             metrics: Metrics::default(),
@@ -591,7 +591,7 @@
 #[tokio::test(start_paused = true)]
 async fn attempts_that_can_not_share_open_connections_of_their_own() {
     let engine = StandIn::start(WELL).await;
-    let alone = Connections {
+    let alone = ConnectionSettings {
         max_streams: 1,
         ..connections()
     };
@@ -606,13 +606,13 @@
 
 #[tokio::test]
 async fn an_engine_with_nothing_out_and_no_connection_has_nobody_wake() {
-    let connections = Connections {
-        most: 2,
-        in_all: 64,
+    let connections = ConnectionSettings {
+        max_per_engine: 2,
+        max_total: 64,
         max_streams: 2,
         connect_timeout: Micros::from_millis(250),
-        idle: Micros::from_millis(30_000),
-        max_open: 10,
+        idle_timeout: Micros::from_millis(30_000),
+        max_open_requests: 10,
     };
     let transport = NetworkTransport {
         connections: watch::channel(connections).1,
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -4,7 +4,7 @@
 use sedgebeam_core::{RequestId, TableGroupId};
 use sedgebeam_port::clock::to_duration;
 use sedgebeam_port::{NewRequest, SessionKey};
-use sedgebeam_settings::{Names, micros, millis};
+use sedgebeam_settings::{Names, micros_to_millis, millis_to_micros};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
@@ -106,7 +106,7 @@
         Some("1") => true,
         Some(_) => return Err(unusable("second")),
     };
-    let limit = number("limit", millis(longest) * MOST_PATIENCE)?;
+    let limit = number("limit", micros_to_millis(longest) * MOST_PATIENCE)?;
     if limit == 0.0 {
         return Err(unusable("limit"));
     }
@@ -114,8 +114,8 @@
         id: field("txn").and_then(id).ok_or_else(|| unusable("txn"))?,
         class,
         tenant: field("team").map(str::to_string),
-        deadline: came + to_duration(micros(limit)),
-        work: micros(number("cpu", MOST_WORK_MS)?),
+        deadline: came + to_duration(millis_to_micros(limit)),
+        work: millis_to_micros(number("cpu", MOST_WORK_MS)?),
         memory_mb: number("memory", MOST_MEMORY_MB)?,
         group: TableGroupId(table_group(text).unwrap_or_default()),
         statement,
--- a/fronts/src/statement/tests.rs
+++ b/fronts/src/statement/tests.rs
@@ -52,7 +52,7 @@
 fn fields_that_cannot_be_used_are_named() {
     let names = Names {
         classes: vec!["lookup".to_string()],
-        give_up: vec![micros(2500.0)],
+        give_up: vec![millis_to_micros(2500.0)],
         ..Names::default()
     };
     let told = |text: &str| {
@@ -101,7 +101,7 @@
 fn a_request_is_a_retry_only_where_its_client_marks_it() {
     let names = Names {
         classes: vec!["lookup".to_string()],
-        give_up: vec![micros(2500.0)],
+        give_up: vec![millis_to_micros(2500.0)],
         ..Names::default()
     };
     for (mark, is_retry) in [("", false), (",second=1", true)] {
@@ -115,7 +115,7 @@
 fn the_word_of_a_keyed_request_is_kept_as_it_came() {
     let names = Names {
         classes: vec!["lookup".to_string()],
-        give_up: vec![micros(2500.0)],
+        give_up: vec![millis_to_micros(2500.0)],
         ..Names::default()
     };
     let word = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
--- a/fronts/src/test_router.rs
+++ b/fronts/src/test_router.rs
@@ -3,7 +3,7 @@
 use sedgebeam_core::{Class, Micros, Settings};
 use sedgebeam_operation::Metrics;
 use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter};
-use sedgebeam_retune::Tuning;
+use sedgebeam_retune::RuntimeSettings;
 use sedgebeam_settings::Names;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -18,7 +18,7 @@
         name: "lookup".to_string(),
         ..Class::default()
     };
-    let tuning = Tuning {
+    let tuning = RuntimeSettings {
         settings: Settings {
             classes: vec![class],
             max_retry_after: Micros::from_millis(max_retry_after),
@@ -29,7 +29,7 @@
             give_up: vec![Micros::from_millis(60_000)],
             ..Names::default()
         },
-        most_open: 100,
+        max_open_requests: 100,
     };
     let desk = RequestRouter::new(1, 1, Metrics::default(), tuning);
     let (mailbox, broker) = mpsc::channel(64);
--- a/port/src/replicated_state.rs
+++ b/port/src/replicated_state.rs
@@ -1,8 +1,8 @@
 //! What holds for all brokers alike and must be told to one that is started anew: the list of engines, and
 //! what the administration has set. No I/O.
 
-use crate::{AdminRequest, Listing, Target, apply};
-use sedgebeam_retune::Table;
+use crate::{AdminRequest, ListUpdate, Target, apply_update};
+use sedgebeam_retune::SettingsTable;
 use std::collections::BTreeSet;
 
 #[derive(Debug)]
@@ -10,11 +10,11 @@
     targets: Vec<Target>,
     drained: BTreeSet<String>,
     /// The settings, with the tenants that were set.
-    pub table: Table,
+    pub table: SettingsTable,
 }
 
 impl ReplicatedState {
-    pub fn new(table: Table) -> ReplicatedState {
+    pub fn new(table: SettingsTable) -> ReplicatedState {
         ReplicatedState {
             targets: Vec::new(),
             drained: BTreeSet::new(),
@@ -23,15 +23,15 @@
     }
 
     /// Takes a change of the list.
-    pub fn apply_listing(&mut self, listing: Listing, targets: &[Target]) {
-        apply(&mut self.targets, listing, targets);
+    pub fn apply_listing(&mut self, listing: ListUpdate, targets: &[Target]) {
+        apply_update(&mut self.targets, listing, targets);
     }
 
     /// Takes what the administration has set, once it has been done.
     pub fn record(&mut self, asked: &AdminRequest) {
         match asked {
             AdminRequest::SetEngine(target) => {
-                self.apply_listing(Listing::Changes, std::slice::from_ref(target))
+                self.apply_listing(ListUpdate::Changes, std::slice::from_ref(target))
             }
             AdminRequest::RemoveEngine(uid) => self.targets.retain(|known| known.uid != *uid),
             AdminRequest::Drain(uid, true) => drop(self.drained.insert(uid.clone())),
@@ -74,10 +74,13 @@
 
     #[test]
     fn a_new_broker_is_told_the_list_and_what_was_set() {
-        let mut standing = ReplicatedState::new(Table::default());
-        standing.apply_listing(Listing::Complete, &[target("a", "up"), target("b", "up")]);
+        let mut standing = ReplicatedState::new(SettingsTable::default());
         standing.apply_listing(
-            Listing::Changes,
+            ListUpdate::Complete,
+            &[target("a", "up"), target("b", "up")],
+        );
+        standing.apply_listing(
+            ListUpdate::Changes,
             &[target("a", "removed"), target("c", "up")],
         );
         for asked in [
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -1,9 +1,9 @@
 //! Requests on their way to the broker, and all else that it is told.
 
-use crate::{AdminError, AdminRequest, AdminResponse, Answer, EngineReport, Listing, Target};
+use crate::{AdminError, AdminRequest, AdminResponse, Answer, EngineReport, ListUpdate, Target};
 use bytes::Bytes;
 use sedgebeam_core::{ClassId, EngineId, HandoverState, Micros, RequestId, TableGroupId};
-use sedgebeam_retune::Tuning;
+use sedgebeam_retune::RuntimeSettings;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -47,7 +47,7 @@
     ClientLeft(RequestId),
     EngineReport(EngineId, EngineReport),
     EngineActorDied(EngineId),
-    EngineList(Listing, Vec<Target>),
+    EngineList(ListUpdate, Vec<Target>),
     /// Asks what the gateway holds.
     GetHandoverState(oneshot::Sender<HandoverState>),
     /// What an earlier process held, to begin with.
@@ -57,7 +57,7 @@
     /// The process ends: what has no answer yet gets one now.
     Shutdown,
     /// New settings; the sender is dropped once they hold.
-    Reconfigure(Arc<Tuning>, oneshot::Sender<()>),
+    Reconfigure(Arc<RuntimeSettings>, oneshot::Sender<()>),
     Admin(
         AdminRequest,
         oneshot::Sender<Result<AdminResponse, AdminError>>,
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -10,12 +10,12 @@
 use crate::clock::{to_duration, to_micros};
 use crate::replicated_state::ReplicatedState;
 use crate::{
-    AdminError, AdminRequest, AdminResponse, Answer, BrokerMessage, BrokerSender, Failure, Listing,
-    NewRequest, PendingAnswer, SessionKey, Target,
+    AdminError, AdminRequest, AdminResponse, Answer, BrokerMessage, BrokerSender, Failure,
+    ListUpdate, NewRequest, PendingAnswer, SessionKey, Target,
 };
 use sedgebeam_core::{Effect, HandoverState, Key, Micros, RequestId, Tenant, splitmix64};
 use sedgebeam_operation::Metrics;
-use sedgebeam_retune::{Table, Tuning};
+use sedgebeam_retune::{RuntimeSettings, SettingsTable};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex as Lock, PoisonError, RwLock};
@@ -85,7 +85,7 @@
     slots: Vec<Slot>,
     figures: Metrics,
     /// The settings that hold at all brokers.
-    tuning: RwLock<Arc<Tuning>>,
+    tuning: RwLock<Arc<RuntimeSettings>>,
     /// Clients choose their ids: without it one could have all that it asks land on one shard.
     seed: u64,
     began: Instant,
@@ -155,7 +155,12 @@
 
 impl RequestRouter {
     /// A desk before so many brokers, none of which has come yet.
-    pub fn new(shards: usize, seed: u64, figures: Metrics, tuning: Tuning) -> RequestRouter {
+    pub fn new(
+        shards: usize,
+        seed: u64,
+        figures: Metrics,
+        tuning: RuntimeSettings,
+    ) -> RequestRouter {
         RequestRouter {
             shared: Arc::new(Shared {
                 slots: (0..shards).map(|_| Slot::new()).collect(),
@@ -164,7 +169,7 @@
                 seed,
                 began: Instant::now(),
                 sessions: Sessions::default(),
-                standing: Mutex::new(ReplicatedState::new(Table::new(tuning))),
+                standing: Mutex::new(ReplicatedState::new(SettingsTable::new(tuning))),
             }),
         }
     }
@@ -215,7 +220,7 @@
         let (held, _) = oneshot::channel();
         let retune = BrokerMessage::Reconfigure(self.runtime_settings(), held);
         mailbox.send(retune).await.map_err(|_| RouterClosed)?;
-        let list = BrokerMessage::EngineList(Listing::Saved, standing.targets());
+        let list = BrokerMessage::EngineList(ListUpdate::Saved, standing.targets());
         mailbox.send(list).await.map_err(|_| RouterClosed)?;
         for asked in standing.replay_requests() {
             let (reply, _) = oneshot::channel();
@@ -346,7 +351,7 @@
     /// Tells all brokers of a change of the list, a silent one too: it hears of it first of all.
     pub async fn update_engine_list(
         &self,
-        listing: Listing,
+        listing: ListUpdate,
         targets: Vec<Target>,
     ) -> Result<(), RouterClosed> {
         let mut standing = self.shared.standing.lock().await;
@@ -367,15 +372,15 @@
     }
 
     /// The settings that hold, and the names that requests may use.
-    pub fn runtime_settings(&self) -> Arc<Tuning> {
+    pub fn runtime_settings(&self) -> Arc<RuntimeSettings> {
         let tuning = self.shared.tuning.read();
         tuning.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Has all brokers take new settings; false, and nothing changes, where there is no room for them.
-    pub async fn reconfigure(&self, told: &Tuning) -> bool {
+    pub async fn reconfigure(&self, told: &RuntimeSettings) -> bool {
         let mut standing = self.shared.standing.lock().await;
-        if standing.table.retune(self.micros(), told).is_none() {
+        if standing.table.reconfigure(self.micros(), told).is_none() {
             return false;
         }
         self.spread(&standing.table).await;
@@ -447,7 +452,7 @@
     pub async fn replicated_state(&self) -> (Vec<Target>, Vec<String>, Vec<Tenant>) {
         let standing = self.shared.standing.lock().await;
         let (targets, drained) = (standing.targets(), standing.drained());
-        (targets, drained, standing.table.set().to_vec())
+        (targets, drained, standing.table.tenant_overrides().to_vec())
     }
 
     fn micros(&self) -> Micros {
@@ -456,8 +461,8 @@
 
     /// Tells all brokers of the settings first, and only then those who take requests: no request names what
     /// its broker does not know. A silent broker is not waited for; its mailbox keeps the order.
-    async fn spread(&self, table: &Table) {
-        let tuning = Arc::new(table.tuning().clone());
+    async fn spread(&self, table: &SettingsTable) {
+        let tuning = Arc::new(table.runtime_settings().clone());
         let told = self.all().map(|mailbox| {
             let (held, done) = oneshot::channel();
             let retune = BrokerMessage::Reconfigure(tuning.clone(), held);
--- a/port/tests/ordered_requests.rs
+++ b/port/tests/ordered_requests.rs
@@ -8,7 +8,7 @@
 use sedgebeam_port::{
     Answer, BrokerMessage, Failure, NewRequest, PendingAnswer, RequestRouter, SessionKey,
 };
-use sedgebeam_retune::Tuning;
+use sedgebeam_retune::RuntimeSettings;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -28,13 +28,13 @@
         name: "load".to_string(),
         ..Class::default()
     };
-    let tuning = Tuning {
+    let tuning = RuntimeSettings {
         settings: Settings {
             classes: vec![class],
             max_retry_after: Micros::from_millis(2_000),
             ..Settings::default()
         },
-        ..Tuning::default()
+        ..RuntimeSettings::default()
     };
     RequestRouter::new(SHARDS, SEED, Metrics::default(), tuning)
 }
--- a/retune/src/file.rs
+++ b/retune/src/completeness.rs
@@ -8,7 +8,7 @@
 /// The first key that the running file has and the new one lacks, or has as something else than an object or
 /// a list. In lists of objects that is a key that all running ones have. What stands under `skipped` need only be
 /// there.
-pub fn missing(running: &Value, new: &Value, skipped: &[&str]) -> Option<String> {
+pub fn first_missing_key(running: &Value, new: &Value, skipped: &[&str]) -> Option<String> {
     let mut path = Vec::new();
     lacks(running, new, skipped, &mut path).then(|| path.join("."))
 }
@@ -130,13 +130,16 @@
             "limits": {"max_attempts": 3}, "services": [{"name": "a", "give_up": 1, "worth": 1},
             {"name": "b", "give_up": 2, "worth": 2}], "tenants": [{"name": "x", "portion": 1}]}}"#,
         );
-        assert_eq!(missing(&running, &running, &["known"]), None);
+        assert_eq!(first_missing_key(&running, &running, &["known"]), None);
         let paths = paths(&running);
         assert_eq!(paths.len(), 23, "{paths:?}");
         for path in paths {
             let mut lacks = running.clone();
             remove(&mut lacks, &path);
-            assert_eq!(missing(&running, &lacks, &["known"]), Some(path.join(".")));
+            assert_eq!(
+                first_missing_key(&running, &lacks, &["known"]),
+                Some(path.join("."))
+            );
         }
     }
 
@@ -149,7 +152,7 @@
         );
         let whole = r#"{"name": "n1", "known": {"seq": 2}, "more": 1, "settings": {"kinds": ["b", "c"],
             "limits": {"max_attempts": 2}, "services": [{"name": "c", "give_up": 4}]}}"#;
-        assert_eq!(missing(&running, &value(whole), &["known"]), None);
+        assert_eq!(first_missing_key(&running, &value(whole), &["known"]), None);
         for (from, to, key) in [
             (r#""name": "n1", "#, "", "name"),
             (r#""name": "n1""#, r#""name": null"#, "name"),
@@ -173,7 +176,7 @@
             } else {
                 &["known"]
             };
-            let found = missing(&running, &value(&text), skipped);
+            let found = first_missing_key(&running, &value(&text), skipped);
             assert_eq!(found.as_deref(), Some(key), "{text}");
         }
     }
--- a/retune/src/lib.rs
+++ b/retune/src/lib.rs
@@ -1,7 +1,7 @@
 //! New settings while a dispatcher runs: which files are taken, and what becomes of classes and tenants
 //! whose requests are under way. No I/O, no clock: times come in, in microseconds.
 
-pub mod file;
-mod table;
+pub mod completeness;
+mod settings_table;
 
-pub use table::{MOST_PLACES, Table, Tuning};
+pub use settings_table::{MAX_TABLE_ENTRIES, RuntimeSettings, SettingsTable};
--- a/retune/src/table.rs
+++ b/retune/src/settings_table.rs
@@ -9,18 +9,18 @@
 use sedgebeam_settings::Names;
 
 /// Classes, and tenants, that there can be at once, retired ones counted.
-pub const MOST_PLACES: usize = 1024;
+pub const MAX_TABLE_ENTRIES: usize = 1024;
 /// A client waits for one try at most this many times as long as its class's deadline.
 const PATIENCE: u64 = 2;
 
 /// Settings whose lists stand by place, and the names that requests may use.
 #[derive(Clone, Debug, Default)]
-pub struct Tuning {
+pub struct RuntimeSettings {
     pub settings: Settings,
     /// A place that requests can't name any more has an empty name.
     pub names: Names,
     /// The requests that may be open at once.
-    pub most_open: usize,
+    pub max_open_requests: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,8 +32,8 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    tuning: Tuning,
+pub struct SettingsTable {
+    runtime_settings: RuntimeSettings,
     classes: Vec<Life>,
     tenants: Vec<Life>,
     /// By class, until when requests may be open that were taken under other figures.
@@ -56,7 +56,7 @@
 fn place(lives: &mut Vec<Life>, earlier: impl Fn(usize) -> bool) -> Option<usize> {
     let was = (0..lives.len()).find(|place| lives[*place] != Life::Free && earlier(*place));
     let place = was.or_else(|| lives.iter().position(|life| *life == Life::Free));
-    if place.is_none() && lives.len() < MOST_PLACES {
+    if place.is_none() && lives.len() < MAX_TABLE_ENTRIES {
         lives.push(Life::Free);
         return Some(lives.len() - 1);
     }
@@ -70,23 +70,23 @@
     list[place] = value;
 }
 
-impl Table {
-    pub fn new(tuning: Tuning) -> Table {
-        Table {
+impl SettingsTable {
+    pub fn new(tuning: RuntimeSettings) -> SettingsTable {
+        SettingsTable {
             classes: vec![Life::Used; tuning.settings.classes.len()],
             tenants: vec![Life::Used; tuning.settings.tenants.len()],
             open_until: vec![Micros(0); tuning.settings.classes.len()],
             set: Vec::new(),
-            tuning,
+            runtime_settings: tuning,
         }
     }
 
-    pub fn tuning(&self) -> &Tuning {
-        &self.tuning
+    pub fn runtime_settings(&self) -> &RuntimeSettings {
+        &self.runtime_settings
     }
 
     /// Tenants set by the administration.
-    pub fn set(&self) -> &[Tenant] {
+    pub fn tenant_overrides(&self) -> &[Tenant] {
         &self.set
     }
 
@@ -97,8 +97,8 @@
 
     /// Until when a request that was taken by now may be open.
     fn open_until(&self, place: usize, now: Micros) -> Micros {
-        let patience = self.patience(&self.tuning.settings.classes[place]);
-        (now + patience + self.tuning.settings.answer_slack).max(self.open_until[place])
+        let patience = self.patience(&self.runtime_settings.settings.classes[place]);
+        (now + patience + self.runtime_settings.settings.answer_slack).max(self.open_until[place])
     }
 
     /// The same of requests of any class.
@@ -110,24 +110,24 @@
 
     /// Takes new settings as a file has them; `None`, and nothing changes, where there is no room for all of
     /// their classes and tenants.
-    pub fn retune(&mut self, now: Micros, told: &Tuning) -> Option<&Tuning> {
+    pub fn reconfigure(&mut self, now: Micros, told: &RuntimeSettings) -> Option<&RuntimeSettings> {
         let mut next = self.clone();
         next.expire(now);
         next.take_classes(now, &told.settings.classes)?;
         next.take_tenants(now, &told.settings.tenants)?;
-        let settings = std::mem::take(&mut next.tuning.settings);
-        next.tuning = told.clone();
-        next.tuning.settings.classes = settings.classes;
-        next.tuning.settings.tenants = settings.tenants;
+        let settings = std::mem::take(&mut next.runtime_settings.settings);
+        next.runtime_settings = told.clone();
+        next.runtime_settings.settings.classes = settings.classes;
+        next.runtime_settings.settings.tenants = settings.tenants;
         next.name();
         *self = next;
-        Some(&self.tuning)
+        Some(&self.runtime_settings)
     }
 
     fn take_classes(&mut self, now: Micros, told: &[Class]) -> Option<()> {
         let mut used = Vec::new();
         for class in told {
-            let known = &self.tuning.settings.classes;
+            let known = &self.runtime_settings.settings.classes;
             let earlier = |place: usize| same(&known[place], class) && !used.contains(&place);
             let place = place(&mut self.classes, earlier)?;
             let until = match self.classes[place] {
@@ -137,13 +137,17 @@
             put(&mut self.open_until, place, until);
             self.classes[place] = Life::Used;
             used.push(place);
-            put(&mut self.tuning.settings.classes, place, class.clone());
+            put(
+                &mut self.runtime_settings.settings.classes,
+                place,
+                class.clone(),
+            );
         }
         for place in 0..self.classes.len() {
             if self.classes[place] == Life::Used && !used.contains(&place) {
-                let named = now + self.patience(&self.tuning.settings.classes[place]);
+                let named = now + self.patience(&self.runtime_settings.settings.classes[place]);
                 let taken = self.open_until(place, named);
-                let class = &mut self.tuning.settings.classes[place];
+                let class = &mut self.runtime_settings.settings.classes[place];
                 class.retired = true;
                 let name = class.name.clone();
                 self.unname(&name);
@@ -155,7 +159,7 @@
 
     /// Whoever comes back with a name means the class that had it last, not those before.
     fn unname(&mut self, name: &str) {
-        let classes = self.tuning.settings.classes.iter();
+        let classes = self.runtime_settings.settings.classes.iter();
         for (life, _) in self
             .classes
             .iter_mut()
@@ -175,14 +179,18 @@
             .iter()
             .filter(|tenant| !set.iter().any(|set| set.name == tenant.name));
         for tenant in told.chain(&set) {
-            let known = &self.tuning.settings.tenants;
+            let known = &self.runtime_settings.settings.tenants;
             let earlier = |place: usize| known[place].name == tenant.name;
             let place = place(&mut self.tenants, earlier)?;
             self.tenants[place] = Life::Used;
             used.push(place);
-            put(&mut self.tuning.settings.tenants, place, tenant.clone());
+            put(
+                &mut self.runtime_settings.settings.tenants,
+                place,
+                tenant.clone(),
+            );
         }
-        let classes = self.tuning.settings.classes.iter();
+        let classes = self.runtime_settings.settings.classes.iter();
         let named = classes.map(|class| now + self.patience(class)).max();
         let named = named.unwrap_or_default();
         for place in 0..self.tenants.len() {
@@ -190,7 +198,7 @@
                 Life::Used if !used.contains(&place) => {
                     self.tenants[place] = Life::Retired(named, self.all_open_until(named));
                     // What is under way of it goes on with no claim of its own.
-                    let tenant = &mut self.tuning.settings.tenants[place];
+                    let tenant = &mut self.runtime_settings.settings.tenants[place];
                     (tenant.share, tenant.requests_per_second) = (0.0, 0.0);
                 }
                 // Its last requests may be of classes whose deadlines are longer now.
@@ -206,11 +214,15 @@
 
     /// The administration sets a tenant's share, or adds it; false where there is no room for one more.
     pub fn set_tenant(&mut self, tenant: &Tenant) -> bool {
-        let known = &self.tuning.settings.tenants;
+        let known = &self.runtime_settings.settings.tenants;
         let place = place(&mut self.tenants, |place| known[place].name == tenant.name);
         let Some(place) = place else { return false };
         self.tenants[place] = Life::Used;
-        put(&mut self.tuning.settings.tenants, place, tenant.clone());
+        put(
+            &mut self.runtime_settings.settings.tenants,
+            place,
+            tenant.clone(),
+        );
         self.set.retain(|set| set.name != tenant.name);
         self.set.push(tenant.clone());
         self.name();
@@ -226,9 +238,9 @@
                 _ => {}
             }
         }
-        let before = self.tuning.names.clone();
+        let before = self.runtime_settings.names.clone();
         self.name();
-        let names = &self.tuning.names;
+        let names = &self.runtime_settings.names;
         (before.classes, before.tenants) != (names.classes.clone(), names.tenants.clone())
     }
 
@@ -244,7 +256,10 @@
 
     /// Writes the names that requests may use; of two of one name, that of the settings.
     fn name(&mut self) {
-        let (settings, names) = (&self.tuning.settings, &mut self.tuning.names);
+        let (settings, names) = (
+            &self.runtime_settings.settings,
+            &mut self.runtime_settings.names,
+        );
         let classes: Vec<&str> = settings
             .classes
             .iter()
--- a/retune/tests/places.rs
+++ b/retune/tests/stable_indexes.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use sedgebeam_core::{Class, DedupScope, Effect, Micros, Settings, Tenant};
-use sedgebeam_retune::{MOST_PLACES, Table, Tuning};
+use sedgebeam_retune::{MAX_TABLE_ENTRIES, RuntimeSettings, SettingsTable};
 use sedgebeam_settings::Names;
 
 const SLACK: Micros = Micros::from_millis(20);
@@ -25,7 +25,7 @@
     }
 }
 
-fn told(numbers: &[u8], tenants: &[u8], give_up: u64) -> Tuning {
+fn told(numbers: &[u8], tenants: &[u8], give_up: u64) -> RuntimeSettings {
     let mut classes: Vec<Class> = Vec::new();
     for number in numbers {
         let class = class(*number, give_up);
@@ -42,7 +42,7 @@
         classes: classes.iter().map(|class| class.name.clone()).collect(),
         ..Names::default()
     };
-    Tuning {
+    RuntimeSettings {
         settings: Settings {
             classes,
             tenants: tenants.iter().map(tenant).collect(),
@@ -50,7 +50,7 @@
             ..Settings::default()
         },
         names,
-        most_open: 1,
+        max_open_requests: 1,
     }
 }
 
@@ -83,15 +83,15 @@
 /// Plays the steps, with a request of each class and tenant that can be named after each; what is wrong first.
 fn play(steps: &[Step], early: Micros) -> Result<(), String> {
     let first = told(&[0, 1, 2], &[0, 1], 1000);
-    let (mut table, mut now) = (Table::new(first.clone()), Micros(1));
-    let (mut last, mut open): (Tuning, Vec<Open>) = (first, Vec::new());
+    let (mut table, mut now) = (SettingsTable::new(first.clone()), Micros(1));
+    let (mut last, mut open): (RuntimeSettings, Vec<Open>) = (first, Vec::new());
     for (turn, step) in steps.iter().enumerate() {
         match step {
             Step::Retune(classes, tenants, give_up) => {
                 last = told(classes, tenants, *give_up);
                 // A double forgets earlier than it may.
                 let ahead = early.times(turn as f64);
-                let taken = table.retune(now + ahead, &last).is_some();
+                let taken = table.reconfigure(now + ahead, &last).is_some();
                 if !taken {
                     return Err("there is room".to_string());
                 }
@@ -108,9 +108,9 @@
             Step::Passes(millis) => now = now + Micros::from_millis(*millis),
         }
         table.expire(now);
-        let Tuning {
+        let RuntimeSettings {
             settings, names, ..
-        } = table.tuning();
+        } = table.runtime_settings();
         open.retain(|request| request.until > now);
         for request in &open {
             let (is, was) = (&settings.classes[request.class], &request.meant);
@@ -170,9 +170,9 @@
 
 #[test]
 fn a_vanished_name_is_known_until_its_clients_have_given_up() {
-    let mut table = Table::new(told(&[0, 1], &[], 1000));
-    let after = |table: &Table, name| table.tuning().names.class(name).is_some();
-    table.retune(Micros(1), &told(&[0], &[], 1000));
+    let mut table = SettingsTable::new(told(&[0, 1], &[], 1000));
+    let after = |table: &SettingsTable, name| table.runtime_settings().names.class(name).is_some();
+    table.reconfigure(Micros(1), &told(&[0], &[], 1000));
     assert!(after(&table, "class-1") && after(&table, "class-0"));
     let end = table.next_expiry().expect("a name ends");
     assert_eq!(end, Micros::from_millis(2000) + Micros(1));
@@ -182,16 +182,19 @@
 
 #[test]
 fn settings_for_which_there_is_no_room_change_nothing() {
-    let mut table = Table::new(told(&[0], &[], 1000));
+    let mut table = SettingsTable::new(told(&[0], &[], 1000));
     let mut many = told(&[], &[], 1000);
     let class = |number| Class {
         name: format!("more-{number}"),
         ..class(0, 1000)
     };
-    many.settings.classes = (0..=MOST_PLACES).map(class).collect();
-    assert!(table.retune(Micros(1), &many).is_none());
-    let (names, classes) = (&table.tuning().names, &table.tuning().settings.classes);
+    many.settings.classes = (0..=MAX_TABLE_ENTRIES).map(class).collect();
+    assert!(table.reconfigure(Micros(1), &many).is_none());
+    let (names, classes) = (
+        &table.runtime_settings().names,
+        &table.runtime_settings().settings.classes,
+    );
     assert!(names.class("class-0").is_some() && classes.len() == 1);
-    many.settings.classes.truncate(MOST_PLACES - 1);
-    assert!(table.retune(Micros(1), &many).is_some());
+    many.settings.classes.truncate(MAX_TABLE_ENTRIES - 1);
+    assert!(table.reconfigure(Micros(1), &many).is_some());
 }
--- a/roster/src/follow.rs
+++ b/roster/src/follower.rs
@@ -4,7 +4,7 @@
 //! Guards against what hundreds of followers do together when one event reaches all: a log that breaks off, moves or
 //! leaves an event out would be asked by all at one moment, over and over while it is down, and for its whole list.
 
-use crate::{Listing, Target, apply};
+use crate::{ListUpdate, Target, apply_update};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 /// Pauses between tries: the first is short, each further one twice as long up to a bound that grows with the number
 /// of followers, and each is drawn.
 #[derive(Debug)]
-pub struct Pauses {
+pub struct RetryBackoff {
     first: Duration,
     longest: Duration,
     /// Tries since something new was heard.
@@ -33,11 +33,11 @@
     draws: StdRng,
 }
 
-impl Pauses {
+impl RetryBackoff {
     /// For one of so many followers.
-    pub fn new(followers: u32, seed: u64) -> Pauses {
+    pub fn new(followers: u32, seed: u64) -> RetryBackoff {
         let each = |length: Duration| length.saturating_mul(followers);
-        Pauses {
+        RetryBackoff {
             first: each(FIRST_EACH).clamp(FIRST, MOST),
             longest: each(LONGEST_EACH).clamp(LONGEST, MOST),
             tries: 0,
@@ -46,12 +46,12 @@
     }
 
     /// Something new was heard.
-    pub fn heard(&mut self) {
+    pub fn reset(&mut self) {
         self.tries = 0;
     }
 
     /// The pause before the next try.
-    pub fn draw(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let length = self.first.saturating_mul(1 << self.tries.min(16));
         let first = self.tries == 0;
         self.tries += 1;
@@ -74,13 +74,13 @@
 
 /// What follows from an event.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum FollowerAction {
     /// Nothing: it is old, or more must come first.
-    Nothing,
+    Ignore,
     /// This is to be told, and then [`Follower::told`] of this number.
-    Tell(u64, Listing, Vec<Target>),
+    Publish(u64, ListUpdate, Vec<Target>),
     /// The log is to be asked again.
-    Again,
+    Reconnect,
 }
 
 /// What one follower has heard of the change log.
@@ -102,7 +102,7 @@
     }
 
     /// The number after which the log is asked; zero for its whole list.
-    pub fn asks_after(&mut self) -> u64 {
+    pub fn resume_after(&mut self) -> u64 {
         match &mut self.rebuild {
             Some(rebuild) => {
                 // Each connection begins with the whole list anew.
@@ -116,28 +116,33 @@
     /// An event has come. A gap has the log asked again from the number reached, which is cheap and mends what got lost
     /// on the way; where it stays, the whole list is had, and told only once it holds all that is known to exist, so
     /// that no engine is forgotten meanwhile.
-    pub fn hear(&mut self, seq: u64, listing: Listing, targets: Vec<Target>) -> Next {
-        let whole = listing != Listing::Changes;
+    pub fn handle_event(
+        &mut self,
+        seq: u64,
+        listing: ListUpdate,
+        targets: Vec<Target>,
+    ) -> FollowerAction {
+        let whole = listing != ListUpdate::Changes;
         if let Some(rebuild) = &mut self.rebuild {
             match rebuild.reached {
-                None if !whole => return Next::Nothing,
-                Some(reached) if seq <= reached => return Next::Nothing,
-                Some(reached) if !whole && seq > reached + 1 => return Next::Again,
+                None if !whole => return FollowerAction::Ignore,
+                Some(reached) if seq <= reached => return FollowerAction::Ignore,
+                Some(reached) if !whole && seq > reached + 1 => return FollowerAction::Reconnect,
                 _ => {}
             }
-            apply(&mut rebuild.list, listing, &targets);
+            apply_update(&mut rebuild.list, listing, &targets);
             rebuild.reached = Some(seq);
             let list = (seq >= rebuild.until).then(|| rebuild.list.clone());
-            return list.map_or(Next::Nothing, |list| {
-                Next::Tell(seq, Listing::Complete, list)
+            return list.map_or(FollowerAction::Ignore, |list| {
+                FollowerAction::Publish(seq, ListUpdate::Complete, list)
             });
         }
         // An event that is told again is an old state, also where it holds the whole list.
         if seq <= self.reached {
-            return Next::Nothing;
+            return FollowerAction::Ignore;
         }
         if whole || seq == self.reached + 1 {
-            return Next::Tell(seq, listing, targets);
+            return FollowerAction::Publish(seq, listing, targets);
         }
         if std::mem::replace(&mut self.asked_again, true) {
             self.rebuild = Some(Rebuild {
@@ -145,31 +150,31 @@
                 ..Rebuild::default()
             });
         }
-        Next::Again
+        FollowerAction::Reconnect
     }
 
     /// The log says nothing for a while: it has said all that it has, or is slow. A list that is being had again is told
     /// as far as it came, though it lacks what was heard of before, but only where it is newer than what was told.
-    pub fn quiet(&mut self) -> Next {
+    pub fn handle_silence(&mut self) -> FollowerAction {
         let Some(rebuild) = &self.rebuild else {
-            return Next::Nothing;
+            return FollowerAction::Ignore;
         };
         match rebuild.reached {
             Some(seq) if seq > self.reached => {
-                Next::Tell(seq, Listing::Complete, rebuild.list.clone())
+                FollowerAction::Publish(seq, ListUpdate::Complete, rebuild.list.clone())
             }
-            _ => Next::Nothing,
+            _ => FollowerAction::Ignore,
         }
     }
 
     /// What was to be told has been told.
-    pub fn told(&mut self, seq: u64) {
+    pub fn mark_published(&mut self, seq: u64) {
         self.reached = seq;
         (self.rebuild, self.asked_again) = (None, false);
     }
 
     /// Whether the whole list is being had.
-    pub fn rebuilds(&self) -> bool {
+    pub fn is_rebuilding(&self) -> bool {
         self.rebuild.is_some()
     }
 }
--- a/roster/src/lib.rs
+++ b/roster/src/lib.rs
@@ -1,8 +1,8 @@
 //! Engines as a list names them, wherever the list comes from, and how it is followed. No I/O.
 
-mod follow;
+mod follower;
 
-pub use follow::{Follower, Next, Pauses};
+pub use follower::{Follower, FollowerAction, RetryBackoff};
 
 use miniserde::{Deserialize, Serialize};
 
@@ -19,8 +19,8 @@
 }
 
 /// Applies a change to a list: what it names stands behind the rest, and what is removed goes.
-pub fn apply(list: &mut Vec<Target>, listing: Listing, targets: &[Target]) {
-    if listing != Listing::Changes {
+pub fn apply_update(list: &mut Vec<Target>, listing: ListUpdate, targets: &[Target]) {
+    if listing != ListUpdate::Changes {
         list.clear();
     }
     for target in targets {
@@ -33,7 +33,7 @@
 
 /// What a list stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listing {
+pub enum ListUpdate {
     Saved,
     Complete,
     Changes,
--- a/roster/tests/follow.rs
+++ b/roster/tests/follower.rs
@@ -1,13 +1,13 @@
 //! Followers of a change log that drops, repeats and cuts what it tells, and of one that is away.
 
 use proptest::prelude::*;
-use sedgebeam_roster::{Follower, Listing, Next, Pauses, Target, apply};
+use sedgebeam_roster::{Follower, FollowerAction, ListUpdate, RetryBackoff, Target, apply_update};
 use std::time::Duration;
 
 /// The truth: a log of changes, each of one engine, behind a first one that holds the whole list.
 #[derive(Clone, Debug)]
 struct Log {
-    events: Vec<(Listing, Vec<Target>)>,
+    events: Vec<(ListUpdate, Vec<Target>)>,
 }
 
 fn target(uid: u8, state: u8) -> Target {
@@ -23,9 +23,9 @@
         let whole = (0..4).map(|uid| target(uid, 0)).collect();
         let changes = changes
             .iter()
-            .map(|(uid, state)| (Listing::Changes, vec![target(*uid, *state)]));
+            .map(|(uid, state)| (ListUpdate::Changes, vec![target(*uid, *state)]));
         Log {
-            events: [(Listing::Complete, whole)]
+            events: [(ListUpdate::Complete, whole)]
                 .into_iter()
                 .chain(changes)
                 .collect(),
@@ -36,7 +36,7 @@
     fn list(&self, seq: u64) -> Vec<Target> {
         let mut list = Vec::new();
         for (listing, targets) in &self.events[..seq as usize] {
-            apply(&mut list, *listing, targets);
+            apply_update(&mut list, *listing, targets);
         }
         list.sort_by(|one, other| one.uid.cmp(&other.uid));
         list
@@ -72,12 +72,12 @@
 }
 
 impl Told {
-    fn tell(&mut self, follower: &mut Follower, next: Next, log: &Log) {
-        if let Next::Tell(seq, listing, targets) = next {
+    fn tell(&mut self, follower: &mut Follower, next: FollowerAction, log: &Log) {
+        if let FollowerAction::Publish(seq, listing, targets) = next {
             assert!(seq > self.seq, "{seq} over the newer {}", self.seq);
-            apply(&mut self.list, listing, &targets);
+            apply_update(&mut self.list, listing, &targets);
             self.seq = seq;
-            follower.told(seq);
+            follower.mark_published(seq);
         }
         let mut list = self.list.clone();
         list.sort_by(|one, other| one.uid.cmp(&other.uid));
@@ -99,13 +99,13 @@
         ways.reverse();
         // Connections go on until one of them has told everything; faults run out at last.
         for _ in 0..400 {
-            let mut at = follower.asks_after();
+            let mut at = follower.resume_after();
             'connection: while at < last {
                 at += 1;
                 let (listing, targets) = log.events[at as usize - 1].clone();
                 let way = ways.pop().unwrap_or(Way::Comes);
                 if matches!(way, Way::Quiet) {
-                    let next = follower.quiet();
+                    let next = follower.handle_silence();
                     told.tell(&mut follower, next, &log);
                 }
                 let times = match way {
@@ -115,8 +115,8 @@
                     Way::Cut => break,
                 };
                 for _ in 0..times {
-                    let next = follower.hear(at, listing, targets.clone());
-                    if next == Next::Again {
+                    let next = follower.handle_event(at, listing, targets.clone());
+                    if next == FollowerAction::Reconnect {
                         break 'connection;
                     }
                     told.tell(&mut follower, next, &log);
@@ -141,62 +141,72 @@
     };
     let hear = |follower: &mut Follower, seq| {
         let (listing, targets) = event(seq);
-        follower.hear(seq, listing, targets)
+        follower.handle_event(seq, listing, targets)
     };
-    assert_eq!(hear(&mut follower, 5), Next::Again);
-    assert_eq!((follower.asks_after(), follower.rebuilds()), (2, false));
-    assert_eq!(hear(&mut follower, 4), Next::Again, "it is not there");
-    assert_eq!((follower.asks_after(), follower.rebuilds()), (0, true));
+    assert_eq!(hear(&mut follower, 5), FollowerAction::Reconnect);
+    assert_eq!(
+        (follower.resume_after(), follower.is_rebuilding()),
+        (2, false)
+    );
+    assert_eq!(
+        hear(&mut follower, 4),
+        FollowerAction::Reconnect,
+        "it is not there"
+    );
+    assert_eq!(
+        (follower.resume_after(), follower.is_rebuilding()),
+        (0, true)
+    );
     for seq in [1, 2, 3] {
         let next = hear(&mut follower, seq);
         assert_eq!(
             next,
-            Next::Nothing,
+            FollowerAction::Ignore,
             "not before all is there that was heard of"
         );
     }
     let next = hear(&mut follower, 4);
     told.tell(&mut follower, next, &log);
-    assert_eq!((told.seq, follower.asks_after()), (4, 4));
+    assert_eq!((told.seq, follower.resume_after()), (4, 4));
     // A log that pauses in the middle of its whole list is not believed to have lost what it told once.
     assert_eq!(
         hear(&mut follower, 5),
-        Next::Tell(5, Listing::Changes, event(5).1)
+        FollowerAction::Publish(5, ListUpdate::Changes, event(5).1)
     );
-    follower.told(5);
-    let lost = |follower: &mut Follower| follower.hear(9, Listing::Changes, Vec::new());
+    follower.mark_published(5);
+    let lost = |follower: &mut Follower| follower.handle_event(9, ListUpdate::Changes, Vec::new());
     assert_eq!(
         (lost(&mut follower), lost(&mut follower)),
-        (Next::Again, Next::Again)
+        (FollowerAction::Reconnect, FollowerAction::Reconnect)
     );
-    assert_eq!(follower.asks_after(), 0);
-    assert_eq!(follower.quiet(), Next::Nothing);
+    assert_eq!(follower.resume_after(), 0);
+    assert_eq!(follower.handle_silence(), FollowerAction::Ignore);
     for seq in 1..=5 {
-        assert_eq!(hear(&mut follower, seq), Next::Nothing);
+        assert_eq!(hear(&mut follower, seq), FollowerAction::Ignore);
         assert_eq!(
-            follower.quiet(),
-            Next::Nothing,
+            follower.handle_silence(),
+            FollowerAction::Ignore,
             "no newer than what was told"
         );
     }
     // What it has beyond that is all there is, though more was heard of.
     assert_eq!(
-        follower.hear(6, Listing::Changes, Vec::new()),
-        Next::Nothing
+        follower.handle_event(6, ListUpdate::Changes, Vec::new()),
+        FollowerAction::Ignore
     );
     assert!(matches!(
-        follower.quiet(),
-        Next::Tell(6, Listing::Complete, _)
+        follower.handle_silence(),
+        FollowerAction::Publish(6, ListUpdate::Complete, _)
     ));
 }
 
 /// Tries of so many followers, in milliseconds since the log went away, for so long.
 fn tries(followers: u32, told: u32, lasts: Duration) -> Vec<Vec<u128>> {
     let one = |number: u32| {
-        let mut pauses = Pauses::new(told, u64::from(number));
+        let mut pauses = RetryBackoff::new(told, u64::from(number));
         let (mut at, mut tries) = (Duration::ZERO, Vec::new());
         while at < lasts {
-            at += pauses.draw();
+            at += pauses.next_delay();
             tries.push(at.as_millis());
         }
         tries
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -9,7 +9,7 @@
 };
 
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Facts {
+pub struct GatewaySettings {
     balancers: Option<u32>,
     me: Option<u32>,
     services: Option<Vec<Service>>,
@@ -113,38 +113,38 @@
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
-    pub tells_cost: bool,
+    pub reports_cost: bool,
 }
 
 /// How connections to engines are kept; the decision module is not told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Connections {
+pub struct ConnectionSettings {
     /// Connections to one engine at the most, and to all of them.
-    pub most: usize,
-    pub in_all: usize,
+    pub max_per_engine: usize,
+    pub max_total: usize,
     pub max_streams: usize,
     pub connect_timeout: Micros,
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// The requests that may be open at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
 }
 
 /// Where a name stands in a list of names; an empty one is none.
-pub fn place(names: &[String], name: &str) -> Option<usize> {
+pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     let mut places = names.iter();
     places.position(|known| known == name && !name.is_empty())
 }
 
-pub fn micros(millis: f64) -> Micros {
+pub fn millis_to_micros(millis: f64) -> Micros {
     Micros((millis * 1000.0).round().max(0.0) as u64)
 }
 
-pub fn millis(micros: Micros) -> f64 {
+pub fn micros_to_millis(micros: Micros) -> f64 {
     micros.0 as f64 / 1000.0
 }
 
 /// A load report from its named values, under the names of the settings or of the engines' wire.
-pub fn load<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
+pub fn load_report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in values {
         match name {
@@ -160,24 +160,24 @@
 
 impl Names {
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        place(&self.classes, name).map(ClassId)
+        index_of(&self.classes, name).map(ClassId)
     }
 
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
-        place(&self.tenants, name).map(TenantId)
+        index_of(&self.tenants, name).map(TenantId)
     }
 
     pub fn kind(&self, name: &str) -> Option<KindId> {
-        place(&self.kinds, name).map(KindId)
+        index_of(&self.kinds, name).map(KindId)
     }
 
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
-        place(&self.zones, name).map(ZoneId)
+        index_of(&self.zones, name).map(ZoneId)
     }
 }
 
 fn time(millis: Option<f64>) -> Micros {
-    micros(millis.unwrap_or_default())
+    millis_to_micros(millis.unwrap_or_default())
 }
 
 fn at<T: Copy>(values: &Option<Vec<T>>, index: usize) -> Option<T> {
@@ -191,7 +191,12 @@
 /// The places of the named ones, where a restriction is told.
 fn places(known: &[String], names: &Option<Vec<String>>) -> Option<Vec<usize>> {
     let names = names.as_ref()?;
-    Some(names.iter().filter_map(|name| place(known, name)).collect())
+    Some(
+        names
+            .iter()
+            .filter_map(|name| index_of(known, name))
+            .collect(),
+    )
 }
 
 impl Service {
@@ -215,7 +220,7 @@
 const FEWEST_CONNECTIONS: usize = 2;
 const MOST_CONNECTIONS: usize = 24;
 
-impl Facts {
+impl GatewaySettings {
     pub fn names(&self) -> Names {
         let domain = self.domain.as_ref();
         let services = list(&self.services).iter();
@@ -226,19 +231,19 @@
             tenants: tenants.map(|tenant| tenant.name.clone()).collect(),
             kinds: list(&self.kinds).to_vec(),
             zones: list(&self.zones).to_vec(),
-            tells_cost: domain.and_then(|d| d.tells_cost).unwrap_or_default(),
+            reports_cost: domain.and_then(|d| d.tells_cost).unwrap_or_default(),
         }
     }
 
-    pub fn connections(&self) -> Connections {
+    pub fn connections(&self) -> ConnectionSettings {
         let limits = self.limits.clone().unwrap_or_default();
-        Connections {
-            most: self.connections_to_engine(),
-            in_all: usize::MAX,
+        ConnectionSettings {
+            max_per_engine: self.connections_to_engine(),
+            max_total: usize::MAX,
             max_streams: limits.max_streams.unwrap_or(32).max(1) as usize,
-            connect_timeout: micros(limits.connect_timeout.unwrap_or(250.0)),
-            idle: micros(limits.conn_idle.unwrap_or(30_000.0)),
-            max_open: limits.max_open.unwrap_or(20_000).max(1) as usize,
+            connect_timeout: millis_to_micros(limits.connect_timeout.unwrap_or(250.0)),
+            idle_timeout: millis_to_micros(limits.conn_idle.unwrap_or(30_000.0)),
+            max_open_requests: limits.max_open.unwrap_or(20_000).max(1) as usize,
         }
     }
 
@@ -257,22 +262,22 @@
     }
 
     /// How many gateways there are, and the number of this one among them, where told.
-    pub fn fleet(&self) -> (Option<u32>, Option<u32>) {
+    pub fn gateway_count_and_index(&self) -> (Option<u32>, Option<u32>) {
         (self.balancers, self.me)
     }
 
     /// The attempts allowed, where told.
-    pub fn attempts(&self) -> Option<u32> {
+    pub fn max_attempts(&self) -> Option<u32> {
         self.limits.as_ref()?.max_attempts
     }
 
     /// The longest that clients stay away on advice, where a front gives them any: zero where they are to have none.
-    pub fn longest_advice(&self) -> Micros {
+    pub fn max_retry_after(&self) -> Micros {
         let limits = self.limits.as_ref();
         if limits.and_then(|limits| limits.retry_after) == Some(false) {
             return Micros(0);
         }
-        micros(limits.and_then(|l| l.max_retry_after).unwrap_or(1000.0))
+        millis_to_micros(limits.and_then(|l| l.max_retry_after).unwrap_or(1000.0))
     }
 
     fn class(&self, index: usize, service: &Service, domain: &Domain) -> Class {
@@ -324,7 +329,7 @@
             zone: self
                 .zone
                 .as_deref()
-                .and_then(|zone| place(list(&self.zones), zone))
+                .and_then(|zone| index_of(list(&self.zones), zone))
                 .map(ZoneId),
             classes: classes.collect(),
             tenants: tenants.collect(),
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -6,7 +6,7 @@
 fn absent_keys_have_their_defaults_and_unknown_ones_are_skipped() {
     let text = r#"{"unheard_of": [1, {"deep": null}], "zones": ["a", "b"], "zone": "b",
         "services": [{"name": "load"}], "limits": {"max_retry_after": 500}}"#;
-    let facts: Facts = miniserde::json::from_str(text).expect("decodes");
+    let facts: GatewaySettings = miniserde::json::from_str(text).expect("decodes");
     let settings = facts.settings();
     assert_eq!(settings.zone, Some(ZoneId(1)));
     assert_eq!(settings.classes[0].effect, Effect::Once);
@@ -19,8 +19,8 @@
 /// Connections to one engine where so many dispatchers stand before engines of so many cores.
 fn connections_to_engine(dispatchers: u32, cores: &str) -> usize {
     let text = format!(r#"{{"balancers": {dispatchers}, "domain": {{"size_cores": [{cores}]}}}}"#);
-    let facts: Facts = miniserde::json::from_str(&text).expect("decodes");
-    facts.connections().most
+    let facts: GatewaySettings = miniserde::json::from_str(&text).expect("decodes");
+    facts.connections().max_per_engine
 }
 
 /// Without this 32 dispatchers kept 26 connections each to engines whose tables hold fewer than 130 of them together.
@@ -41,8 +41,8 @@
 fn clients_are_advised_unless_the_settings_say_that_they_are_not() {
     let longest = |limits: &str| {
         let facts = format!(r#"{{"services": [{{"name": "load"}}], "limits": {limits}}}"#);
-        let facts: Facts = miniserde::json::from_str(&facts).expect("settings");
-        facts.longest_advice()
+        let facts: GatewaySettings = miniserde::json::from_str(&facts).expect("settings");
+        facts.max_retry_after()
     };
     let half = Micros::from_millis(500);
     assert_eq!(
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use sedgebeam_core::{Event, Gateway, Micros};
-use sedgebeam_settings::{Names, micros};
+use sedgebeam_settings::{Names, millis_to_micros};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -26,7 +26,7 @@
 impl Host {
     fn reply(&mut self, line: &str) -> Result<String, String> {
         let batch = Batch::decode(line)?;
-        let (now, mut reply) = (micros(batch.ts), Reply::new(batch.turn));
+        let (now, mut reply) = (millis_to_micros(batch.ts), Reply::new(batch.turn));
         for message in batch.msgs {
             self.take(message)
                 .map_err(|error| format!("batch {}: {error}", batch.turn))?;
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -6,7 +6,7 @@
     Action, AttemptEnded, AttemptNo, CellId, Engine, EngineId, EngineState, Event, Key, ListKind,
     LoadReport, Micros, Note, Outcome, Query, RequestId, TableGroupId, TimerId,
 };
-use sedgebeam_settings::{Facts, Names, micros, millis};
+use sedgebeam_settings::{GatewaySettings, Names, micros_to_millis, millis_to_micros};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -27,7 +27,7 @@
     cmd: Option<String>,
     i: Option<u64>,
     rng_seed: Option<u64>,
-    facts: Option<Box<Facts>>,
+    facts: Option<Box<GatewaySettings>>,
     buffer: Option<u64>,
     rows_in: Option<Vec<RawRow>>,
     kind: Option<String>,
@@ -73,7 +73,7 @@
     Spawn {
         i: u64,
         rng_seed: u64,
-        facts: Box<Facts>,
+        facts: Box<GatewaySettings>,
     },
     Ledger {
         buffer: u64,
@@ -289,7 +289,7 @@
 fn load(values: Option<BTreeMap<String, f64>>) -> Option<LoadReport> {
     let values = values?;
     let named = values.iter().map(|(name, value)| (name.as_str(), *value));
-    Some(sedgebeam_settings::load(named))
+    Some(sedgebeam_settings::load_report(named))
 }
 
 /// The list as the gateway takes it.
@@ -304,7 +304,7 @@
             "L" => EngineState::Draining,
             _ => EngineState::Gone,
         },
-        started_at: micros(row.started_at),
+        started_at: millis_to_micros(row.started_at),
     });
     let kind = match kind {
         AnnounceKind::Partial => ListKind::Changes,
@@ -326,10 +326,10 @@
             class: class.ok_or_else(|| format!("unknown class {:?}", self.band))?,
             tenant: self.account.and_then(|account| names.tenant(&account)),
             key: self.order_key.as_deref().map(Key::from_name),
-            remaining: micros(self.remaining),
+            remaining: millis_to_micros(self.remaining),
             work: match self.opts & HAS_ESTIMATE {
                 0 => Micros(0),
-                _ => micros(self.estimate),
+                _ => millis_to_micros(self.estimate),
             },
             memory_mb: self.need_mb,
             table_group: TableGroupId(self.tables),
@@ -347,7 +347,7 @@
             attempt: AttemptNo(self.seq_no),
             engine: EngineId(self.executor),
             outcome: how,
-            elapsed: micros(self.wait_time),
+            elapsed: millis_to_micros(self.wait_time),
             request_finished: self.finished,
             work: told.then_some(Micros::from_millis(self.bill / 4096)),
             load_report: self.load,
@@ -382,7 +382,7 @@
         Tell::ClientLeft(req) => Event::ClientLeft(request(&req)?),
         Tell::Completed(end) => {
             let mut ended = end.ended()?;
-            ended.work = ended.work.filter(|_| names.tells_cost);
+            ended.work = ended.work.filter(|_| names.reports_cost);
             Event::Ended(ended)
         }
     }))
@@ -444,7 +444,7 @@
                 format_args!(
                     r#""req":"{:016x}","cap":{:?},"executor":{}"#,
                     request.0,
-                    millis(timeout),
+                    micros_to_millis(timeout),
                     engine.0
                 ),
             ),
@@ -462,7 +462,7 @@
                 format_args!(
                     r#""req":"{:016x}","come_back":{:?}"#,
                     request.0,
-                    millis(retry_after)
+                    micros_to_millis(retry_after)
                 ),
             ),
             Action::Fail { request } => self.push(
@@ -473,7 +473,11 @@
             Action::Timer { timer, at } => self.push(
                 i,
                 "set_alarm",
-                format_args!(r#""handle":{},"due_at":{:?}"#, timer.0, millis(at)),
+                format_args!(
+                    r#""handle":{},"due_at":{:?}"#,
+                    timer.0,
+                    micros_to_millis(at)
+                ),
             ),
             Action::Probe { engine } => {
                 self.push(i, "ask_load", format_args!(r#""executor":{}"#, engine.0));
