--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -24,7 +24,7 @@
     EngineReporter, EngineSender, EngineTransport, Failure, HEARTBEAT_INTERVAL, ListUpdate,
     NewRequest, Page, ResultPages, memory_grant,
 };
-use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_reconfigure::RuntimeSettings;
 use sedgebeam_settings::Names;
 use shards::Shard;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/roster/tests/follower.rs
+++ b/discovery/tests/follower.rs
@@ -1,7 +1,9 @@
 //! Followers of a change log that drops, repeats and cuts what it tells, and of one that is away.
 
 use proptest::prelude::*;
-use sedgebeam_roster::{Follower, FollowerAction, ListUpdate, RetryBackoff, Target, apply_update};
+use sedgebeam_discovery::{
+    Follower, FollowerAction, ListUpdate, RetryBackoff, Target, apply_update,
+};
 use std::time::Duration;
 
 /// The truth: a log of changes, each of one engine, behind a first one that holds the whole list.
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -22,7 +22,7 @@
 use limits::Limits;
 use miniserde::json::Value;
 use sedgebeam_core::Settings;
-use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_reconfigure::RuntimeSettings;
 use sedgebeam_settings::{ConnectionSettings, Names};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -7,7 +7,7 @@
 use miniserde::json::{self, Value};
 use sedgebeam_operation::Metrics;
 use sedgebeam_port::RequestRouter;
-use sedgebeam_retune::{MAX_TABLE_ENTRIES, completeness};
+use sedgebeam_reconfigure::{MAX_TABLE_ENTRIES, completeness};
 use sedgebeam_settings::ConnectionSettings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -2,8 +2,8 @@
 
 use futures::StreamExt;
 use miniserde::{Deserialize, json};
+use sedgebeam_discovery::{Follower, FollowerAction, RetryBackoff};
 use sedgebeam_port::{ListUpdate, RequestRouter, Target, apply_update};
-use sedgebeam_roster::{Follower, FollowerAction, RetryBackoff};
 use sedgebeam_sockets::{SocketStream, set_nodelay};
 use std::io;
 use std::net::SocketAddr;
--- a/dispatcher/tests/beside.rs
+++ b/dispatcher/tests/beside.rs
@@ -7,7 +7,7 @@
 use sedgebeam_operation::{Drain, DrainState, Metrics};
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{BrokerMessage, RequestRouter};
-use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_reconfigure::RuntimeSettings;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/dispatcher/tests/followers.rs
+++ b/dispatcher/tests/followers.rs
@@ -3,10 +3,10 @@
 //! follower of a log that is too crowded to take its connection at once.
 
 use sedgebeam::roster::{self, Reached};
+use sedgebeam_discovery::RetryBackoff;
 use sedgebeam_operation::Metrics;
 use sedgebeam_port::{BrokerMessage, ListUpdate, RequestRouter, Target, apply_update};
-use sedgebeam_retune::RuntimeSettings;
-use sedgebeam_roster::RetryBackoff;
+use sedgebeam_reconfigure::RuntimeSettings;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -8,7 +8,7 @@
 use sedgebeam_fronts::{FrontContext, pg};
 use sedgebeam_operation::{Drain, DrainState, Metrics};
 use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter, SessionKey};
-use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_reconfigure::RuntimeSettings;
 use sedgebeam_settings::GatewaySettings;
 use std::sync::Arc;
 use std::time::Duration;
--- a/fronts/src/test_router.rs
+++ b/fronts/src/test_router.rs
@@ -3,7 +3,7 @@
 use sedgebeam_core::{Class, Micros, Settings};
 use sedgebeam_operation::Metrics;
 use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter};
-use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_reconfigure::RuntimeSettings;
 use sedgebeam_settings::Names;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
--- a/handover/src/message.rs
+++ b/handover/src/message.rs
@@ -6,7 +6,7 @@
     ClassHandover, ClassUsage, EngineHandover, EngineId, EngineUsage, HandoverState, Micros,
     TableGroupId, Tenant,
 };
-use sedgebeam_roster::Target;
+use sedgebeam_discovery::Target;
 
 /// Processes of another version say nothing to each other.
 pub const FORMAT_VERSION: u32 = 1;
--- a/handover/tests/message.rs
+++ b/handover/tests/message.rs
@@ -5,10 +5,10 @@
     ClassHandover, ClassUsage, EngineHandover, EngineId, EngineUsage, HandoverState, Micros,
     TableGroupId, Tenant,
 };
+use sedgebeam_discovery::Target;
 use sedgebeam_handover::{
     Freshness, HandoverMessage, Incarnation, MessageError, Phase, ProcessStatus,
 };
-use sedgebeam_roster::Target;
 
 const NOW: u64 = 1_800_000_000_000_000;
 const HOUR: u64 = 3_600_000_000;
--- a/port/src/lib.rs
+++ b/port/src/lib.rs
@@ -21,4 +21,4 @@
 };
 pub use request::{BrokerMessage, BrokerSender, NewRequest, SessionKey};
 pub use request_router::{HEARTBEAT_INTERVAL, RequestRouter, RouterClosed};
-pub use sedgebeam_roster::{ListUpdate, Target, apply_update};
+pub use sedgebeam_discovery::{ListUpdate, Target, apply_update};
--- a/port/src/replicated_state.rs
+++ b/port/src/replicated_state.rs
@@ -2,7 +2,7 @@
 //! what the administration has set. No I/O.
 
 use crate::{AdminRequest, ListUpdate, Target, apply_update};
-use sedgebeam_retune::SettingsTable;
+use sedgebeam_reconfigure::SettingsTable;
 use std::collections::BTreeSet;
 
 #[derive(Debug)]
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -3,7 +3,7 @@
 use crate::{AdminError, AdminRequest, AdminResponse, Answer, EngineReport, ListUpdate, Target};
 use bytes::Bytes;
 use sedgebeam_core::{ClassId, EngineId, HandoverState, Micros, RequestId, TableGroupId};
-use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_reconfigure::RuntimeSettings;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -15,7 +15,7 @@
 };
 use sedgebeam_core::{Effect, HandoverState, Key, Micros, RequestId, Tenant, splitmix64};
 use sedgebeam_operation::Metrics;
-use sedgebeam_retune::{RuntimeSettings, SettingsTable};
+use sedgebeam_reconfigure::{RuntimeSettings, SettingsTable};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex as Lock, PoisonError, RwLock};
--- a/port/tests/ordered_requests.rs
+++ b/port/tests/ordered_requests.rs
@@ -8,7 +8,7 @@
 use sedgebeam_port::{
     Answer, BrokerMessage, Failure, NewRequest, PendingAnswer, RequestRouter, SessionKey,
 };
-use sedgebeam_retune::RuntimeSettings;
+use sedgebeam_reconfigure::RuntimeSettings;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
--- a/retune/tests/stable_indexes.rs
+++ b/reconfigure/tests/stable_indexes.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use sedgebeam_core::{Class, DedupScope, Effect, Micros, Settings, Tenant};
-use sedgebeam_retune::{MAX_TABLE_ENTRIES, RuntimeSettings, SettingsTable};
+use sedgebeam_reconfigure::{MAX_TABLE_ENTRIES, RuntimeSettings, SettingsTable};
 use sedgebeam_settings::Names;
 
 const SLACK: Micros = Micros::from_millis(20);
