--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -9,9 +9,9 @@
     Outcome, RequestId,
 };
 use sedgebeam_port::{
-    EngineCommand, EngineReporter, EngineTransport, IdleEngine, Listing, ProbeResult, Target,
+    EngineCommand, EngineReporter, EngineTransport, IdleEngine, ListUpdate, ProbeResult, Target,
 };
-use sedgebeam_settings::micros;
+use sedgebeam_settings::millis_to_micros;
 use std::collections::HashSet;
 use tokio::time::Instant;
 
@@ -57,17 +57,17 @@
         Some(actor.mailbox.clone())
     }
 
-    /// Sets the listed start time. The clocks of two machines may differ or be stepped, so the time is limited: it is
-    /// not in the future, and an engine in a change started at most [`MAX_CHANGE_DELAY`] ago. Engines in a full list
-    /// may be of any age. A repeated report of the same start changes nothing.
-    fn set_reported_start(&mut self, start_ms: Option<f64>, listing: Listing, now: Micros) {
-        if self.reported_start_ms == start_ms {
+ /// Sets the listed start time. The clocks of two machines may differ or be stepped, so the time is limited: it is
+/// not in the future, and an engine in a change started at most [`MAX_CHANGE_DELAY`] ago. Engines in a full list
+/// may be of any age. A repeated report of the same start changes nothing.
+fn set_reported_start(&mut self, start_ms: Option<f64>, listing: ListUpdate, now: Micros) {
+if self.reported_start_ms == start_ms {
             return;
         }
-        let started_at = micros(start_ms.unwrap_or_default());
+ let started_at = millis_to_micros(start_ms.unwrap_or_default());
         let earliest = match listing {
-            Listing::Changes => now - MAX_CHANGE_DELAY,
-            Listing::Saved | Listing::Complete => Micros(0),
+ ListUpdate::Changes => now - MAX_CHANGE_DELAY,
+ListUpdate::Saved | ListUpdate::Complete => Micros(0),
         };
         self.reported_start_ms = start_ms;
         self.started_at = if started_at == Micros(0) {
@@ -111,7 +111,7 @@
         }
     }
 
-    pub(super) fn update_engine_list(&mut self, listing: Listing, targets: Vec<Target>) {
+ pub(super) fn update_engine_list(&mut self, listing: ListUpdate, targets: Vec<Target>) {
         let mut engines = Vec::new();
         for target in &targets {
             let id = self.engine_id(&target.uid);
@@ -128,11 +128,11 @@
             engines.push(self.list_entry(id, target, state));
         }
         let kind = match listing {
-            Listing::Saved => ListKind::Saved,
-            Listing::Complete => ListKind::Complete,
-            Listing::Changes => ListKind::Changes,
+            ListUpdate::Saved => ListKind::Saved,
+            ListUpdate::Complete => ListKind::Complete,
+            ListUpdate::Changes => ListKind::Changes,
         };
-        if listing != Listing::Changes {
+        if listing != ListUpdate::Changes {
             let listed: HashSet<EngineId> = engines.iter().map(|engine| engine.id).collect();
             let known = self.engines.keys().copied();
             let gone: Vec<EngineId> = known.filter(|id| !listed.contains(id)).collect();
@@ -182,9 +182,9 @@
         EngineId(number)
     }
 
-    fn update_engine(&mut self, id: EngineId, target: &Target, is_ready: bool, listing: Listing) {
-        let previous_state = self.engines.get(&id).map(|engine| &engine.target.state);
-        if previous_state != Some(&target.state) {
+ fn update_engine(&mut self, id: EngineId, target: &Target, is_ready: bool, listing: ListUpdate) {
+let previous_state = self.engines.get(&id).map(|engine| &engine.target.state);
+if previous_state != Some(&target.state) {
             log::info!(
                 "engine {} at {}: {}",
                 target.uid,
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -17,14 +17,14 @@
     Action, AttemptEnded, AttemptNo, Effect, EngineId, Event, Gateway, HandoverState, Key, Micros,
     Outcome, Query, RequestId, Settings, ShardUsage, TimerId,
 };
-use sedgebeam_operation::{Figures, figures};
+use sedgebeam_operation::{Metrics, metrics};
 use sedgebeam_port::clock::{Clock, to_duration, to_micros};
 use sedgebeam_port::{
     Answer, Attempt, AttemptResult, BrokerMessage, BrokerSender, EngineCommand, EngineReport,
-    EngineReporter, EngineSender, EngineTransport, Failure, HEARTBEAT_INTERVAL, Listing,
+    EngineReporter, EngineSender, EngineTransport, Failure, HEARTBEAT_INTERVAL, ListUpdate,
     NewRequest, Page, ResultPages, memory_grant,
 };
-use sedgebeam_retune::Tuning;
+use sedgebeam_reconfigure::RuntimeSettings;
 use sedgebeam_settings::Names;
 use shards::Shard;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -75,10 +75,10 @@
     /// Uids of the engines drained by the administration, regardless of their listed state.
     drained: BTreeSet<String>,
     counters: Tally,
-    metrics: Figures,
-    /// The engine metrics as last reported.
-    reported_engines: figures::Engines,
-    /// Events for the gateway's next batch.
+ metrics: Metrics,
+/// The engine metrics as last reported.
+reported_engines: metrics::ShardEngines,
+/// Events for the gateway's next batch.
     events: Vec<Event>,
     /// Requests that are answered and have no attempt in flight, removed after the next batch.
     finished: Vec<RequestId>,
@@ -90,10 +90,10 @@
 /// Configuration of a broker.
 #[derive(Clone)]
 pub struct BrokerConfig {
-    pub runtime_settings: Arc<Tuning>,
+    pub runtime_settings: Arc<RuntimeSettings>,
     pub seed: u64,
     pub clock: Clock,
-    pub metrics: Figures,
+    pub metrics: Metrics,
     /// Starts the actors of engines.
     pub engine_transport: Arc<dyn EngineTransport>,
     /// Set if this broker is one of several shards.
@@ -102,12 +102,12 @@
 
 /// Creates a broker, with the sender and the receiver of its mailbox.
 pub fn new(config: BrokerConfig) -> (Broker, BrokerSender, mpsc::Receiver<BrokerMessage>) {
-    let (own_sender, incoming) = mpsc::channel(MAILBOX_CAPACITY);
-    let Tuning {
+let (own_sender, incoming) = mpsc::channel(MAILBOX_CAPACITY);
+let RuntimeSettings {
         settings,
         names,
-        most_open,
-    } = (*config.runtime_settings).clone();
+ max_open_requests: most_open,
+} = (*config.runtime_settings).clone();
     let broker = Broker {
         gateway: Gateway::new(settings.clone(), config.seed),
         class_names: class_names(&settings),
@@ -124,8 +124,8 @@
         engine_ids: HashMap::new(),
         drained: BTreeSet::new(),
         counters: Tally::default(),
-        metrics: config.metrics,
-        reported_engines: figures::Engines::default(),
+ metrics: config.metrics,
+reported_engines: metrics::ShardEngines::default(),
         events: Vec::new(),
         finished: Vec::new(),
         timers: BTreeMap::new(),
@@ -294,14 +294,14 @@
     /// Updates the metrics of discovered and ejected engines if they have changed.
     fn update_engine_metrics(&mut self) {
         let avoided = self.gateway.ejected_engines().into_iter();
-        let engines = figures::Engines {
+        let engines = metrics::ShardEngines {
             discovered: self.engines.len(),
-            avoided: avoided.map(|(id, until)| (id.0, until.0)).collect(),
+            ejected: avoided.map(|(id, until)| (id.0, until.0)).collect(),
         };
-        if engines != self.reported_engines {
-            let shard = self.shard.as_ref().map_or(0, Shard::index);
-            self.metrics.engines(shard, engines.clone());
-            self.reported_engines = engines;
+ if engines != self.reported_engines {
+let shard = self.shard.as_ref().map_or(0, Shard::index);
+self.metrics.set_engines(shard, engines.clone());
+self.reported_engines = engines;
         }
     }
 
@@ -427,22 +427,22 @@
         }
     }
 
-    /// Applies new settings. Earlier events refer to the old settings, so the gateway processes them first.
-    fn reconfigure(&mut self, runtime_settings: &Tuning) {
+ /// Applies new settings. Earlier events refer to the old settings, so the gateway processes them first.
+fn reconfigure(&mut self, runtime_settings: &RuntimeSettings) {
         if !self.events.is_empty() {
             self.process_batch(Instant::now());
         }
-        self.settings = runtime_settings.settings.clone();
-        self.names = runtime_settings.names.clone();
-        self.max_open_requests = runtime_settings.most_open;
+ self.settings = runtime_settings.settings.clone();
+self.names = runtime_settings.names.clone();
+self.max_open_requests = runtime_settings.max_open_requests;
         self.class_names = class_names(&self.settings);
         if let Some(shard) = &self.shard {
             shard.reconfigure(&self.settings, self.max_open_requests);
         }
-        self.gateway.reconfigure(runtime_settings.settings.clone());
-        // Kinds and zones may be numbered differently now.
-        let targets = self.engines.values().map(|engine| engine.target.clone());
-        self.update_engine_list(Listing::Complete, targets.collect());
+ self.gateway.reconfigure(runtime_settings.settings.clone());
+// Kinds and zones may be numbered differently now.
+let targets = self.engines.values().map(|engine| engine.target.clone());
+self.update_engine_list(ListUpdate::Complete, targets.collect());
     }
 
     /// Sets the usage by other processes of this dispatcher. With several shards every shard passes it to the lease
@@ -862,7 +862,7 @@
             outcome: Outcome::Ok,
             elapsed: to_micros(attempt.sent_at.elapsed()),
             request_finished: true,
-            work: work.filter(|_| self.names.tells_cost),
+            work: work.filter(|_| self.names.reports_cost),
             load_report: load,
         }));
     }
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -5,10 +5,10 @@
 
 use crate::config::{self, Config, Environment, Wrong, wrong};
 use miniserde::json::{self, Value};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::RequestRouter;
-use sedgebeam_retune::{MOST_PLACES, file};
-use sedgebeam_settings::Connections;
+use sedgebeam_reconfigure::{MAX_TABLE_ENTRIES, completeness};
+use sedgebeam_settings::ConnectionSettings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -40,7 +40,9 @@
         let running: Option<Value> = json::from_str(in_use).ok();
         let lacks = |config: &Config| {
             let running = running.as_ref();
-            running.and_then(|running| file::missing(running, &config.file, &SKIPPED))
+            running.and_then(|running| {
+                completeness::first_missing_key(running, &config.file, &SKIPPED)
+            })
         };
         let why = match self.load() {
             Ok(config) => match lacks(&config) {
@@ -61,12 +63,12 @@
     pub running: Value,
     pub desk: RequestRouter,
     pub changelog: watch::Sender<Option<SocketAddr>>,
-    pub connections: watch::Sender<Connections>,
+    pub connections: watch::Sender<ConnectionSettings>,
     /// The text of the file that is in use.
     pub in_use: watch::Sender<Arc<str>>,
     /// Classes may have been retired.
     pub retired: watch::Sender<()>,
-    pub figures: Figures,
+    pub figures: Metrics,
 }
 
 impl Reload {
@@ -77,7 +79,7 @@
             while let Err(wrong) = self.read().await {
                 log::warn!("the running configuration is kept ({attempt} of {TRIES}): {wrong}");
                 if attempt == TRIES {
-                    self.figures.reloaded(false);
+                    self.figures.count_reload(false);
                     break;
                 }
                 attempt += 1;
@@ -87,7 +89,7 @@
                         if again.is_none() {
                             return;
                         }
-                        self.figures.reloaded(false);
+                        self.figures.count_reload(false);
                         attempt = 1;
                     }
                     () = sleep(BETWEEN) => {}
@@ -99,17 +101,17 @@
     /// Reads the files, and takes them where nothing is wrong with them.
     async fn read(&mut self) -> Result<(), Wrong> {
         let config = self.source.load()?;
-        if let Some(key) = file::missing(&self.running, &config.file, &SKIPPED) {
+        if let Some(key) = completeness::first_missing_key(&self.running, &config.file, &SKIPPED) {
             return Err(wrong(
                 &key,
                 "it is there in the running configuration, and missing now",
             ));
         }
         if !self.desk.reconfigure(&config.tuning()).await {
-            let why = format!("there are more than {MOST_PLACES}, with those that end");
+            let why = format!("there are more than {MAX_TABLE_ENTRIES}, with those that end");
             return Err(wrong("settings.services or settings.tenants", why));
         }
-        self.figures.reloaded(true);
+        self.figures.count_reload(true);
         self.retired.send_replace(());
         self.connections.send_replace(config.connections);
         let moved = self.changelog.send_if_modified(|address| {
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -15,13 +15,13 @@
 use prost::Message;
 use sedgebeam_arrow as arrow;
 use sedgebeam_core::{AttemptNo, LoadReport, Micros, Note, RequestId};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::clock::to_duration;
 use sedgebeam_port::{
     Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, Page, PageRequest,
     ProbeResult, supervise,
 };
-use sedgebeam_settings::Connections;
+use sedgebeam_settings::ConnectionSettings;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -124,7 +124,7 @@
 }
 
 impl Actor {
-    fn settings(&self) -> Connections {
+    fn settings(&self) -> ConnectionSettings {
         *self.transport.connections.borrow()
     }
 
@@ -197,7 +197,7 @@
     }
 
     fn close_idle(&mut self) {
-        let idle_timeout = to_duration(self.settings().idle);
+ let idle_timeout = to_duration(self.settings().idle_timeout);
         let now = Instant::now();
         self.connections.retain(|_, connection| {
             connection.attempts_in_flight > 0 || now < connection.last_used_at + idle_timeout
@@ -219,10 +219,10 @@
             connection.attempts_in_flight += 1;
             return Some((*connection_id, connection.channel.clone()));
         }
-        if self.connections.len() >= self.settings().most {
+ if self.connections.len() >= self.settings().max_per_engine {
             return None;
         }
-        let Some(slot) = self.transport.slots.try_acquire(self.settings().in_all) else {
+        let Some(slot) = self.transport.slots.try_acquire(self.settings().max_total) else {
             self.transport.slots.signal_shortage();
             return None;
         };
@@ -337,12 +337,12 @@
         let mut open_channels = self
             .connections
             .values()
-            .filter_map(|connection| connection.channel.peek().cloned().flatten());
-        let channel = open_channels.next();
-        drop(open_channels);
-        let (endpoint, reporter) = (self.endpoint.clone(), self.reporter.clone());
-        let connect_timeout = to_duration(self.settings().connect_timeout);
-        let (slots, max_connections) = (self.transport.slots.clone(), self.settings().in_all);
+ .filter_map(|connection| connection.channel.peek().cloned().flatten());
+let channel = open_channels.next();
+drop(open_channels);
+let (endpoint, reporter) = (self.endpoint.clone(), self.reporter.clone());
+let connect_timeout = to_duration(self.settings().connect_timeout);
+let (slots, max_connections) = (self.transport.slots.clone(), self.settings().max_total);
         tokio::spawn(async move {
             // Without an open connection the probe opens one, which holds a slot until the probe ends.
             let slot = channel
@@ -410,7 +410,7 @@
             let (name, value) = gauge.split_once(':')?;
             Some((name, value.parse().ok()?))
         });
-    Some(sedgebeam_settings::load(values))
+    Some(sedgebeam_settings::load_report(values))
 }
 
 /// How an attempt ended, according to its error.
@@ -436,8 +436,8 @@
 struct AttemptTask {
     attempt: Attempt,
     endpoint: String,
-    reporter: EngineReporter,
-    metrics: Figures,
+ reporter: EngineReporter,
+metrics: Metrics,
 }
 
 impl AttemptTask {
@@ -463,8 +463,8 @@
         }
         match self.execute(client(channel)).await {
             Ok((stream, work)) => {
-                self.metrics.forwarded(1);
-                self.serve_pages(stream, work, page_requests).await;
+ self.metrics.count_forwards(1);
+self.serve_pages(stream, work, page_requests).await;
                 false
             }
             Err(status) => {
@@ -473,7 +473,7 @@
                 let is_connection_broken =
                     matches!(end, AttemptResult::Reset | AttemptResult::ConnectFailed);
                 if end != AttemptResult::ConnectFailed {
-                    self.metrics.forwarded(1);
+                    self.metrics.count_forwards(1);
                 }
                 self.reporter
                     .attempt_ended(request_id, attempt_no, end)
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -6,9 +6,9 @@
 
 pub use connection_slots::ConnectionSlots;
 
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{EngineReporter, EngineSender, EngineTransport, Target, supervise};
-use sedgebeam_settings::Connections;
+use sedgebeam_settings::ConnectionSettings;
 use tokio::sync::{mpsc, watch};
 
 /// Commands that may wait in the mailbox of an engine's actor: far more than an engine ever runs at once.
@@ -20,11 +20,11 @@
 /// Starts the actors that talk to engines over the network.
 #[derive(Clone)]
 pub struct NetworkTransport {
-    /// Connection settings, which may change at runtime.
-    pub connections: watch::Receiver<Connections>,
-    /// Counts the attempts that were written to an engine.
-    pub metrics: Figures,
-    /// Shared by all engines; each connection holds one slot.
+ /// Connection settings, which may change at runtime.
+pub connections: watch::Receiver<ConnectionSettings>,
+/// Counts the attempts that were written to an engine.
+pub metrics: Metrics,
+/// Shared by all engines; each connection holds one slot.
     pub slots: ConnectionSlots,
 }
 
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -6,7 +6,7 @@
 use futures::StreamExt;
 use sedgebeam_core::RequestId;
 use sedgebeam_fleet::reconnect::TrackedConnection;
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_sockets::{SocketReader, is_local_shortage, set_nodelay, should_retry};
 use std::collections::VecDeque;
 use std::io;
@@ -134,9 +134,9 @@
 pub struct ConnectionTask {
     pub id: ConnectionId,
     pub endpoint: String,
-    pub connect_timeout: Duration,
-    pub events: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
-    pub metrics: Figures,
+ pub connect_timeout: Duration,
+pub events: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
+pub metrics: Metrics,
 }
 
 fn fetched_request(command: &Command) -> Option<RequestId> {
@@ -246,9 +246,9 @@
             for attempt_key in withdrawn {
                 self.report(ConnectionEvent::Withdrawn(attempt_key)).await;
             }
-            self.metrics.forwarded(written.started_attempts);
-            for request_id in written.aborted_requests {
-                self.report(ConnectionEvent::AbortWritten(request_id)).await;
+ self.metrics.count_forwards(written.started_attempts);
+for request_id in written.aborted_requests {
+self.report(ConnectionEvent::AbortWritten(request_id)).await;
             }
         }
     }
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -22,7 +22,7 @@
     Attempt, AttemptResult, EngineCommand, EngineReport, EngineReporter, IdleEngine, Page,
     ProbeResult,
 };
-use sedgebeam_settings::Connections;
+use sedgebeam_settings::ConnectionSettings;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -212,20 +212,20 @@
     /// dispatcher has hundreds of engines, most of them idle.
     fn next_check_at(&self) -> Option<Instant> {
         let settings = self.settings();
-        let pages = self.page_deadlines().map(|(_, due)| due);
-        let aborts = self.abort_deadlines().map(|(_, due)| due);
-        let probe_timeout = to_duration(settings.connect_timeout);
-        let probes = self
-            .unanswered_probes
-            .values()
-            .map(|sent_at| *sent_at + probe_timeout);
-        let idle_timeout = to_duration(settings.idle).mul_f64(IDLE_FRACTION);
-        let idle_connections = self
-            .connections
-            .values()
-            .filter(|connection| !connection.is_busy());
-        let closes = idle_connections.map(|connection| {
-            if connection.is_retiring {
+ let pages = self.page_deadlines().map(|(_, due)| due);
+let aborts = self.abort_deadlines().map(|(_, due)| due);
+let probe_timeout = to_duration(settings.connect_timeout);
+let probes = self
+.unanswered_probes
+.values()
+.map(|sent_at| *sent_at + probe_timeout);
+let idle_timeout = to_duration(settings.idle_timeout).mul_f64(IDLE_FRACTION);
+let idle_connections = self
+.connections
+.values()
+.filter(|connection| !connection.is_busy());
+let closes = idle_connections.map(|connection| {
+if connection.is_retiring {
                 Instant::now()
             } else {
                 connection.last_used_at + idle_timeout
@@ -262,7 +262,7 @@
         })
     }
 
-    fn settings(&self) -> Connections {
+    fn settings(&self) -> ConnectionSettings {
         *self.transport.connections.borrow()
     }
 
@@ -466,11 +466,11 @@
     /// required, other engines are told that slots are short.
     fn open_connection(&mut self, is_required: bool) -> Option<ConnectionId> {
         let settings = self.settings();
-        if self.connections.len() >= settings.most {
+        if self.connections.len() >= settings.max_per_engine {
             return None;
         }
-        let Some(slot) = self.transport.slots.try_acquire(settings.in_all) else {
-            if is_required {
+ let Some(slot) = self.transport.slots.try_acquire(settings.max_total) else {
+if is_required {
                 self.transport.slots.signal_shortage();
             }
             return None;
@@ -880,8 +880,8 @@
 
     async fn check_deadlines(&mut self) {
         let now = Instant::now();
-        let idle_timeout = to_duration(self.settings().idle).mul_f64(IDLE_FRACTION);
-        let (mut open_count, max_connections) = (self.connections.len(), self.settings().most);
+ let idle_timeout = to_duration(self.settings().idle_timeout).mul_f64(IDLE_FRACTION);
+let (mut open_count, max_connections) = (self.connections.len(), self.settings().max_per_engine);
         self.close_idle(|connection| {
             // After the limit was lowered, idle connections beyond it are closed at once.
             let should_close = connection.is_retiring
--- a/fronts/src/statement/tests.rs
+++ b/fronts/src/statement/tests.rs
@@ -52,7 +52,7 @@
 fn a_rejection_names_the_invalid_field() {
     let names = Names {
         classes: vec!["lookup".to_string()],
-        give_up: vec![micros(2500.0)],
+        give_up: vec![millis_to_micros(2500.0)],
         ..Names::default()
     };
     let parsed = |text: &str| {
@@ -101,7 +101,7 @@
 fn a_request_is_a_retry_only_if_its_client_marks_it() {
     let names = Names {
         classes: vec!["lookup".to_string()],
-        give_up: vec![micros(2500.0)],
+        give_up: vec![millis_to_micros(2500.0)],
         ..Names::default()
     };
     for (field, is_retry) in [("", false), (",second=1", true)] {
@@ -119,7 +119,7 @@
 fn the_value_of_the_field_unique_is_kept_unchanged() {
     let names = Names {
         classes: vec!["lookup".to_string()],
-        give_up: vec![micros(2500.0)],
+        give_up: vec![millis_to_micros(2500.0)],
         ..Names::default()
     };
     let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
--- a/fronts/src/test_router.rs
+++ b/fronts/src/test_router.rs
@@ -1,9 +1,9 @@
 //! A request router for tests; the test takes the part of its broker.
 
 use sedgebeam_core::{Class, Micros, Settings};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{Answer, BrokerMessage, NewRequest, RequestRouter};
-use sedgebeam_retune::Tuning;
+use sedgebeam_reconfigure::RuntimeSettings;
 use sedgebeam_settings::Names;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -20,7 +20,7 @@
         name: "lookup".to_string(),
         ..Class::default()
     };
-    let runtime_settings = Tuning {
+ let runtime_settings = RuntimeSettings {
         settings: Settings {
             classes: vec![class],
             max_retry_after: Micros::from_millis(max_retry_after_ms),
@@ -31,15 +31,15 @@
             give_up: vec![Micros::from_millis(60_000)],
             ..Names::default()
         },
-        most_open: 100,
+        max_open_requests: 100,
     };
-    let router = RequestRouter::new(1, 1, Figures::default(), runtime_settings);
-    let (broker_sender, broker) = mpsc::channel(64);
-    router
-        .open_shard(0, broker_sender)
-        .await
-        .expect("the router accepts the broker");
-    (router, broker)
+ let router = RequestRouter::new(1, 1, Metrics::default(), runtime_settings);
+let (broker_sender, broker) = mpsc::channel(64);
+router
+.open_shard(0, broker_sender)
+.await
+.expect("the router accepts the broker");
+(router, broker)
 }
 
 /// The next request that is submitted, and the sender of its answer.
--- a/handover/src/message.rs
+++ b/handover/src/message.rs
@@ -7,7 +7,7 @@
     ClassHandover, ClassUsage, EngineHandover, EngineId, EngineUsage, HandoverState, Micros,
     TableGroupId, Tenant,
 };
-use sedgebeam_roster::Target;
+use sedgebeam_discovery::Target;
 
 /// Processes ignore messages of another format version.
 pub const FORMAT_VERSION: u32 = 1;
--- a/port/src/replicated_state.rs
+++ b/port/src/replicated_state.rs
@@ -1,8 +1,8 @@
 //! State that is the same at all brokers and is sent to each broker that starts: the engine list, the settings, and
 //! what the administration has set. No I/O.
 
-use crate::{AdminRequest, Listing, Target, apply};
-use sedgebeam_retune::Table;
+use crate::{AdminRequest, ListUpdate, Target, apply_update};
+use sedgebeam_reconfigure::SettingsTable;
 use std::collections::BTreeSet;
 
 /// The state replicated to all brokers.
@@ -10,12 +10,12 @@
 pub struct ReplicatedState {
     targets: Vec<Target>,
     drained: BTreeSet<String>,
-    /// The settings, with the tenants set by the administration.
-    pub table: Table,
+ /// The settings, with the tenants set by the administration.
+pub table: SettingsTable,
 }
 
 impl ReplicatedState {
-    pub fn new(table: Table) -> ReplicatedState {
+    pub fn new(table: SettingsTable) -> ReplicatedState {
         ReplicatedState {
             targets: Vec::new(),
             drained: BTreeSet::new(),
@@ -23,16 +23,16 @@
         }
     }
 
-    /// Applies an update of the engine list.
-    pub fn apply_listing(&mut self, listing: Listing, targets: &[Target]) {
-        apply(&mut self.targets, listing, targets);
+ /// Applies an update of the engine list.
+pub fn apply_listing(&mut self, listing: ListUpdate, targets: &[Target]) {
+apply_update(&mut self.targets, listing, targets);
     }
 
     /// Records an administration request that brokers have carried out.
     pub fn record(&mut self, request: &AdminRequest) {
         match request {
             AdminRequest::SetEngine(target) => {
-                self.apply_listing(Listing::Changes, std::slice::from_ref(target))
+                self.apply_listing(ListUpdate::Changes, std::slice::from_ref(target))
             }
             AdminRequest::RemoveEngine(uid) => self.targets.retain(|known| known.uid != *uid),
             AdminRequest::Drain(uid, true) => drop(self.drained.insert(uid.clone())),
@@ -74,11 +74,14 @@
     }
 
     #[test]
-    fn a_new_broker_gets_the_engine_list_and_the_drains() {
-        let mut state = ReplicatedState::new(Table::default());
-        state.apply_listing(Listing::Complete, &[target("a", "up"), target("b", "up")]);
-        state.apply_listing(
-            Listing::Changes,
+ fn a_new_broker_gets_the_engine_list_and_the_drains() {
+let mut state = ReplicatedState::new(SettingsTable::default());
+state.apply_listing(
+ListUpdate::Complete,
+&[target("a", "up"), target("b", "up")],
+);
+state.apply_listing(
+ListUpdate::Changes,
             &[target("a", "removed"), target("c", "up")],
         );
         for request in [
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -1,9 +1,9 @@
 //! Client requests and the other messages that a broker receives.
 
-use crate::{AdminError, AdminRequest, AdminResponse, Answer, EngineReport, Listing, Target};
+use crate::{AdminError, AdminRequest, AdminResponse, Answer, EngineReport, ListUpdate, Target};
 use bytes::Bytes;
 use sedgebeam_core::{ClassId, EngineId, HandoverState, Micros, RequestId, TableGroupId};
-use sedgebeam_retune::Tuning;
+use sedgebeam_reconfigure::RuntimeSettings;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -48,8 +48,8 @@
     ClientLeft(RequestId),
     EngineReport(EngineId, EngineReport),
     EngineActorDied(EngineId),
-    EngineList(Listing, Vec<Target>),
-    /// Asks for the gateway's handover state.
+ EngineList(ListUpdate, Vec<Target>),
+/// Asks for the gateway's handover state.
     GetHandoverState(oneshot::Sender<HandoverState>),
     /// Restores the handover state of an earlier process.
     RestoreHandoverState(Arc<HandoverState>),
@@ -57,8 +57,8 @@
     SetPeerProcessUsage(Arc<HandoverState>, bool),
     /// The process is shutting down: all open requests are answered now.
     Shutdown,
-    /// New settings; the sender is dropped once they are applied.
-    Reconfigure(Arc<Tuning>, oneshot::Sender<()>),
+ /// New settings; the sender is dropped once they are applied.
+Reconfigure(Arc<RuntimeSettings>, oneshot::Sender<()>),
     Admin(
         AdminRequest,
         oneshot::Sender<Result<AdminResponse, AdminError>>,
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -10,12 +10,12 @@
 use crate::clock::{to_duration, to_micros};
 use crate::replicated_state::ReplicatedState;
 use crate::{
-    AdminError, AdminRequest, AdminResponse, Answer, BrokerMessage, BrokerSender, Failure, Listing,
-    NewRequest, PendingAnswer, SessionKey, Target,
+    AdminError, AdminRequest, AdminResponse, Answer, BrokerMessage, BrokerSender, Failure,
+    ListUpdate, NewRequest, PendingAnswer, SessionKey, Target,
 };
 use sedgebeam_core::{Effect, HandoverState, Key, Micros, RequestId, Tenant, splitmix64};
-use sedgebeam_operation::Figures;
-use sedgebeam_retune::{Table, Tuning};
+use sedgebeam_operation::Metrics;
+use sedgebeam_reconfigure::{RuntimeSettings, SettingsTable};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex as SyncMutex, PoisonError, RwLock};
@@ -84,14 +84,14 @@
 }
 
 struct Shared {
-    slots: Vec<ShardSlot>,
-    metrics: Figures,
-    /// The settings that all brokers have applied.
-    runtime_settings: RwLock<Arc<Tuning>>,
-    /// Clients choose their request ids: without a seed a client could direct all of its requests to one shard.
-    hash_seed: u64,
-    started_at: Instant,
-    /// The open request of each session, for cancellation.
+ slots: Vec<ShardSlot>,
+metrics: Metrics,
+/// The settings that all brokers have applied.
+runtime_settings: RwLock<Arc<RuntimeSettings>>,
+/// Clients choose their request ids: without a seed a client could direct all of its requests to one shard.
+hash_seed: u64,
+started_at: Instant,
+/// The open request of each session, for cancellation.
     sessions: Sessions,
     /// Locked during broadcasts, so that all brokers receive them in the same order.
     replicated_state: Mutex<ReplicatedState>,
@@ -157,13 +157,13 @@
 pub struct RouterClosed;
 
 impl RequestRouter {
-    /// Creates a router for this number of shards, none of which is open yet.
-    pub fn new(
-        shards: usize,
-        seed: u64,
-        metrics: Figures,
-        runtime_settings: Tuning,
-    ) -> RequestRouter {
+ /// Creates a router for this number of shards, none of which is open yet.
+pub fn new(
+shards: usize,
+seed: u64,
+metrics: Metrics,
+runtime_settings: RuntimeSettings,
+) -> RequestRouter {
         RequestRouter {
             shared: Arc::new(Shared {
                 slots: (0..shards).map(|_| ShardSlot::new()).collect(),
@@ -172,7 +172,7 @@
                 hash_seed: seed,
                 started_at: Instant::now(),
                 sessions: Sessions::default(),
-                replicated_state: Mutex::new(ReplicatedState::new(Table::new(runtime_settings))),
+ replicated_state: Mutex::new(ReplicatedState::new(SettingsTable::new(runtime_settings))),
             }),
         }
     }
@@ -220,12 +220,12 @@
         shard: usize,
         mailbox: BrokerSender,
     ) -> Result<(), RouterClosed> {
-        let state = self.shared.replicated_state.lock().await;
-        // The settings go first because later messages use their numbering of classes, kinds and zones.
-        let (applied, _) = oneshot::channel();
-        let reconfigure = BrokerMessage::Reconfigure(self.runtime_settings(), applied);
-        mailbox.send(reconfigure).await.map_err(|_| RouterClosed)?;
-        let list = BrokerMessage::EngineList(Listing::Saved, state.targets());
+ let state = self.shared.replicated_state.lock().await;
+// The settings go first because later messages use their numbering of classes, kinds and zones.
+let (applied, _) = oneshot::channel();
+let reconfigure = BrokerMessage::Reconfigure(self.runtime_settings(), applied);
+mailbox.send(reconfigure).await.map_err(|_| RouterClosed)?;
+let list = BrokerMessage::EngineList(ListUpdate::Saved, state.targets());
         mailbox.send(list).await.map_err(|_| RouterClosed)?;
         for request in state.replay_requests() {
             let (reply, _) = oneshot::channel();
@@ -305,8 +305,8 @@
             Some(class) if class.effect == Effect::Repeatable => self.refusal(),
             _ => Answer::Failed(Failure::ShuttingDown),
         };
-        let running = class.map(|class| self.shared.metrics.take(&class.name));
-        let session_entry = SessionEntry::new(&self.shared.sessions, &request);
+ let running = class.map(|class| self.shared.metrics.start_request(&class.name));
+let session_entry = SessionEntry::new(&self.shared.sessions, &request);
         let route = match self.route(&request).await {
             Ok(route) => route,
             Err(early_answer) => {
@@ -364,7 +364,7 @@
     /// Sends an engine list update to all brokers, including those without recent heartbeats.
     pub async fn update_engine_list(
         &self,
-        listing: Listing,
+        listing: ListUpdate,
         targets: Vec<Target>,
     ) -> Result<(), RouterClosed> {
         let mut state = self.shared.replicated_state.lock().await;
@@ -384,22 +384,22 @@
         if ended { Err(RouterClosed) } else { Ok(()) }
     }
 
-    /// The current settings, and the names that requests may use.
-    pub fn runtime_settings(&self) -> Arc<Tuning> {
-        let runtime_settings = self.shared.runtime_settings.read();
-        runtime_settings
-            .unwrap_or_else(PoisonError::into_inner)
-            .clone()
+ /// The current settings, and the names that requests may use.
+pub fn runtime_settings(&self) -> Arc<RuntimeSettings> {
+let runtime_settings = self.shared.runtime_settings.read();
+runtime_settings
+.unwrap_or_else(PoisonError::into_inner)
+.clone()
     }
 
-    /// Applies new settings at all brokers. Returns false and changes nothing if their names exceed the table's limits.
-    pub async fn reconfigure(&self, runtime_settings: &Tuning) -> bool {
-        let mut state = self.shared.replicated_state.lock().await;
-        if state
-            .table
-            .retune(self.micros(), runtime_settings)
-            .is_none()
-        {
+ /// Applies new settings at all brokers. Returns false and changes nothing if their names exceed the table's limits.
+pub async fn reconfigure(&self, runtime_settings: &RuntimeSettings) -> bool {
+let mut state = self.shared.replicated_state.lock().await;
+if state
+.table
+.reconfigure(self.micros(), runtime_settings)
+.is_none()
+{
             return false;
         }
         self.broadcast_settings(&state.table).await;
@@ -469,23 +469,23 @@
 
     /// The listed engines, those drained by the administration, and the tenants that it has set.
     pub async fn replicated_state(&self) -> (Vec<Target>, Vec<String>, Vec<Tenant>) {
-        let state = self.shared.replicated_state.lock().await;
-        let (targets, drained) = (state.targets(), state.drained());
-        (targets, drained, state.table.set().to_vec())
+ let state = self.shared.replicated_state.lock().await;
+let (targets, drained) = (state.targets(), state.drained());
+(targets, drained, state.table.tenant_overrides().to_vec())
     }
 
     fn micros(&self) -> Micros {
         to_micros(self.shared.started_at.elapsed())
     }
 
-    /// Applies the settings at all brokers first and only then publishes them to fronts, so that no request uses a name
-    /// that its broker does not know. A broker that does not reply in time is not waited for: its mailbox keeps the
-    /// order.
-    async fn broadcast_settings(&self, table: &Table) {
-        let runtime_settings = Arc::new(table.tuning().clone());
-        let replies = self.open_brokers().map(|mailbox| {
-            let (applied, done) = oneshot::channel();
-            let reconfigure = BrokerMessage::Reconfigure(runtime_settings.clone(), applied);
+ /// Applies the settings at all brokers first and only then publishes them to fronts, so that no request uses a name
+/// that its broker does not know. A broker that does not reply in time is not waited for: its mailbox keeps the
+/// order.
+async fn broadcast_settings(&self, table: &SettingsTable) {
+let runtime_settings = Arc::new(table.runtime_settings().clone());
+let replies = self.open_brokers().map(|mailbox| {
+let (applied, done) = oneshot::channel();
+let reconfigure = BrokerMessage::Reconfigure(runtime_settings.clone(), applied);
             async move {
                 // The successor of a broker that has died gets the settings when it is registered.
                 if mailbox.send(reconfigure).await.is_ok() {
@@ -493,9 +493,9 @@
                 }
             }
         });
-        futures::future::join_all(replies).await;
-        for class in &runtime_settings.settings.classes {
-            self.shared.metrics.class(&class.name);
+ futures::future::join_all(replies).await;
+for class in &runtime_settings.settings.classes {
+self.shared.metrics.register_class(&class.name);
         }
         *self
             .shared
--- a/port/tests/ordered_requests.rs
+++ b/port/tests/ordered_requests.rs
@@ -4,11 +4,11 @@
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
 use sedgebeam_core::{Class, ClassId, Micros, RequestId, Settings, TableGroupId};
-use sedgebeam_operation::Figures;
+use sedgebeam_operation::Metrics;
 use sedgebeam_port::{
     Answer, BrokerMessage, Failure, NewRequest, PendingAnswer, RequestRouter, SessionKey,
 };
-use sedgebeam_retune::Tuning;
+use sedgebeam_reconfigure::RuntimeSettings;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -28,15 +28,15 @@
         name: "load".to_string(),
         ..Class::default()
     };
-    let tuning = Tuning {
+    let tuning = RuntimeSettings {
         settings: Settings {
             classes: vec![class],
             max_retry_after: Micros::from_millis(2_000),
             ..Settings::default()
         },
-        ..Tuning::default()
+        ..RuntimeSettings::default()
     };
-    RequestRouter::new(SHARDS, SEED, Figures::default(), tuning)
+    RequestRouter::new(SHARDS, SEED, Metrics::default(), tuning)
 }
 
 fn request(id: u64) -> NewRequest {
