--- a/dispatcher/src/admin.rs
+++ b/dispatcher/src/admin.rs
@@ -11,7 +11,7 @@
 //! | `GET /tenants` | the tenants and their shares |
 //! | `PUT /tenants/NAME` | sets its share, or adds it |
 
-use crate::descriptors::ADMINISTRATORS;
+use crate::descriptors::MAX_ADMIN_CLIENTS;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use futures::{SinkExt, StreamExt};
 use miniserde::{Deserialize, Serialize, json};
@@ -162,8 +162,12 @@
 }
 
 /// Serves until the dispatcher ends.
-pub async fn serve(listener: TcpListener, desk: RequestRouter, mut ending: watch::Receiver<bool>) {
-    let places = std::sync::Arc::new(Semaphore::new(ADMINISTRATORS));
+pub async fn serve(
+    listener: TcpListener,
+    router: RequestRouter,
+    mut ending: watch::Receiver<bool>,
+) {
+    let places = std::sync::Arc::new(Semaphore::new(MAX_ADMIN_CLIENTS));
     loop {
         // The semaphore is never closed.
         let Ok(place) = places.clone().acquire_owned().await else {
@@ -175,9 +179,9 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let desk = desk.clone();
+                let router = router.clone();
                 let task = async move {
-                    if let Err(error) = connection(stream, desk).await {
+                    if let Err(error) = connection(stream, router).await {
                         log::debug!("an administration client: {error}");
                     }
                     drop(place);
@@ -192,14 +196,14 @@
     }
 }
 
-async fn connection(stream: TcpStream, desk: RequestRouter) -> io::Result<()> {
+async fn connection(stream: TcpStream, router: RequestRouter) -> io::Result<()> {
     set_nodelay(&stream);
     let mut wire = Framed::new(SocketStream::new(stream), Http);
     while let Some(call) = timeout(IDLE, wire.next()).await.map_err(io::Error::other)? {
         let told = match call {
             Ok(call) => {
                 let (status, body) = match route(&call) {
-                    Ok(asked) => ask(&desk, asked).await,
+                    Ok(asked) => ask(&router, asked).await,
                     Err(denied) => problem(&denied),
                 };
                 Told {
@@ -237,8 +241,8 @@
     (status, json::to_string(&Problem { error }))
 }
 
-async fn ask(desk: &RequestRouter, asked: AdminRequest) -> (u16, String) {
-    match desk.administer(asked).await {
+async fn ask(router: &RequestRouter, asked: AdminRequest) -> (u16, String) {
+    match router.administer(asked).await {
         Ok(told) => (200, told.to_json()),
         Err(denied) => problem(&denied),
     }
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/change_log.rs
@@ -23,13 +23,16 @@
 
 impl Change {
     /// A change that names these engines, as none of the change log.
-    pub fn of(targets: Vec<Target>) -> Change {
-        let fleet = Fleet { all: None, targets };
+    pub fn from_targets(targets: Vec<Target>) -> Change {
+        let fleet = Fleet {
+            is_complete: None,
+            targets,
+        };
         Change { seq: 0, fleet }
     }
 
     fn listing(&self) -> Listing {
-        match self.fleet.all {
+        match self.fleet.is_complete {
             Some(true) => Listing::Complete,
             _ => Listing::Changes,
         }
@@ -38,13 +41,14 @@
 
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Fleet {
-    pub all: Option<bool>,
+    #[serde(rename = "all")]
+    pub is_complete: Option<bool>,
     pub targets: Vec<Target>,
 }
 
 /// How far the change log has been heard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reached {
+pub struct ChangeLogPosition {
     pub seq: u64,
     /// It has told all that it had when it was asked.
     pub caught_up: bool,
@@ -63,7 +67,7 @@
 const CONNECT: Duration = Duration::from_millis(1500);
 
 /// Folds the changes up to the start into the list that they leave.
-pub fn fold(changes: Vec<Change>) -> Vec<Target> {
+pub fn fold_changes(changes: Vec<Change>) -> Vec<Target> {
     let mut list: Vec<Target> = Vec::new();
     for change in changes {
         apply(&mut list, change.listing(), &change.fleet.targets);
@@ -74,13 +78,13 @@
 /// Follows the change log for ever, wherever it is; where it is nowhere, that it is somewhere is waited for.
 pub async fn follow(
     mut address: watch::Receiver<Option<SocketAddr>>,
-    reached: watch::Sender<Reached>,
-    desk: RequestRouter,
+    position: watch::Sender<ChangeLogPosition>,
+    router: RequestRouter,
     mut pauses: Pauses,
 ) {
-    let mut follower = Follower::new(reached.borrow().seq);
+    let mut follower = Follower::new(position.borrow().seq);
     loop {
-        let before = reached.borrow().seq;
+        let before = position.borrow().seq;
         let Some(current) = *address.borrow_and_update() else {
             moved(&mut address).await;
             continue;
@@ -89,12 +93,12 @@
             biased;
             // The old log tells nothing more: the new one is asked, with the number reached.
             () = moved(&mut address) => pauses.heard(),
-            ended = listen(current, &reached, &desk, &mut follower) => match ended {
-                Ok(()) => log::info!("the change log ended the connection after {}", reached.borrow().seq),
-                Err(error) => log::warn!("the change log after {}: {error}", reached.borrow().seq),
+            ended = listen(current, &position, &router, &mut follower) => match ended {
+                Ok(()) => log::info!("the change log ended the connection after {}", position.borrow().seq),
+                Err(error) => log::warn!("the change log after {}: {error}", position.borrow().seq),
             },
         }
-        if reached.borrow().seq > before {
+        if position.borrow().seq > before {
             pauses.heard();
         }
         tokio::select! {
@@ -117,8 +121,8 @@
 /// One connection to the change log, until it ends.
 async fn listen(
     address: SocketAddr,
-    reached: &watch::Sender<Reached>,
-    desk: &RequestRouter,
+    position: &watch::Sender<ChangeLogPosition>,
+    router: &RequestRouter,
     follower: &mut Follower,
 ) -> io::Result<()> {
     let late = |_| io::Error::new(io::ErrorKind::TimedOut, "no word for too long");
@@ -137,10 +141,10 @@
             Ok(event) => event,
             Err(_) => {
                 if lines.decoder().begun {
-                    if !tell(follower.quiet(), reached, desk, follower).await {
+                    if !tell(follower.quiet(), position, router, follower).await {
                         return Ok(());
                     }
-                    reached.send_modify(|reached| reached.caught_up = true);
+                    position.send_modify(|position| position.caught_up = true);
                 }
                 let rest = timeout(SILENCE - CAUGHT_UP, lines.next());
                 rest.await.map_err(late)?
@@ -156,10 +160,10 @@
             } else {
                 "asking for what is missing"
             };
-            let why = format!("{seq} follows {}: {what}", reached.borrow().seq);
+            let why = format!("{seq} follows {}: {what}", position.borrow().seq);
             return Err(io::Error::other(why));
         }
-        if !tell(next, reached, desk, follower).await {
+        if !tell(next, position, router, follower).await {
             return Ok(());
         }
     }
@@ -168,19 +172,19 @@
 /// Tells the brokers what follows from what the change log said; false where nobody takes it any more.
 async fn tell(
     next: Next,
-    reached: &watch::Sender<Reached>,
-    desk: &RequestRouter,
+    position: &watch::Sender<ChangeLogPosition>,
+    router: &RequestRouter,
     follower: &mut Follower,
 ) -> bool {
     let Next::Tell(seq, listing, targets) = next else {
         return true;
     };
-    if desk.update_engine_list(listing, targets).await.is_err() {
+    if router.update_engine_list(listing, targets).await.is_err() {
         return false;
     }
     // Only now: what is dropped while it waits for the broker has not been told.
     follower.told(seq);
-    reached.send_modify(|reached| reached.seq = seq);
+    position.send_modify(|position| position.seq = seq);
     true
 }
 
@@ -348,9 +352,12 @@
         };
         let change = |all, targets| Change {
             seq: 0,
-            fleet: Fleet { all, targets },
+            fleet: Fleet {
+                is_complete: all,
+                targets,
+            },
         };
-        let list = fold(vec![
+        let list = fold_changes(vec![
             change(Some(true), vec![target("old", "up")]),
             change(Some(true), vec![target("a", "up"), target("b", "up")]),
             change(
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -13,10 +13,10 @@
 mod tests;
 
 pub use environment::Environment;
-pub use error::{Wrong, wrong};
+pub use error::{ConfigError, config_error};
 
-use crate::descriptors::Descriptors;
-use crate::roster::{self, Change};
+use crate::change_log::{self, Change};
+use crate::descriptors::DescriptorBudget;
 use file::File;
 use keys::{OwnKeys, SharedKeys};
 use limits::Limits;
@@ -37,65 +37,65 @@
     /// Where clients of the PostgreSQL protocol connect.
     pub listen: SocketAddr,
     /// Where Flight SQL clients connect.
-    pub flight: Option<SocketAddr>,
+    pub flight_listen: Option<SocketAddr>,
     /// Where the administration listens.
-    pub admin: Option<SocketAddr>,
+    pub admin_listen: Option<SocketAddr>,
     /// Where operators call.
-    pub control: Option<SocketAddr>,
+    pub control_listen: Option<SocketAddr>,
     /// The descriptor of the clients' listening socket, where the platform holds it.
-    pub passed: Option<i32>,
-    pub changelog: Option<SocketAddr>,
-    pub known: Known,
+    pub inherited_socket: Option<i32>,
+    pub change_log_address: Option<SocketAddr>,
+    pub known_changes: KnownChanges,
     pub seed: u64,
     /// What the process's descriptors are for.
-    pub descriptors: Descriptors,
+    pub descriptor_budget: DescriptorBudget,
     /// The longest message that a session may send.
-    pub message: usize,
+    pub max_message_bytes: usize,
     pub settings: Settings,
     pub names: Names,
-    pub connections: Connections,
+    pub connection_limits: Connections,
     /// Threads that serve, each with a shard of the decision module where there are several.
     pub workers: usize,
     pub pin_workers: bool,
     /// Shards of the decision module, each with a worker.
     pub shards: usize,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The platform's file as it was read, and its text.
-    pub file: Value,
-    pub text: String,
+    pub platform_config: Value,
+    pub platform_config_text: String,
 }
 
 impl Config {
     /// What can change while the program runs.
-    pub fn tuning(&self) -> Tuning {
+    pub fn runtime_settings(&self) -> Tuning {
         Tuning {
             settings: self.settings.clone(),
             names: self.names.clone(),
-            most_open: self.connections.max_open,
+            most_open: self.connection_limits.max_open,
         }
     }
 }
 
 /// The change log up to the start.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct KnownChanges {
     pub seq: u64,
     pub changes: Vec<Change>,
 }
 
 /// Reads the environment's file and the dispatcher's own; where both hold a key, the former counts.
-pub fn load(environment: &Environment, own: Option<&Path>) -> Result<Config, Wrong> {
-    let path = environment.config.as_deref().map(Path::new);
+pub fn load(environment: &Environment, own: Option<&Path>) -> Result<Config, ConfigError> {
+    let path = environment.config_path.as_deref().map(Path::new);
     build(environment, File::read("PROXY_CONFIG", path)?, own)
 }
 
 /// The same from the text of the environment's file that an earlier process had in use.
-pub fn load_text(
+pub fn load_from_text(
     environment: &Environment,
     text: String,
     own: Option<&Path>,
-) -> Result<Config, Wrong> {
+) -> Result<Config, ConfigError> {
     let path = Path::new("the file in use before");
     let file = File::parse("PROXY_CONFIG", path, text)?;
     build(environment, Some(file), own)
@@ -105,10 +105,10 @@
     environment: &Environment,
     platform: Option<File>,
     own: Option<&Path>,
-) -> Result<Config, Wrong> {
-    if environment.config.is_none() && own.is_none() {
+) -> Result<Config, ConfigError> {
+    if environment.config_path.is_none() && own.is_none() {
         let why = "names no file, and there is no --config";
-        return Err(wrong("PROXY_CONFIG", why));
+        return Err(config_error("PROXY_CONFIG", why));
     }
     let own = File::read("--config", own)?;
     let platform_keys: SharedKeys = file::decode_or_default(platform.as_ref())?;
@@ -124,8 +124,10 @@
     keys: SharedKeys,
     own: OwnKeys,
     platform: Option<File>,
-) -> Result<Config, Wrong> {
-    let facts = keys.settings.ok_or_else(|| wrong("settings", "missing"))?;
+) -> Result<Config, ConfigError> {
+    let facts = keys
+        .settings
+        .ok_or_else(|| config_error("settings", "missing"))?;
     let limits = Limits::of(keys.limits.unwrap_or_default());
     let known = checks::known(keys.known, own.engines)?;
     let workers = checks::workers(own.workers.as_ref())?;
@@ -133,12 +135,13 @@
     let flight = checks::listener("flight.listen", own.flight)?;
     let admin = checks::listener("admin.listen", own.admin)?;
     let has_flight = flight.is_some();
-    let descriptors = Descriptors::of(limits.sockets, workers, has_flight, admin.is_some());
+    let descriptors =
+        DescriptorBudget::divide(limits.sockets, workers, has_flight, admin.is_some());
     let descriptors = descriptors.ok_or_else(|| {
         let why = format!("limits.sockets has too few descriptors for {workers}");
-        wrong("workers", why)
+        config_error("workers", why)
     })?;
-    let engines = roster::fold(known.changes.clone()).len();
+    let engines = change_log::fold_changes(known.changes.clone()).len();
     let told = facts.connections();
     // One for each shard, however many dispatchers there are.
     let told_most = told.most.max(shards);
@@ -156,24 +159,24 @@
     };
     Ok(Config {
         name: keys.name.unwrap_or_else(|| DEFAULT_NAME.to_string()),
-        listen: listen.ok_or_else(|| wrong("listen", "missing"))?,
-        flight,
-        admin,
-        control: checks::address("control", keys.control.as_deref())?,
-        passed: checks::passed_socket(environment.passed.as_deref())?,
-        changelog: checks::address("changelog", keys.changelog.as_deref())?,
-        known,
+        listen: listen.ok_or_else(|| config_error("listen", "missing"))?,
+        flight_listen: flight,
+        admin_listen: admin,
+        control_listen: checks::address("control", keys.control.as_deref())?,
+        inherited_socket: checks::passed_socket(environment.inherited_socket.as_deref())?,
+        change_log_address: checks::address("changelog", keys.changelog.as_deref())?,
+        known_changes: known,
         seed: checks::seed(keys.seed.as_deref())?,
-        message: limits.longest_message(descriptors.sessions),
-        descriptors,
+        max_message_bytes: limits.longest_message(descriptors.sessions),
+        descriptor_budget: descriptors,
         settings: checks::settings(&facts)?,
         names: facts.names(),
-        connections,
+        connection_limits: connections,
         workers,
         pin_workers: own.pin_workers.unwrap_or_default(),
         shards,
-        sockets: limits.sockets,
-        text,
-        file,
+        max_descriptors: limits.sockets,
+        platform_config_text: text,
+        platform_config: file,
     })
 }
--- a/dispatcher/src/config/environment.rs
+++ b/dispatcher/src/config/environment.rs
@@ -8,12 +8,12 @@
     pub name: Option<String>,
     pub listen: Option<String>,
     /// The path of the platform's file.
-    pub config: Option<String>,
+    pub config_path: Option<String>,
     pub control: Option<String>,
     /// The descriptor of the clients' listening socket.
-    pub passed: Option<String>,
+    pub inherited_socket: Option<String>,
     /// Where temporary files go; not where the system would put them, as all dispatchers may share that.
-    pub folder: Option<PathBuf>,
+    pub temp_dir: Option<PathBuf>,
 }
 
 impl Environment {
@@ -23,10 +23,10 @@
         Environment {
             name: value("PROXY_NAME"),
             listen: value("PROXY_LISTEN"),
-            config: value("PROXY_CONFIG"),
+            config_path: value("PROXY_CONFIG"),
             control: value("PROXY_CONTROL"),
-            passed: value("PROXY_PASSED_SOCKET"),
-            folder: value("TMPDIR").map(PathBuf::from),
+            inherited_socket: value("PROXY_PASSED_SOCKET"),
+            temp_dir: value("TMPDIR").map(PathBuf::from),
         }
     }
 }
--- a/dispatcher/src/config/error.rs
+++ b/dispatcher/src/config/error.rs
@@ -1,21 +1,21 @@
-//! What is wrong with a configuration.
+//! Configuration errors.
 
 /// A fault, by its key.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ConfigError {
     pub key: String,
-    pub why: String,
+    pub reason: String,
 }
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "configuration: {}: {}", self.key, self.why)
+        write!(f, "configuration: {}: {}", self.key, self.reason)
     }
 }
 
-pub fn wrong(key: &str, why: impl Into<String>) -> Wrong {
-    Wrong {
+pub fn config_error(key: &str, why: impl Into<String>) -> ConfigError {
+    ConfigError {
         key: key.to_string(),
-        why: why.into(),
+        reason: why.into(),
     }
 }
--- a/dispatcher/src/config/file.rs
+++ b/dispatcher/src/config/file.rs
@@ -1,6 +1,6 @@
 //! Reads a JSON file, and names the key that makes it unreadable.
 
-use super::error::{Wrong, wrong};
+use super::error::{ConfigError, config_error};
 use miniserde::json::Value;
 use miniserde::{Deserialize, json};
 use std::path::Path;
@@ -16,16 +16,17 @@
 
 impl<'a> File<'a> {
     /// Reads the file at a path; none where there is no path.
-    pub fn read(origin: &'a str, path: Option<&'a Path>) -> Result<Option<File<'a>>, Wrong> {
+    pub fn read(origin: &'a str, path: Option<&'a Path>) -> Result<Option<File<'a>>, ConfigError> {
         let Some(path) = path else { return Ok(None) };
         let text = std::fs::read_to_string(path)
-            .map_err(|error| wrong(origin, format!("{}: {error}", path.display())))?;
+            .map_err(|error| config_error(origin, format!("{}: {error}", path.display())))?;
         File::parse(origin, path, text).map(Some)
     }
 
-    pub fn parse(origin: &'a str, path: &'a Path, text: String) -> Result<File<'a>, Wrong> {
+    pub fn parse(origin: &'a str, path: &'a Path, text: String) -> Result<File<'a>, ConfigError> {
         let root = json::from_str(&text);
-        let root = root.map_err(|_| wrong(origin, format!("{}: not JSON", path.display())))?;
+        let root =
+            root.map_err(|_| config_error(origin, format!("{}: not JSON", path.display())))?;
         Ok(File {
             origin,
             path,
@@ -35,7 +36,7 @@
     }
 
     /// Reads the keys of one kind from it.
-    pub fn decode<T: Deserialize>(&self) -> Result<T, Wrong> {
+    pub fn decode<T: Deserialize>(&self) -> Result<T, ConfigError> {
         if let Ok(keys) = json::from_str(&self.text) {
             return Ok(keys);
         }
@@ -44,12 +45,14 @@
             key => key,
         };
         let why = format!("in {}: not of the form expected here", self.path.display());
-        Err(wrong(&key, why))
+        Err(config_error(&key, why))
     }
 }
 
 /// The keys of one kind from a file; the defaults without one.
-pub(super) fn decode_or_default<T: Default + Deserialize>(file: Option<&File>) -> Result<T, Wrong> {
+pub(super) fn decode_or_default<T: Default + Deserialize>(
+    file: Option<&File>,
+) -> Result<T, ConfigError> {
     match file {
         Some(file) => file.decode(),
         None => Ok(<T as Default>::default()),
--- a/dispatcher/src/config/keys.rs
+++ b/dispatcher/src/config/keys.rs
@@ -1,7 +1,7 @@
 //! The keys of the configuration files, as they are written there.
 
 use super::environment::Environment;
-use crate::roster::Change;
+use crate::change_log::Change;
 use miniserde::Deserialize;
 use miniserde::json::Value;
 use sedgebeam_port::Target;
--- a/dispatcher/src/config/tests.rs
+++ b/dispatcher/src/config/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn buffers_and_connections_fit_the_limits_stated() {
     for (memory_mb, sockets, engines) in [(32.0, 256, 5), (192.0, 1024, 10), (16.0, 64, 30)] {
-        let descriptors = Descriptors::of(sockets, 1, false, false).expect("enough");
+        let descriptors = DescriptorBudget::divide(sockets, 1, false, false).expect("enough");
         let limits = Limits { sockets, memory_mb };
         let filled = limits.longest_message(descriptors.sessions) * descriptors.sessions;
         assert!(
@@ -35,7 +35,7 @@
         "admin": "127.0.0.2:7", "flight": [1], "workers": {}, "engines": 3, "shards": "x", "more": null}"#;
     std::fs::write(&path, text).expect("a file");
     let environment = Environment {
-        config: path.to_str().map(str::to_string),
+        config_path: path.to_str().map(str::to_string),
         ..Environment::default()
     };
     let loaded = load(&environment, None);
@@ -45,11 +45,11 @@
     std::fs::remove_dir_all(&dir).expect("the folder goes");
     let loaded = loaded.expect("what is not ours is skipped");
     assert_eq!(
-        (loaded.admin, loaded.flight, loaded.workers),
+        (loaded.admin_listen, loaded.flight_listen, loaded.workers),
         (None, None, 1)
     );
     assert_eq!(
-        own.map_or_else(|wrong| wrong.key, |_| String::new()),
+        own.map_or_else(|error| error.key, |_| String::new()),
         "admin"
     );
 }
--- a/dispatcher/src/door.rs
+++ b/dispatcher/src/control_socket.rs
@@ -3,7 +3,7 @@
 //! It has a thread of its own and reads what is published, so that no call waits for the brokers or behind
 //! requests. Callers that connect and finish nothing hold a bounded number of places for a bounded time.
 
-use crate::duty::Duty;
+use crate::drain_manager::DrainManager;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use sedgebeam_operation::call::{Call, MOST_LINE};
@@ -32,25 +32,25 @@
 
 /// What the door answers from.
 #[derive(Clone)]
-pub struct Desk {
-    pub duty: Duty,
-    pub figures: Figures,
+pub struct ControlContext {
+    pub drain_manager: DrainManager,
+    pub metrics: Figures,
     pub clock: Clock,
     /// Callers at once; beyond it whoever has been here for longest without a whole line gives way.
-    pub callers: usize,
+    pub max_callers: usize,
     /// Held by callers that have their answer and are still there.
-    pub farewells: Arc<Semaphore>,
+    pub lingering_closes: Arc<Semaphore>,
 }
 
 /// Opens the door, on a thread of its own.
-pub async fn open(address: SocketAddr, desk: Desk) -> io::Result<SocketAddr> {
+pub async fn open(address: SocketAddr, context: ControlContext) -> io::Result<SocketAddr> {
     let listener = listen(address).await?.into_std()?;
     let address = listener.local_addr()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let run = move || {
-        let kept = runtime.block_on(async { tokio::spawn(keep(listener, desk)).await });
+        let kept = runtime.block_on(async { tokio::spawn(keep(listener, context)).await });
         // Without a door the front would take the dispatcher for dead, and nobody would know why.
         log::error!("the door died: {kept:?}");
         std::process::exit(1);
@@ -62,7 +62,7 @@
 }
 
 /// Serves callers for ever.
-async fn keep(listener: Bound, desk: Desk) -> io::Result<()> {
+async fn keep(listener: Bound, context: ControlContext) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
     let mut callers = FuturesUnordered::new();
     let mut waiting: VecDeque<CancellationToken> = VecDeque::new();
@@ -70,7 +70,7 @@
     let places = Arc::new(());
     loop {
         waiting.retain(|caller| !caller.is_cancelled());
-        let full = Arc::strong_count(&places) > desk.callers;
+        let full = Arc::strong_count(&places) > context.max_callers;
         tokio::select! {
             biased;
             Some(()) = callers.next() => {}
@@ -82,7 +82,7 @@
                     }
                     let gives_way = CancellationToken::new();
                     waiting.push_back(gives_way.clone());
-                    callers.push(caller(SocketStream::new(stream), desk.clone(), gives_way, places.clone()));
+                    callers.push(caller(SocketStream::new(stream), context.clone(), gives_way, places.clone()));
                 }
                 Err(error) => {
                     log::warn!("the door: {error}");
@@ -96,7 +96,7 @@
 /// One caller, until it has its answer, its time is over or it gives way.
 async fn caller(
     mut stream: SocketStream,
-    desk: Desk,
+    context: ControlContext,
     gives_way: CancellationToken,
     place: Arc<()>,
 ) {
@@ -108,7 +108,7 @@
     // It waits for nobody any more, and so gives way to nobody.
     gives_way.cancel();
     let answered = match asked {
-        Ok(Ok(Some(line))) => answer(&mut stream, &desk, &line).await,
+        Ok(Ok(Some(line))) => answer(&mut stream, &context, &line).await,
         Ok(Ok(None)) => return,
         Ok(Err(error)) => Err(error),
         Err(_) => Err(io::Error::new(
@@ -122,7 +122,7 @@
     }
     drop(place);
     // Where too many stay with their answer, those who come now go without a farewell.
-    if let Ok(_farewell) = desk.farewells.try_acquire() {
+    if let Ok(_farewell) = context.lingering_closes.try_acquire() {
         let mut rest = stream.take(MOST_FAREWELL);
         let mut sink = tokio::io::sink();
         // Whether it is read to its end matters no more.
@@ -149,26 +149,30 @@
     }
 }
 
-async fn answer(stream: &mut SocketStream, desk: &Desk, line: &[u8]) -> io::Result<()> {
-    let told = told(desk, line);
+async fn answer(
+    stream: &mut SocketStream,
+    context: &ControlContext,
+    line: &[u8],
+) -> io::Result<()> {
+    let told = told(context, line);
     timeout(CALL_LIMIT, stream.write_all(told.as_bytes())).await??;
     stream.shutdown().await
 }
 
-fn told(desk: &Desk, line: &[u8]) -> String {
+fn told(context: &ControlContext, line: &[u8]) -> String {
     match Call::read(line) {
-        Some(Call::Ping) if desk.duty.orders().ready => "200 ready\n".to_string(),
+        Some(Call::Ping) if context.drain_manager.state().ready => "200 ready\n".to_string(),
         Some(Call::Ping) => "400 not ready\n".to_string(),
-        Some(Call::Info) => match desk.figures.text(desk.clock.micros(Instant::now()).0) {
+        Some(Call::Info) => match context.metrics.text(context.clock.micros(Instant::now()).0) {
             Ok(text) => format!("200 figures\n{text}"),
             Err(error) => format!("400 {error}\n"),
         },
         Some(Call::LameDuck) => {
             log::info!("lame duck: clients are sent away");
-            desk.duty.change(Drain::lame_duck);
+            context.drain_manager.update(Drain::lame_duck);
             "200 draining\n".to_string()
         }
-        Some(Call::Rejoin) if desk.duty.change(|drain, _| drain.rejoin()) => {
+        Some(Call::Rejoin) if context.drain_manager.update(|drain, _| drain.rejoin()) => {
             log::info!("rejoined: clients are taken");
             "200 serving\n".to_string()
         }
--- a/dispatcher/src/descriptors.rs
+++ b/dispatcher/src/descriptors.rs
@@ -13,14 +13,14 @@
 /// The poller and the waker of each further worker, and what it shares of signals.
 const OF_A_WORKER: usize = 3;
 /// Administration clients at once, where there are any; more wait to be accepted.
-pub const ADMINISTRATORS: usize = 8;
+pub const MAX_ADMIN_CLIENTS: usize = 8;
 /// Clients take so much of what is left, and connections to engines the rest: the platform's clients hold a third of all, and
 /// hundreds of engines want a connection each.
 const CLIENTS_PART: f64 = 0.5;
 
 /// The most that each part holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Descriptors {
+pub struct DescriptorBudget {
     /// Sessions of the PostgreSQL protocol.
     pub sessions: usize,
     /// Connections of Flight SQL clients.
@@ -28,40 +28,50 @@
     /// Connections to engines.
     pub engines: usize,
     /// Callers at the door.
-    pub callers: usize,
+    pub control_callers: usize,
     /// Connections that are closed without a place.
-    pub farewells: usize,
+    pub lingering_closes: usize,
     /// All else.
-    pub own: usize,
+    pub reserved: usize,
 }
 
-impl Descriptors {
+impl DescriptorBudget {
     /// Of so many, with these parts of the program in use; none where they are too few.
-    pub fn of(sockets: usize, workers: usize, flight: bool, admin: bool) -> Option<Descriptors> {
-        let callers = (sockets / FOR_A_CALLER).clamp(CALLERS.0, CALLERS.1);
-        let farewells = (sockets / FOR_A_FAREWELL).clamp(FAREWELLS.0, FAREWELLS.1);
-        let administrators = if admin { ADMINISTRATORS } else { 0 };
-        let own = OWN + OF_A_WORKER * (workers - 1) + administrators;
-        let left = sockets.checked_sub(callers + farewells + own)?;
+    pub fn divide(
+        sockets: usize,
+        workers: usize,
+        flight: bool,
+        admin: bool,
+    ) -> Option<DescriptorBudget> {
+        let control_callers = (sockets / FOR_A_CALLER).clamp(CALLERS.0, CALLERS.1);
+        let lingering_closes = (sockets / FOR_A_FAREWELL).clamp(FAREWELLS.0, FAREWELLS.1);
+        let administrators = if admin { MAX_ADMIN_CLIENTS } else { 0 };
+        let reserved = OWN + OF_A_WORKER * (workers - 1) + administrators;
+        let left = sockets.checked_sub(control_callers + lingering_closes + reserved)?;
         let clients = (left as f64 * CLIENTS_PART) as usize;
         let flight = if flight {
             (clients / 2).min(MOST_FLIGHT)
         } else {
             0
         };
-        let descriptors = Descriptors {
+        let descriptors = DescriptorBudget {
             sessions: clients - flight,
             flight,
             engines: left - clients,
-            callers,
-            farewells,
-            own,
+            control_callers,
+            lingering_closes,
+            reserved,
         };
         assert!(descriptors.sum() <= sockets, "{descriptors:?} of {sockets}");
         (descriptors.sessions > 0 && descriptors.engines > 0).then_some(descriptors)
     }
 
     fn sum(&self) -> usize {
-        self.sessions + self.flight + self.engines + self.callers + self.farewells + self.own
+        self.sessions
+            + self.flight
+            + self.engines
+            + self.control_callers
+            + self.lingering_closes
+            + self.reserved
     }
 }
--- a/dispatcher/src/duty.rs
+++ b/dispatcher/src/drain_manager.rs
@@ -9,7 +9,7 @@
 
 /// Handles on one state.
 #[derive(Clone)]
-pub struct Duty {
+pub struct DrainManager {
     shared: Arc<Shared>,
 }
 
@@ -19,23 +19,23 @@
     began: Instant,
 }
 
-impl Duty {
-    /// `passed` where the platform holds the clients' socket.
-    pub fn new(passed: bool) -> Duty {
-        let drain = Drain::new(passed);
+impl DrainManager {
+    /// `is_socket_inherited` where the platform holds the clients' socket.
+    pub fn new(is_socket_inherited: bool) -> DrainManager {
+        let drain = Drain::new(is_socket_inherited);
         let (orders, _) = watch::channel(drain.orders(Duration::ZERO));
         let shared = Shared {
             drain: Mutex::new(drain),
             orders,
             began: Instant::now(),
         };
-        Duty {
+        DrainManager {
             shared: Arc::new(shared),
         }
     }
 
     /// Changes the state, and tells those who wait for other orders.
-    pub fn change<T>(&self, change: impl FnOnce(&mut Drain, Duration) -> T) -> T {
+    pub fn update<T>(&self, change: impl FnOnce(&mut Drain, Duration) -> T) -> T {
         // Nothing panics while it is held; what it holds would be whole all the same.
         let mut drain = self
             .shared
@@ -53,23 +53,23 @@
     }
 
     /// What holds now, whether or not the time for it has been told yet.
-    pub fn orders(&self) -> Orders {
-        self.change(|drain, now| drain.orders(now))
+    pub fn state(&self) -> Orders {
+        self.update(|drain, now| drain.orders(now))
     }
 
     pub fn subscribe(&self) -> watch::Receiver<Orders> {
         self.shared.orders.subscribe()
     }
 
-    pub fn staying(&self) -> DrainWatcher {
+    pub fn drain_watcher(&self) -> DrainWatcher {
         DrainWatcher::new(self.subscribe(), self.shared.began)
     }
 
     /// Tells of what changes with time, for ever.
-    pub async fn keep_time(self) {
+    pub async fn run_timer(self) {
         let mut orders = self.subscribe();
         loop {
-            let next = self.change(|drain, now| drain.next_change(now));
+            let next = self.update(|drain, now| drain.next_change(now));
             let at = next.map(|next| self.shared.began + next);
             tokio::select! {
                 // This holds a sender: the channel stays open.
--- a/dispatcher/src/import.rs
+++ b/dispatcher/src/haproxy_import.rs
@@ -6,11 +6,11 @@
 
 /// What came of an import.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Imported {
+pub struct ImportResult {
     /// The file for `sedgebeam serve --config`.
-    pub text: String,
+    pub config_json: String,
     /// What was not carried over: the line's number, and why.
-    pub left: Vec<(usize, String)>,
+    pub unsupported: Vec<(usize, String)>,
 }
 
 #[derive(Serialize)]
@@ -293,7 +293,7 @@
 }
 
 /// Imports a configuration of HAProxy.
-pub fn import(text: &str) -> Imported {
+pub fn import(text: &str) -> ImportResult {
     let mut reader = Reader::default();
     for (index, line) in text.lines().enumerate() {
         let words = words(line);
@@ -315,9 +315,9 @@
         engines,
         settings: settings(&reader),
     };
-    Imported {
-        text: json::to_string(&file) + "\n",
-        left: reader.left,
+    ImportResult {
+        config_json: json::to_string(&file) + "\n",
+        unsupported: reader.left,
     }
 }
 
@@ -379,7 +379,7 @@
     #[test]
     fn what_has_a_counterpart_is_carried_over_and_the_rest_is_told_by_line() {
         let imported = import(FILE);
-        let text = &imported.text;
+        let text = &imported.config_json;
         for part in [
             r#""listen":"0.0.0.0:5432""#,
             r#"{"uid":"e1","endpoint":"10.0.0.1:10080","state":"up"}"#,
@@ -391,7 +391,7 @@
             assert!(text.contains(part), "{part} in {text}");
         }
         assert!(!text.contains("10.0.0.9"), "the backend that is not in use");
-        let lines: Vec<usize> = imported.left.iter().map(|(line, _)| *line).collect();
+        let lines: Vec<usize> = imported.unsupported.iter().map(|(line, _)| *line).collect();
         assert_eq!(lines, [3, 7, 10, 12, 17, 18, 20, 21, 11, 22]);
     }
 
@@ -406,7 +406,7 @@
             "server a b c \\",
             "maxconn x",
         ] {
-            assert!(!import(text).left.is_empty(), "{text:?}");
+            assert!(!import(text).unsupported.is_empty(), "{text:?}");
         }
     }
 }
--- a/dispatcher/src/passed.rs
+++ b/dispatcher/src/inherited_listener.rs
@@ -7,7 +7,7 @@
 
 /// A listener on the socket behind an inherited descriptor. It is a copy: the platform's own stays open, and
 /// with it what waits to be accepted.
-pub fn listener(descriptor: i32) -> io::Result<TcpListener> {
+pub fn open(descriptor: i32) -> io::Result<TcpListener> {
     let copied = FileDescriptor::dup(&descriptor).and_then(|copy| copy.as_file());
     let listener = TcpListener::from(OwnedFd::from(copied.map_err(io::Error::other)?));
     // What is no socket shows here, and not at the first client.
--- a/dispatcher/src/lib.rs
+++ b/dispatcher/src/lib.rs
@@ -4,14 +4,14 @@
 //! change log and the module, whose actor is the broker.
 
 pub mod admin;
-pub mod beside;
+pub mod change_log;
 pub mod config;
-pub mod crew;
+pub mod control_socket;
 pub mod descriptors;
-pub mod door;
-pub mod duty;
-pub mod import;
-pub mod passed;
+pub mod drain_manager;
+pub mod haproxy_import;
+pub mod inherited_listener;
+pub mod peer_process;
 pub mod reload;
-pub mod roster;
 pub mod serve;
+pub mod worker_pool;
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -1,11 +1,11 @@
 //! The command line of the dispatcher.
 
 use lexopt::prelude::*;
-use sedgebeam::beside::{Member, Place};
 use sedgebeam::config::{self, Environment};
-use sedgebeam::reload::Source;
-use sedgebeam::serve::Beside;
-use sedgebeam::{import, serve};
+use sedgebeam::peer_process::{GroupMember, SharedDirectoryPath};
+use sedgebeam::reload::ConfigSource;
+use sedgebeam::serve::GroupMembership;
+use sedgebeam::{haproxy_import, serve};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -51,11 +51,11 @@
         Ok(text) => text,
         Err(error) => return refuse(&format!("{}: {error}", path.display())),
     };
-    let imported = import::import(&text);
-    for (line, why) in &imported.left {
+    let imported = haproxy_import::import(&text);
+    for (line, why) in &imported.unsupported {
         eprintln!("line {line}: {why}");
     }
-    print!("{}", imported.text);
+    print!("{}", imported.config_json);
     ExitCode::SUCCESS
 }
 
@@ -99,16 +99,21 @@
 
 /// Heeds signals first of all, so that none that comes while the configuration is read ends the program.
 async fn start(own: Option<PathBuf>) -> ExitCode {
-    let signals = match serve::Signals::heed() {
+    let signals = match serve::Signals::register() {
         Ok(signals) => signals,
         Err(error) => return broken(&error),
     };
     let environment = Environment::read();
     let beside = beside(&environment).await;
-    let source = Source { environment, own };
-    let handed = beside.as_ref().and_then(|beside| beside.handed.as_ref());
+    let source = ConfigSource {
+        environment,
+        own_config_path: own,
+    };
+    let handed = beside
+        .as_ref()
+        .and_then(|beside| beside.predecessor_message.as_ref());
     let config = match handed.filter(|handed| !handed.status.config_text.is_empty()) {
-        Some(handed) => source.load_beside(&handed.status.config_text),
+        Some(handed) => source.load_for_upgrade(&handed.status.config_text),
         None => source.load(),
     };
     let config = match config {
@@ -123,14 +128,17 @@
 
 /// Where the platform passes the clients' socket there may be another process of this dispatcher, in the folder that
 /// both have for temporary files.
-async fn beside(environment: &Environment) -> Option<Beside> {
-    environment.passed.as_ref()?;
-    let place = Place {
-        parent: environment.folder.clone()?,
-        name: environment.name.clone().unwrap_or_default(),
+async fn beside(environment: &Environment) -> Option<GroupMembership> {
+    environment.inherited_socket.as_ref()?;
+    let place = SharedDirectoryPath {
+        parent: environment.temp_dir.clone()?,
+        dispatcher_name: environment.name.clone().unwrap_or_default(),
     };
-    let (member, handed) = Member::join(place).await;
-    Some(Beside { member, handed })
+    let (member, handed) = GroupMember::join(place).await;
+    Some(GroupMembership {
+        member,
+        predecessor_message: handed,
+    })
 }
 
 fn broken(error: &std::io::Error) -> ExitCode {
--- a/dispatcher/src/beside.rs
+++ b/dispatcher/src/peer_process.rs
@@ -2,11 +2,10 @@
 //!
 //! They look for one another ten times a second in a folder that they share, and write only while there is another.
 
-mod folder;
+mod shared_directory;
 
-pub use folder::{Folder, Place};
+pub use shared_directory::{SharedDirectory, SharedDirectoryPath};
 
-use folder::unix_now;
 use sedgebeam_core::{HandoverState, Micros, Tenant};
 use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_handover::{
@@ -15,6 +14,7 @@
 use sedgebeam_operation::Orders;
 use sedgebeam_port::clock::Clock;
 use sedgebeam_port::{AdminRequest, RequestRouter};
+use shared_directory::unix_now;
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,31 +34,31 @@
 type Seen = Vec<(Incarnation, Option<HandoverMessage>)>;
 
 /// This process among those of its dispatcher.
-pub enum Member {
-    Joined(Folder),
+pub enum GroupMember {
+    Joined(SharedDirectory),
     /// Its files can't be written yet: whether there are others is not known.
-    Waiting(Place),
+    Joining(SharedDirectoryPath),
 }
 
-impl Member {
+impl GroupMember {
     /// Joins those that are there, and hears from the one that serves.
-    pub async fn join(place: Place) -> (Member, Option<HandoverMessage>) {
-        match timeout(JOIN_WITHIN, place.join_at_last()).await {
+    pub async fn join(place: SharedDirectoryPath) -> (GroupMember, Option<HandoverMessage>) {
+        match timeout(JOIN_WITHIN, place.join_with_retries()).await {
             Ok(folder) => {
                 let handed = handed(&folder).await;
-                (Member::Joined(folder), handed)
+                (GroupMember::Joined(folder), handed)
             }
-            Err(_) => (Member::Waiting(place), None),
+            Err(_) => (GroupMember::Joining(place), None),
         }
     }
 }
 
 /// What the process that serves tells, where there is one.
-async fn handed(folder: &Folder) -> Option<HandoverMessage> {
+async fn handed(folder: &SharedDirectory) -> Option<HandoverMessage> {
     let until = Instant::now() + SHARE_WITHIN;
     let mut pair = ProcessPair::new(folder.own);
     loop {
-        let seen = folder.see();
+        let seen = folder.read_peers();
         let alone = seen.as_ref().is_ok_and(Vec::is_empty);
         if alone || Instant::now() >= until {
             return None;
@@ -87,41 +87,41 @@
 
 /// What others leave of the limits of one dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Others {
+pub struct PeerUsage {
     /// Among how many processes limits are divided.
-    pub parts: usize,
+    pub process_count: usize,
     /// Sessions that the others have.
-    pub sessions: usize,
+    pub session_count: usize,
 }
 
-impl Others {
+impl PeerUsage {
     /// There are none.
-    pub const NONE: Others = Others {
-        parts: 1,
-        sessions: 0,
+    pub const NONE: PeerUsage = PeerUsage {
+        process_count: 1,
+        session_count: 0,
     };
     /// There may be another, of which nothing is known.
-    const MAYBE: Others = Others {
-        parts: 2,
-        sessions: 0,
+    const UNKNOWN: PeerUsage = PeerUsage {
+        process_count: 2,
+        session_count: 0,
     };
 }
 
 /// What this process tells of itself.
-pub struct Own {
+pub struct ProcessContext {
     pub clock: Clock,
-    pub desk: RequestRouter,
-    pub places: SessionSlots,
-    pub orders: watch::Receiver<Orders>,
+    pub router: RequestRouter,
+    pub session_slots: SessionSlots,
+    pub drain_state: watch::Receiver<Orders>,
     /// The change log's number.
-    pub reached: watch::Receiver<crate::roster::Reached>,
+    pub change_log_position: watch::Receiver<crate::change_log::ChangeLogPosition>,
     /// The platform's file that is in use.
-    pub file: watch::Receiver<Arc<str>>,
+    pub applied_config_text: watch::Receiver<Arc<str>>,
 }
 
-impl Own {
+impl ProcessContext {
     fn phase(&self) -> Phase {
-        let orders = *self.orders.borrow();
+        let orders = *self.drain_state.borrow();
         match orders {
             Orders { ends: true, .. } => Phase::Ending,
             Orders {
@@ -138,10 +138,10 @@
     /// What it tells to those that it has found.
     async fn share(&self, name: &str, found: Vec<Incarnation>) -> HandoverMessage {
         // The number first: a list that is newer than its number only hears of some change twice.
-        let seq = self.reached.borrow().seq;
-        let file = self.file.borrow().to_string();
-        let (targets, drained, tenants) = self.desk.replicated_state().await;
-        let held = self.desk.handover_state().await;
+        let seq = self.change_log_position.borrow().seq;
+        let file = self.applied_config_text.borrow().to_string();
+        let (targets, drained, tenants) = self.router.replicated_state().await;
+        let held = self.router.handover_state().await;
         HandoverMessage {
             status: ProcessStatus {
                 dispatcher_name: name.to_string(),
@@ -151,7 +151,7 @@
                 phase: self.phase(),
                 change_log_seq: seq,
                 targets,
-                session_count: self.places.in_use(),
+                session_count: self.session_slots.in_use(),
                 drained_engines: drained,
                 tenants,
                 config_text: file,
@@ -162,16 +162,16 @@
 }
 
 /// Takes part as long as the process runs, and tells what the others leave.
-pub async fn keep(member: Member, own: Own, left: watch::Sender<Others>) {
+pub async fn run(member: GroupMember, own: ProcessContext, left: watch::Sender<PeerUsage>) {
     let (folder, known) = match member {
-        Member::Joined(folder) => (folder, Some(Others::NONE.parts)),
-        Member::Waiting(place) => {
+        GroupMember::Joined(folder) => (folder, Some(PeerUsage::NONE.process_count)),
+        GroupMember::Joining(place) => {
             // As beside one that sends to cold engines and has half of all limits.
-            left.send_replace(Others::MAYBE);
-            own.desk
+            left.send_replace(PeerUsage::UNKNOWN);
+            own.router
                 .set_peer_process_usage(HandoverState::default(), false)
                 .await;
-            (place.join_at_last().await, None)
+            (place.join_with_retries().await, None)
         }
     };
     Meeting::new(folder, own).hold(known, left).await;
@@ -179,8 +179,8 @@
 
 /// This process's regular looks for the others.
 struct Meeting {
-    folder: Arc<Folder>,
-    own: Own,
+    folder: Arc<SharedDirectory>,
+    own: ProcessContext,
     pair: ProcessPair,
     seen: Seen,
     freshness: Freshness,
@@ -188,7 +188,7 @@
 }
 
 impl Meeting {
-    fn new(folder: Folder, own: Own) -> Meeting {
+    fn new(folder: SharedDirectory, own: ProcessContext) -> Meeting {
         let Incarnation { generation, nonce } = folder.own;
         Meeting {
             pair: ProcessPair::new(folder.own),
@@ -201,14 +201,14 @@
     }
 
     /// Looks and tells for ever. Until now limits were divided among so many processes; `None` where that was a guess.
-    async fn hold(mut self, mut known: Option<usize>, left: watch::Sender<Others>) {
-        let alone = Some(Others::NONE.parts);
+    async fn hold(mut self, mut known: Option<usize>, left: watch::Sender<PeerUsage>) {
+        let alone = Some(PeerUsage::NONE.process_count);
         loop {
             self.look().await;
             let others = self.others();
-            let parts = Some(others.parts);
+            let parts = Some(others.process_count);
             if parts != known {
-                log::info!("{} processes serve as one dispatcher", others.parts);
+                log::info!("{} processes serve as one dispatcher", others.process_count);
             }
             left.send_if_modified(|left| std::mem::replace(left, others) != others);
             // The brokers first: what is told next may have the other begin with what this one must leave.
@@ -226,7 +226,7 @@
     /// Sees who is there. Where that fails for a moment, those seen last are still there, in a phase that is not known.
     async fn look(&mut self) {
         let folder = self.folder.clone();
-        let seen = tokio::task::spawn_blocking(move || folder.see()).await;
+        let seen = tokio::task::spawn_blocking(move || folder.read_peers()).await;
         match seen.map_err(io::Error::other).and_then(|seen| seen) {
             Ok(seen) => self.seen = seen,
             Err(error) => {
@@ -250,11 +250,11 @@
         self.seen.iter().map(|(life, _)| *life).collect()
     }
 
-    fn others(&self) -> Others {
+    fn others(&self) -> PeerUsage {
         let told = self.seen.iter().filter_map(|(_, share)| share.as_ref());
-        Others {
-            parts: self.pair.process_count(),
-            sessions: told.map(|share| share.status.session_count).sum(),
+        PeerUsage {
+            process_count: self.pair.process_count(),
+            session_count: told.map(|share| share.status.session_count).sum(),
         }
     }
 
@@ -265,15 +265,18 @@
             sum.merge(share.handover_state_at(now))
         });
         self.own
-            .desk
+            .router
             .set_peer_process_usage(held, self.pair.may_use_cold_engines())
             .await;
     }
 
     async fn tell_others(&self) {
-        let share = self.own.share(&self.folder.name, self.found()).await;
+        let share = self
+            .own
+            .share(&self.folder.dispatcher_name, self.found())
+            .await;
         let folder = self.folder.clone();
-        let written = tokio::task::spawn_blocking(move || folder.write(&share)).await;
+        let written = tokio::task::spawn_blocking(move || folder.publish(&share)).await;
         if let Err(error) = written.map_err(io::Error::other).and_then(|done| done) {
             log::warn!("telling the other process: {error}");
         }
@@ -287,14 +290,18 @@
 }
 
 /// Has brokers begin with what the administration had set before.
-pub async fn set_again(desk: &RequestRouter, drained: Vec<String>, tenants: Vec<Tenant>) {
+pub async fn reapply_admin_settings(
+    router: &RequestRouter,
+    drained: Vec<String>,
+    tenants: Vec<Tenant>,
+) {
     let tenants = tenants.into_iter();
     let tenants = tenants.map(|t| AdminRequest::SetTenant(t.name, t.share, t.requests_per_second));
     let drains = drained
         .into_iter()
         .map(|uid| AdminRequest::Drain(uid, true));
     for asked in drains.chain(tenants) {
-        if let Err(denied) = desk.administer(asked).await {
+        if let Err(denied) = router.administer(asked).await {
             log::info!("what was set before is not set again: {denied:?}");
         }
     }
--- a/dispatcher/src/beside/folder.rs
+++ b/dispatcher/src/peer_process/shared_directory.rs
@@ -22,18 +22,18 @@
 
 /// Where the processes of a dispatcher meet.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct SharedDirectoryPath {
     /// The folder that all of them have for temporary files.
     pub parent: PathBuf,
     /// The dispatcher's name.
-    pub name: String,
+    pub dispatcher_name: String,
 }
 
 /// The folder, and this process in it.
-pub struct Folder {
+pub struct SharedDirectory {
     path: PathBuf,
     pub(super) own: Incarnation,
-    pub(super) name: String,
+    pub(super) dispatcher_name: String,
     /// Locked until the process ends.
     _lock: File,
 }
@@ -62,9 +62,9 @@
     hasher.finish() as u32
 }
 
-impl Place {
+impl SharedDirectoryPath {
     /// Makes this process known there.
-    pub fn join(&self) -> io::Result<Folder> {
+    pub fn join(&self) -> io::Result<SharedDirectory> {
         let path = self.parent.join("sedgebeam");
         DirBuilder::new()
             .recursive(true)
@@ -84,16 +84,16 @@
             let _ = std::fs::remove_file(&hidden);
         }
         joined?;
-        Ok(Folder {
+        Ok(SharedDirectory {
             path,
             own,
-            name: self.name.clone(),
+            dispatcher_name: self.dispatcher_name.clone(),
             _lock: lock,
         })
     }
 
     /// Joins as soon as it can.
-    pub async fn join_at_last(&self) -> Folder {
+    pub async fn join_with_retries(&self) -> SharedDirectory {
         let mut tries = 0;
         loop {
             match self.join() {
@@ -110,7 +110,7 @@
     }
 }
 
-impl Folder {
+impl SharedDirectory {
     fn of(&self, kind: &str, life: Incarnation) -> PathBuf {
         self.path.join(format!("{kind}{}", life.name()))
     }
@@ -158,7 +158,7 @@
     /// What another tells to this process.
     fn read(&self, life: Incarnation) -> Option<HandoverMessage> {
         let bytes = std::fs::read(self.of(TELLS, life)).ok()?;
-        let share = HandoverMessage::decode(&bytes, &self.name);
+        let share = HandoverMessage::decode(&bytes, &self.dispatcher_name);
         share
             .inspect_err(|why| log::debug!("what {} tells: {why:?}", life.name()))
             .ok()
@@ -166,20 +166,20 @@
     }
 
     /// Tells the others; whole, as it has its name only once it is written.
-    pub(super) fn write(&self, share: &HandoverMessage) -> io::Result<()> {
+    pub(super) fn publish(&self, share: &HandoverMessage) -> io::Result<()> {
         let hidden = self.of(NEW, self.own);
         std::fs::write(&hidden, share.encode())?;
         std::fs::rename(&hidden, self.of(TELLS, self.own))
     }
 
     /// The others that live, and what each tells.
-    pub(super) fn see(&self) -> io::Result<Vec<(Incarnation, Option<HandoverMessage>)>> {
+    pub(super) fn read_peers(&self) -> io::Result<Vec<(Incarnation, Option<HandoverMessage>)>> {
         let others = self.others()?.into_iter();
         Ok(others.map(|life| (life, self.read(life))).collect())
     }
 }
 
-impl Drop for Folder {
+impl Drop for SharedDirectory {
     fn drop(&mut self) {
         for kind in [TELLS, LIVES] {
             // What stays is removed by the next to look.
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -3,7 +3,7 @@
 //! A file is taken whole or not at all. What it changes are the settings and the address of the change log;
 //! every other key takes a restart.
 
-use crate::config::{self, Config, Environment, Wrong, wrong};
+use crate::config::{self, Config, ConfigError, Environment, config_error};
 use miniserde::json::{self, Value};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::RequestRouter;
@@ -25,59 +25,63 @@
 const SKIPPED: [&str; 1] = ["known"];
 
 /// Where the configuration is read from, now and later.
-pub struct Source {
+pub struct ConfigSource {
     pub environment: Environment,
-    pub own: Option<PathBuf>,
+    pub own_config_path: Option<PathBuf>,
 }
 
-impl Source {
-    pub fn load(&self) -> Result<Config, Wrong> {
-        config::load(&self.environment, self.own.as_deref())
+impl ConfigSource {
+    pub fn load(&self) -> Result<Config, ConfigError> {
+        config::load(&self.environment, self.own_config_path.as_deref())
     }
 
     /// The same at a start beside a process that has a file in use: what it would turn down is not begun with.
-    pub fn load_beside(&self, in_use: &str) -> Result<Config, Wrong> {
+    pub fn load_for_upgrade(&self, in_use: &str) -> Result<Config, ConfigError> {
         let running: Option<Value> = json::from_str(in_use).ok();
         let lacks = |config: &Config| {
             let running = running.as_ref();
-            running.and_then(|running| file::missing(running, &config.file, &SKIPPED))
+            running.and_then(|running| file::missing(running, &config.platform_config, &SKIPPED))
         };
         let why = match self.load() {
             Ok(config) => match lacks(&config) {
                 None => return Ok(config),
-                Some(key) => wrong(&key, "missing"),
+                Some(key) => config_error(&key, "missing"),
             },
             Err(wrong) => wrong,
         };
         log::warn!("beginning with the configuration in use: {why}");
-        config::load_text(&self.environment, in_use.to_string(), self.own.as_deref())
+        config::load_from_text(
+            &self.environment,
+            in_use.to_string(),
+            self.own_config_path.as_deref(),
+        )
     }
 }
 
 /// What hears of a new configuration.
-pub struct Reload {
-    pub source: Source,
+pub struct ConfigReloader {
+    pub source: ConfigSource,
     /// The platform's file that was last taken.
-    pub running: Value,
-    pub desk: RequestRouter,
-    pub changelog: watch::Sender<Option<SocketAddr>>,
-    pub connections: watch::Sender<Connections>,
+    pub applied_config: Value,
+    pub router: RequestRouter,
+    pub change_log_address: watch::Sender<Option<SocketAddr>>,
+    pub connection_limits: watch::Sender<Connections>,
     /// The text of the file that is in use.
-    pub in_use: watch::Sender<Arc<str>>,
+    pub applied_config_text: watch::Sender<Arc<str>>,
     /// Classes may have been retired.
-    pub retired: watch::Sender<()>,
-    pub figures: Figures,
+    pub names_retired: watch::Sender<()>,
+    pub metrics: Figures,
 }
 
-impl Reload {
+impl ConfigReloader {
     /// Reads the configuration again at each hangup, for ever.
-    pub async fn at_hangup(mut self, mut hangup: Signal) {
+    pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             let mut attempt = 1;
             while let Err(wrong) = self.read().await {
                 log::warn!("the running configuration is kept ({attempt} of {TRIES}): {wrong}");
                 if attempt == TRIES {
-                    self.figures.reloaded(false);
+                    self.metrics.reloaded(false);
                     break;
                 }
                 attempt += 1;
@@ -87,7 +91,7 @@
                         if again.is_none() {
                             return;
                         }
-                        self.figures.reloaded(false);
+                        self.metrics.reloaded(false);
                         attempt = 1;
                     }
                     () = sleep(BETWEEN) => {}
@@ -97,33 +101,35 @@
     }
 
     /// Reads the files, and takes them where nothing is wrong with them.
-    async fn read(&mut self) -> Result<(), Wrong> {
+    async fn read(&mut self) -> Result<(), ConfigError> {
         let config = self.source.load()?;
-        if let Some(key) = file::missing(&self.running, &config.file, &SKIPPED) {
-            return Err(wrong(
+        if let Some(key) = file::missing(&self.applied_config, &config.platform_config, &SKIPPED) {
+            return Err(config_error(
                 &key,
                 "it is there in the running configuration, and missing now",
             ));
         }
-        if !self.desk.reconfigure(&config.tuning()).await {
+        if !self.router.reconfigure(&config.runtime_settings()).await {
             let why = format!("there are more than {MOST_PLACES}, with those that end");
-            return Err(wrong("settings.services or settings.tenants", why));
+            return Err(config_error("settings.services or settings.tenants", why));
         }
-        self.figures.reloaded(true);
-        self.retired.send_replace(());
-        self.connections.send_replace(config.connections);
-        let moved = self.changelog.send_if_modified(|address| {
-            std::mem::replace(address, config.changelog) != config.changelog
+        self.metrics.reloaded(true);
+        self.names_retired.send_replace(());
+        self.connection_limits
+            .send_replace(config.connection_limits);
+        let moved = self.change_log_address.send_if_modified(|address| {
+            std::mem::replace(address, config.change_log_address) != config.change_log_address
         });
-        match (moved, config.changelog) {
+        match (moved, config.change_log_address) {
             (false, _) => log::info!("the configuration was read again and taken"),
             (true, Some(address)) => {
                 log::info!("taken; the change log is at {address} from now on")
             }
             (true, None) => log::info!("taken; there is no change log from now on"),
         }
-        self.running = config.file;
-        self.in_use.send_replace(config.text.into());
+        self.applied_config = config.platform_config;
+        self.applied_config_text
+            .send_replace(config.platform_config_text.into());
         Ok(())
     }
 }
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -13,12 +13,12 @@
 
 pub use signals::Signals;
 
-use crate::beside::{self, Member, Others, Own};
+use crate::change_log::ChangeLogPosition;
 use crate::config::Config;
-use crate::crew::Crew;
-use crate::duty::Duty;
-use crate::reload::Source;
-use crate::roster::Reached;
+use crate::drain_manager::DrainManager;
+use crate::peer_process::{self, GroupMember, PeerUsage, ProcessContext};
+use crate::reload::ConfigSource;
+use crate::worker_pool::WorkerPool;
 use limits::SharedLimits;
 use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_handover::HandoverMessage;
@@ -31,18 +31,18 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 
 /// This process beside others of its dispatcher, and what the one that serves has told.
-pub struct Beside {
-    pub member: Member,
-    pub handed: Option<HandoverMessage>,
+pub struct GroupMembership {
+    pub member: GroupMember,
+    pub predecessor_message: Option<HandoverMessage>,
 }
 
 /// What the parts of a running program have in common.
 struct Program {
     config: Config,
-    duty: Duty,
-    figures: Figures,
+    drain_manager: DrainManager,
+    metrics: Figures,
     clock: Clock,
-    crew: Arc<Crew>,
+    worker_pool: Arc<WorkerPool>,
     /// For connections that are closed without a place.
     farewells: Arc<Semaphore>,
     /// Hears once the last call is over.
@@ -54,9 +54,9 @@
 /// Serves until told to end, and until all that was taken is answered.
 pub async fn run(
     config: Config,
-    source: Source,
+    source: ConfigSource,
     signals: Signals,
-    beside: Option<Beside>,
+    beside: Option<GroupMembership>,
 ) -> io::Result<()> {
     let Signals {
         hangup,
@@ -64,37 +64,42 @@
         mut interrupt,
     } = signals;
     let (member, handed) = match beside {
-        Some(beside) => (Some(beside.member), beside.handed),
+        Some(beside) => (Some(beside.member), beside.predecessor_message),
         None => (None, None),
     };
-    let (whole, whole_told) = watch::channel(config.connections);
-    let (divided, divided_told) = watch::channel(config.connections);
+    let (whole, whole_told) = watch::channel(config.connection_limits);
+    let (divided, divided_told) = watch::channel(config.connection_limits);
     let (alive, all_ended) = mpsc::channel::<()>(1);
     let program = Program::start(config, divided_told, alive).await?;
     let seq = program.restore_list(handed).await?;
     let (changelog, reached) = program.follow_changelog(seq);
     let file_in_use = program.heed_reloads(source, hangup, changelog, whole);
-    let places = SessionSlots::new(program.config.descriptors.sessions);
-    let (others_told, others) = watch::channel(Others::NONE);
+    let session_slots = SessionSlots::new(program.config.descriptor_budget.sessions);
+    let (others_told, others) = watch::channel(PeerUsage::NONE);
     let limits = SharedLimits {
-        sessions: program.config.descriptors.sessions,
-        places: places.clone(),
+        sessions: program.config.descriptor_budget.sessions,
+        session_slots: session_slots.clone(),
         whole: whole_told,
         divided,
     };
     supervise::spawn_critical("limits", limits.divide(others));
     if let Some(member) = member {
-        let own = Own {
+        let own = ProcessContext {
             clock: program.clock,
-            desk: program.crew.desk.clone(),
-            places: places.clone(),
-            orders: program.duty.subscribe(),
-            reached: reached.clone(),
-            file: file_in_use,
+            router: program.worker_pool.router.clone(),
+            session_slots: session_slots.clone(),
+            drain_state: program.drain_manager.subscribe(),
+            change_log_position: reached.clone(),
+            applied_config_text: file_in_use,
         };
-        supervise::spawn_critical("other processes", beside::keep(member, own, others_told));
+        supervise::spawn_critical(
+            "other processes",
+            peer_process::run(member, own, others_told),
+        );
     }
-    let shutdown = program.take_clients(places, reached, all_ended).await?;
+    let shutdown = program
+        .take_clients(session_slots, reached, all_ended)
+        .await?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -107,12 +112,12 @@
     /// Opens all fronts and returns what it takes to end. From then on sessions alone hold the program.
     async fn take_clients(
         self,
-        places: SessionSlots,
-        reached: watch::Receiver<Reached>,
+        session_slots: SessionSlots,
+        reached: watch::Receiver<ChangeLogPosition>,
         all_ended: mpsc::Receiver<()>,
     ) -> io::Result<Shutdown> {
         self.open_other_fronts().await?;
-        let (accepting, address) = self.accept_sessions(places).await?;
+        let (accepting, address) = self.accept_sessions(session_slots).await?;
         self.prepare(reached).await?;
         log::info!(
             "{} serves PostgreSQL clients on {address}",
@@ -120,8 +125,8 @@
         );
         Ok(Shutdown {
             longest_deadline: self.longest_deadline(),
-            desk: self.crew.desk.clone(),
-            duty: self.duty,
+            router: self.worker_pool.router.clone(),
+            drain_manager: self.drain_manager,
             end: self.end,
             accepting,
             all_ended,
--- a/dispatcher/src/serve/flight.rs
+++ b/dispatcher/src/serve/flight.rs
@@ -1,6 +1,6 @@
 //! Serves Flight SQL clients, on the program's own thread or on the workers.
 
-use crate::crew::Crew;
+use crate::worker_pool::WorkerPool;
 use futures::{Stream, StreamExt};
 use sedgebeam_fronts::{flight, incoming};
 use sedgebeam_port::supervise;
@@ -19,35 +19,35 @@
 /// or on the workers, to which connections are handed over.
 pub(super) fn serve_flight(
     listener: TcpListener,
-    crew: &Arc<Crew>,
+    worker_pool: &Arc<WorkerPool>,
     front: &flight::Front,
     end: &watch::Sender<bool>,
     alive: &mpsc::Sender<()>,
     most: usize,
 ) {
     let accepted = incoming::accept_connections(listener, most);
-    if !crew.is_several() {
+    if !worker_pool.has_several_workers() {
         let placed = incoming::local_connections(accepted);
         let serving = serve_connections(placed, front.clone(), end.subscribe(), alive.clone());
         supervise::spawn_critical("the Flight SQL front", serving);
         return;
     }
     let mut workers = Vec::new();
-    for worker in crew.workers() {
+    for worker in worker_pool.workers() {
         let (hand_over, taken) = mpsc::channel(most);
         let taken = incoming::transferred_connections(taken);
         let serving = serve_connections(taken, front.clone(), end.subscribe(), alive.clone());
-        worker.watch("the Flight SQL front of a worker", serving);
+        worker.spawn("the Flight SQL front of a worker", serving);
         workers.push(hand_over);
     }
-    let spreading = spread(accepted, crew.clone(), workers, end.subscribe());
+    let spreading = spread(accepted, worker_pool.clone(), workers, end.subscribe());
     supervise::spawn_critical("accepting Flight SQL clients", spreading);
 }
 
 /// Hands connections over to the workers until the end.
 async fn spread(
     accepted: impl Stream<Item = incoming::AcceptedConnection>,
-    crew: Arc<Crew>,
+    worker_pool: Arc<WorkerPool>,
     workers: Vec<mpsc::Sender<incoming::TransferredConnection>>,
     mut end: watch::Receiver<bool>,
 ) {
@@ -58,7 +58,7 @@
             _ = end.wait_for(|end| *end) => None,
         };
         let Some(connection) = next else { return };
-        let (place, _) = crew.place();
+        let (place, _) = worker_pool.choose_worker();
         let handed = match incoming::TransferredConnection::new(connection) {
             Ok(handed) => workers[place].try_send(handed).map_err(io::Error::other),
             Err(error) => Err(error),
--- a/dispatcher/src/serve/limits.rs
+++ b/dispatcher/src/serve/limits.rs
@@ -1,6 +1,6 @@
 //! What two processes of one dispatcher share, as during an upgrade: connections to engines and sessions.
 
-use crate::beside::Others;
+use crate::peer_process::PeerUsage;
 use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_settings::Connections;
 use tokio::sync::watch;
@@ -11,7 +11,7 @@
 /// The limits of one dispatcher, and where this process's share of them is told.
 pub(super) struct SharedLimits {
     pub sessions: usize,
-    pub places: SessionSlots,
+    pub session_slots: SessionSlots,
     pub whole: watch::Receiver<Connections>,
     pub divided: watch::Sender<Connections>,
 }
@@ -20,17 +20,17 @@
     /// Divides them whenever they change, or others do; for ever. Connections to engines are divided evenly. What
     /// sessions the other process has are its own: none of them is closed for being one too many, as a request may
     /// be on its way to it.
-    pub async fn divide(mut self, mut others: watch::Receiver<Others>) {
+    pub async fn divide(mut self, mut others: watch::Receiver<PeerUsage>) {
         loop {
             let whole = *self.whole.borrow_and_update();
             let beside = *others.borrow_and_update();
             self.divided.send_replace(Connections {
-                most: (whole.most / beside.parts).max(1),
-                in_all: (whole.in_all / beside.parts).max(1),
+                most: (whole.most / beside.process_count).max(1),
+                in_all: (whole.in_all / beside.process_count).max(1),
                 ..whole
             });
-            let left = self.sessions.saturating_sub(beside.sessions);
-            self.places
+            let left = self.sessions.saturating_sub(beside.session_count);
+            self.session_slots
                 .set_max_sessions(left.max(self.sessions / LEAST_SESSIONS_DIVISOR));
             let changed = tokio::select! {
                 changed = self.whole.changed() => changed,
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -1,6 +1,6 @@
 //! Sessions of PostgreSQL clients: accepted here, and served on the workers.
 
-use crate::crew::Crew;
+use crate::worker_pool::WorkerPool;
 use futures::FutureExt;
 use sedgebeam_fronts::connection_drain::DrainWatcher;
 use sedgebeam_fronts::pg;
@@ -24,11 +24,11 @@
 
 /// Accepts sessions and gives each to a worker.
 pub(super) struct Sessions {
-    pub crew: Arc<Crew>,
+    pub worker_pool: Arc<WorkerPool>,
     pub serving: pg::SessionContext,
-    pub staying: DrainWatcher,
+    pub drain_watcher: DrainWatcher,
     pub alive: mpsc::Sender<()>,
-    pub places: SessionSlots,
+    pub session_slots: SessionSlots,
     /// The key of the last session; each next one is mixed from it.
     pub last_key: u64,
 }
@@ -108,7 +108,7 @@
 
     /// Starts a session on a worker, if it gets a place.
     async fn start(&mut self, stream: TcpStream) {
-        let Some((place, gave_way)) = self.places.acquire() else {
+        let Some((place, gave_way)) = self.session_slots.acquire() else {
             log::debug!("all sessions are busy: a connection is turned away");
             self.turn_away(stream, pg::RejectReason::NoFreeSlot);
             // Where it can't stay, its descriptor is free before the next one is accepted.
@@ -122,12 +122,12 @@
         set_nodelay(&stream);
         let (serving, key) = (self.serving.clone(), self.next_key());
         let leave = self
-            .staying
+            .drain_watcher
             .new_connection(sedgebeam_core::splitmix64(key.0) as f64 / u64::MAX as f64);
         let alive = self.alive.clone();
-        let several = self.crew.is_several();
-        let (_, worker) = self.crew.place();
-        let counted = worker.count();
+        let several = self.worker_pool.has_several_workers();
+        let (_, worker) = self.worker_pool.choose_worker();
+        let counted = worker.track_connection();
         let task = async move {
             // It is served where it is read: its socket's events must come on its worker's thread.
             let stream = if several {
@@ -141,6 +141,6 @@
             }
             drop((alive, counted));
         };
-        worker.watch("a session", task);
+        worker.spawn("a session", task);
     }
 }
--- a/dispatcher/src/serve/shutdown.rs
+++ b/dispatcher/src/serve/shutdown.rs
@@ -1,6 +1,6 @@
 //! The end of the program: all that was taken is answered first.
 
-use crate::duty::Duty;
+use crate::drain_manager::DrainManager;
 use sedgebeam_operation::Drain;
 use sedgebeam_port::RequestRouter;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 
 /// What it takes to end.
 pub(super) struct Shutdown {
-    pub duty: Duty,
-    pub desk: RequestRouter,
+    pub drain_manager: DrainManager,
+    pub router: RequestRouter,
     /// Tells listeners that the last call is over.
     pub end: watch::Sender<bool>,
     /// The task that accepts clients of the PostgreSQL protocol.
@@ -31,12 +31,16 @@
     /// Ends: takes nothing new after the last call, and waits until all that was taken is answered.
     pub async fn run(mut self) {
         // Said once it holds: whoever reads it may ask at the door at once.
-        self.duty.change(Drain::end);
+        self.drain_manager.update(Drain::end);
         log::info!("ending: last call");
         let patience = self.longest_deadline.min(MAX_DEADLINE) + LAST_ANSWERS_AFTER;
         let last_answers = Instant::now() + patience;
         // Accepting ends by itself then; sessions end when they are idle. The sender is held by the drain's state.
-        let _ = self.duty.subscribe().wait_for(|orders| orders.over).await;
+        let _ = self
+            .drain_manager
+            .subscribe()
+            .wait_for(|orders| orders.over)
+            .await;
         let _ = self.end.send(true);
         let _ = self.accepting.await;
         let ended = async { while self.all_ended.recv().await.is_some() {} };
@@ -46,7 +50,7 @@
             // What engines have not answered by then would be killed with the process.
             () = sleep_until(last_answers) => {
                 log::info!("the last moment: all that is open is answered");
-                self.desk.shut_down().await;
+                self.router.shut_down().await;
                 ended.await;
             }
         }
--- a/dispatcher/src/serve/signals.rs
+++ b/dispatcher/src/serve/signals.rs
@@ -12,7 +12,7 @@
 
 impl Signals {
     /// Heeds them from here on: one that comes before would end the program, whatever it has taken.
-    pub fn heed() -> io::Result<Signals> {
+    pub fn register() -> io::Result<Signals> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
             terminate: signal(SignalKind::terminate())?,
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -1,13 +1,13 @@
 //! What comes up before clients are taken: operators' calls, the workers, the list of engines and reloading.
 
 use super::Program;
-use crate::beside;
+use crate::change_log::{self, ChangeLogPosition};
 use crate::config::Config;
-use crate::crew::Crew;
-use crate::door;
-use crate::duty::Duty;
-use crate::reload::{Reload, Source};
-use crate::roster::{self, Reached};
+use crate::control_socket;
+use crate::drain_manager::DrainManager;
+use crate::peer_process;
+use crate::reload::{ConfigReloader, ConfigSource};
+use crate::worker_pool::WorkerPool;
 use sedgebeam_engines::{ConnectionSlots, NetworkTransport};
 use sedgebeam_handover::HandoverMessage;
 use sedgebeam_operation::Figures;
@@ -33,27 +33,27 @@
         connections: watch::Receiver<Connections>,
         alive: mpsc::Sender<()>,
     ) -> io::Result<Program> {
-        let duty = Duty::new(config.passed.is_some());
-        let figures = Figures::default();
+        let drain_manager = DrainManager::new(config.inherited_socket.is_some());
+        let metrics = Figures::default();
         let clock = Clock::start();
         for class in &config.names.classes {
-            figures.class(class);
+            metrics.class(class);
         }
-        let farewells = Arc::new(Semaphore::new(config.descriptors.farewells));
-        open_door(&config, &duty, &figures, clock, &farewells).await?;
-        supervise::spawn_critical("the drain", duty.clone().keep_time());
+        let farewells = Arc::new(Semaphore::new(config.descriptor_budget.lingering_closes));
+        open_control_socket(&config, &drain_manager, &metrics, clock, &farewells).await?;
+        supervise::spawn_critical("the drain", drain_manager.clone().run_timer());
         let wires = NetworkTransport {
             connections,
-            metrics: figures.clone(),
+            metrics: metrics.clone(),
             slots: ConnectionSlots::default(),
         };
-        let crew = Crew::start(&config, Arc::new(wires), &figures, clock).await?;
+        let worker_pool = WorkerPool::start(&config, Arc::new(wires), &metrics, clock).await?;
         Ok(Program {
             config,
-            duty,
-            figures,
+            drain_manager,
+            metrics,
             clock,
-            crew: Arc::new(crew),
+            worker_pool: Arc::new(worker_pool),
             farewells,
             end: watch::channel(false).0,
             alive,
@@ -63,10 +63,11 @@
     /// Has the brokers begin with the list of the file, or with what another process has told where that is newer;
     /// the change log's number that goes with it.
     pub(super) async fn restore_list(&self, handed: Option<HandoverMessage>) -> io::Result<u64> {
-        let (known, desk) = (&self.config.known, &self.crew.desk);
+        let (known, router) = (&self.config.known_changes, &self.worker_pool.router);
         let ended = |_| io::Error::other("the broker ended at once");
-        let saved = roster::fold(known.changes.clone());
-        desk.update_engine_list(Listing::Saved, saved)
+        let saved = change_log::fold_changes(known.changes.clone());
+        router
+            .update_engine_list(Listing::Saved, saved)
             .await
             .map_err(ended)?;
         let Some(share) = handed else {
@@ -76,13 +77,13 @@
         let stated = share.status;
         let seq = stated.change_log_seq.max(known.seq);
         if stated.change_log_seq > known.seq {
-            let told = desk
+            let told = router
                 .update_engine_list(Listing::Complete, stated.targets)
                 .await;
             told.map_err(ended)?;
         }
-        desk.restore(held).await;
-        beside::set_again(desk, stated.drained_engines, stated.tenants).await;
+        router.restore(held).await;
+        peer_process::reapply_admin_settings(router, stated.drained_engines, stated.tenants).await;
         log::info!("begun with what the process before it knew, up to change {seq}");
         Ok(seq)
     }
@@ -91,15 +92,19 @@
     pub(super) fn follow_changelog(
         &self,
         seq: u64,
-    ) -> (watch::Sender<Option<SocketAddr>>, watch::Receiver<Reached>) {
+    ) -> (
+        watch::Sender<Option<SocketAddr>>,
+        watch::Receiver<ChangeLogPosition>,
+    ) {
         let config = &self.config;
-        let (changelog, address) = watch::channel(config.changelog);
-        let (reached, heard) = watch::channel(Reached {
+        let (changelog, address) = watch::channel(config.change_log_address);
+        let (reached, heard) = watch::channel(ChangeLogPosition {
             seq,
             caught_up: false,
         });
         let pauses = Pauses::new(config.settings.gateways, config.seed);
-        let following = roster::follow(address, reached, self.crew.desk.clone(), pauses);
+        let following =
+            change_log::follow(address, reached, self.worker_pool.router.clone(), pauses);
         supervise::spawn_critical("the change log", following);
         (changelog, heard)
     }
@@ -107,44 +112,52 @@
     /// Has the configuration read again at each hangup; the text of the file in use.
     pub(super) fn heed_reloads(
         &self,
-        source: Source,
+        source: ConfigSource,
         hangup: Signal,
         changelog: watch::Sender<Option<SocketAddr>>,
         connections: watch::Sender<Connections>,
     ) -> watch::Receiver<Arc<str>> {
         let (retired, retired_told) = watch::channel(());
-        let names = self.crew.desk.clone();
+        let names = self.worker_pool.router.clone();
         supervise::spawn_critical(
             "names",
             async move { names.expire_names(retired_told).await },
         );
-        let (in_use, in_use_told) = watch::channel(self.config.text.as_str().into());
-        let reload = Reload {
+        let (in_use, in_use_told) =
+            watch::channel(self.config.platform_config_text.as_str().into());
+        let reload = ConfigReloader {
             source,
-            running: self.config.file.clone(),
-            desk: self.crew.desk.clone(),
-            changelog,
-            connections,
-            in_use,
-            retired,
-            figures: self.figures.clone(),
+            applied_config: self.config.platform_config.clone(),
+            router: self.worker_pool.router.clone(),
+            change_log_address: changelog,
+            connection_limits: connections,
+            applied_config_text: in_use,
+            names_retired: retired,
+            metrics: self.metrics.clone(),
         };
-        supervise::spawn_critical("reloading", reload.at_hangup(hangup));
+        supervise::spawn_critical("reloading", reload.run(hangup));
         in_use_told
     }
 
     /// Waits until the list and the engines are there, and says so.
-    pub(super) async fn prepare(&self, mut heard: watch::Receiver<Reached>) -> io::Result<()> {
-        if self.config.passed.is_some() && self.config.changelog.is_some() {
+    pub(super) async fn prepare(
+        &self,
+        mut heard: watch::Receiver<ChangeLogPosition>,
+    ) -> io::Result<()> {
+        if self.config.inherited_socket.is_some() && self.config.change_log_address.is_some() {
             let caught_up = heard.wait_for(|reached| reached.caught_up);
             if timeout(CATCH_UP, caught_up).await.is_err() {
                 log::warn!("the change log says nothing: beginning with the list known");
             }
         }
         // Once one has answered, the brokers have the list.
-        let health = self.crew.desk.administer(AdminRequest::Health).await;
+        let health = self
+            .worker_pool
+            .router
+            .administer(AdminRequest::Health)
+            .await;
         health.map_err(|_| io::Error::other("the brokers ended at once"))?;
-        self.duty.change(|drain, _| drain.prepared());
+        self.drain_manager.update(|drain, _| drain.prepared());
         Ok(())
     }
 
@@ -156,24 +169,24 @@
     }
 }
 
-async fn open_door(
+async fn open_control_socket(
     config: &Config,
-    duty: &Duty,
-    figures: &Figures,
+    drain_manager: &DrainManager,
+    metrics: &Figures,
     clock: Clock,
     farewells: &Arc<Semaphore>,
 ) -> io::Result<()> {
-    let Some(address) = config.control else {
+    let Some(address) = config.control_listen else {
         return Ok(());
     };
-    let desk = door::Desk {
-        duty: duty.clone(),
-        figures: figures.clone(),
+    let context = control_socket::ControlContext {
+        drain_manager: drain_manager.clone(),
+        metrics: metrics.clone(),
         clock,
-        callers: config.descriptors.callers,
-        farewells: farewells.clone(),
+        max_callers: config.descriptor_budget.control_callers,
+        lingering_closes: farewells.clone(),
     };
-    let address = door::open(address, desk).await?;
+    let address = control_socket::open(address, context).await?;
     log::info!("{} takes calls of operators on {address}", config.name);
     Ok(())
 }
--- a/dispatcher/src/crew.rs
+++ b/dispatcher/src/worker_pool.rs
@@ -33,9 +33,9 @@
 }
 
 /// Counts a connection at its worker until it is dropped.
-pub struct Counted(Arc<AtomicUsize>);
+pub struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -50,19 +50,19 @@
     }
 
     /// Runs a task there; its panic is logged.
-    pub fn watch(&self, name: &'static str, task: impl Future<Output = ()> + Send + 'static) {
+    pub fn spawn(&self, name: &'static str, task: impl Future<Output = ()> + Send + 'static) {
         supervise::spawn_supervised_on(&self.runtime, name.to_string(), task, || {});
     }
 
-    pub fn count(&self) -> Counted {
+    pub fn track_connection(&self) -> ConnectionGuard {
         self.connections.fetch_add(1, Ordering::Relaxed);
-        Counted(self.connections.clone())
+        ConnectionGuard(self.connections.clone())
     }
 }
 
-/// All workers, and the desk before their brokers.
-pub struct Crew {
-    pub desk: RequestRouter,
+/// All workers, and the router before their brokers.
+pub struct WorkerPool {
+    pub router: RequestRouter,
     workers: Vec<Worker>,
     /// The first so many of them have a shard.
     shards: usize,
@@ -71,38 +71,39 @@
     restarts: Arc<AtomicUsize>,
 }
 
-impl Crew {
+impl WorkerPool {
     /// Starts the brokers, on threads of their own where there are several workers.
     pub async fn start(
         config: &Config,
-        world: Arc<dyn EngineTransport>,
-        figures: &Figures,
+        engine_transport: Arc<dyn EngineTransport>,
+        metrics: &Figures,
         clock: Clock,
-    ) -> io::Result<Crew> {
-        let tuning = config.tuning();
-        let desk = RequestRouter::new(config.shards, config.seed, figures.clone(), tuning.clone());
+    ) -> io::Result<WorkerPool> {
+        let tuning = config.runtime_settings();
+        let router =
+            RequestRouter::new(config.shards, config.seed, metrics.clone(), tuning.clone());
         let setup = BrokerConfig {
             runtime_settings: Arc::new(tuning),
             seed: config.seed,
             clock,
-            metrics: figures.clone(),
-            engine_transport: world,
+            metrics: metrics.clone(),
+            engine_transport,
             shard: None,
         };
         if config.workers > 1 {
-            Crew::several(config, desk, setup).await
+            WorkerPool::several(config, router, setup).await
         } else {
-            Crew::alone(desk, setup).await
+            WorkerPool::alone(router, setup).await
         }
     }
 
-    async fn alone(desk: RequestRouter, setup: BrokerConfig) -> io::Result<Crew> {
+    async fn alone(router: RequestRouter, setup: BrokerConfig) -> io::Result<WorkerPool> {
         let (broker, mailbox, incoming) = broker::new(setup);
         supervise::spawn_critical("the broker", broker.run(incoming));
-        let opened = desk.open_shard(0, mailbox).await;
+        let opened = router.open_shard(0, mailbox).await;
         opened.map_err(|_| io::Error::other("the broker ended at once"))?;
-        Ok(Crew {
-            desk,
+        Ok(WorkerPool {
+            router,
             workers: vec![Worker::new(Handle::current())],
             shards: 1,
             turn: AtomicUsize::new(0),
@@ -112,13 +113,13 @@
 
     async fn several(
         config: &Config,
-        desk: RequestRouter,
+        router: RequestRouter,
         setup: BrokerConfig,
-    ) -> io::Result<Crew> {
+    ) -> io::Result<WorkerPool> {
         let tuning = &setup.runtime_settings;
         let (open, settings) = (tuning.most_open, &tuning.settings);
-        let shared = ShardLeases::new(config.shards, open, settings, desk.clone());
-        widen_descriptors(config.sockets);
+        let shared = ShardLeases::new(config.shards, open, settings, router.clone());
+        widen_descriptors(config.max_descriptors);
         let cores = if config.pin_workers {
             core_affinity::get_core_ids().unwrap_or_default()
         } else {
@@ -136,19 +137,25 @@
                 shard: Some(Shard::new(shared.clone(), shard)),
                 ..setup.clone()
             };
-            let life = live(shard, setup, desk.clone(), shared.clone(), restarts.clone());
-            worker.watch("a worker", life);
+            let life = live(
+                shard,
+                setup,
+                router.clone(),
+                shared.clone(),
+                restarts.clone(),
+            );
+            worker.spawn("a worker", life);
         }
-        let crew = Crew {
-            desk,
+        let pool = WorkerPool {
+            router,
             workers,
             shards: config.shards,
             turn: AtomicUsize::new(0),
             restarts,
         };
         // Clients are accepted once every shard takes requests.
-        crew.desk.wait_until_open().await;
-        Ok(crew)
+        pool.router.wait_until_open().await;
+        Ok(pool)
     }
 
     pub fn workers(&self) -> &[Worker] {
@@ -156,15 +163,15 @@
     }
 
     /// Whether connections must be handed over to another thread.
-    pub fn is_several(&self) -> bool {
+    pub fn has_several_workers(&self) -> bool {
         self.workers.len() > 1
     }
 
     /// The worker for a new connection.
-    pub fn place(&self) -> (usize, &Worker) {
+    pub fn choose_worker(&self) -> (usize, &Worker) {
         let load = |(shard, worker): (usize, &Worker)| WorkerLoad {
             connections: worker.connections.load(Ordering::Relaxed),
-            is_alive: shard >= self.shards || self.desk.is_alive(shard),
+            is_alive: shard >= self.shards || self.router.is_alive(shard),
         };
         let loads: Vec<WorkerLoad> = self.workers.iter().enumerate().map(load).collect();
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
@@ -173,7 +180,7 @@
     }
 
     /// Brokers that were started after another had died, and serve.
-    pub fn restarts(&self) -> usize {
+    pub fn broker_restarts(&self) -> usize {
         self.restarts.load(Ordering::Relaxed)
     }
 }
@@ -220,7 +227,7 @@
 async fn live(
     shard: usize,
     setup: BrokerConfig,
-    desk: RequestRouter,
+    router: RequestRouter,
     shared: Arc<ShardLeases>,
     restarts: Arc<AtomicUsize>,
 ) {
@@ -228,12 +235,12 @@
         let (broker, mailbox, incoming) = broker::new(setup.clone());
         let running = tokio::spawn(broker.run(incoming));
         // A broker that is gone already is told of below.
-        let _ = desk.open_shard(shard, mailbox).await;
+        let _ = router.open_shard(shard, mailbox).await;
         if life > 0 {
             restarts.fetch_add(1, Ordering::Relaxed);
         }
         let ended = running.await;
-        desk.close_shard(shard);
+        router.close_shard(shard);
         match ended {
             Ok(()) => return,
             Err(error) => log::error!("the broker of worker {shard} died: {error}"),
--- a/dispatcher/tests/beside.rs
+++ b/dispatcher/tests/beside.rs
@@ -1,8 +1,8 @@
 //! One process of a dispatcher beside others, before a broker that the test plays: what it believes while its folder can't be
 //! written, or can't be read for a moment.
 
-use sedgebeam::beside::{Member, Others, Own, Place, keep};
-use sedgebeam::roster::Reached;
+use sedgebeam::change_log::ChangeLogPosition;
+use sedgebeam::peer_process::{self, GroupMember, PeerUsage, ProcessContext, SharedDirectoryPath};
 use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_operation::{Drain, Figures, Orders};
 use sedgebeam_port::clock::Clock;
@@ -30,10 +30,10 @@
         Temporary(path)
     }
 
-    fn place(&self) -> Place {
-        Place {
+    fn place(&self) -> SharedDirectoryPath {
+        SharedDirectoryPath {
             parent: self.0.clone(),
-            name: "n0".to_string(),
+            dispatcher_name: "n0".to_string(),
         }
     }
 
@@ -52,33 +52,33 @@
 /// A process, as the rest of it sees the others.
 struct Process {
     told: mpsc::Receiver<BrokerMessage>,
-    others: watch::Receiver<Others>,
+    others: watch::Receiver<PeerUsage>,
     // They end with it.
     _orders: watch::Sender<Orders>,
-    _reached: watch::Sender<Reached>,
+    _reached: watch::Sender<ChangeLogPosition>,
     _file: watch::Sender<Arc<str>>,
 }
 
 impl Process {
-    async fn start(member: Member) -> Process {
+    async fn start(member: GroupMember) -> Process {
         let desk = RequestRouter::new(1, 0, Figures::default(), Tuning::default());
         let (mailbox, told) = mpsc::channel(16);
         desk.open_shard(0, mailbox).await.expect("a broker");
         let mut drain = Drain::new(true);
         drain.prepared();
         let (_orders, orders) = watch::channel(drain.orders(Duration::ZERO));
-        let (_reached, reached) = watch::channel(Reached::default());
+        let (_reached, reached) = watch::channel(ChangeLogPosition::default());
         let (_file, file) = watch::channel("{}".into());
-        let own = Own {
+        let own = ProcessContext {
             clock: Clock::start(),
-            desk,
-            places: SessionSlots::new(1),
-            orders,
-            reached,
-            file,
+            router: desk,
+            session_slots: SessionSlots::new(1),
+            drain_state: orders,
+            change_log_position: reached,
+            applied_config_text: file,
         };
-        let (left, others) = watch::channel(Others::NONE);
-        tokio::spawn(keep(member, own, left));
+        let (left, others) = watch::channel(PeerUsage::NONE);
+        tokio::spawn(peer_process::run(member, own, left));
         Process {
             told,
             others,
@@ -100,7 +100,7 @@
     }
 
     async fn divided_by(&mut self, parts: usize) {
-        let divided = self.others.wait_for(|others| others.parts == parts);
+        let divided = self.others.wait_for(|others| others.process_count == parts);
         divided.await.expect("it goes on");
     }
 }
@@ -124,8 +124,8 @@
     inside(async {
         let temporary = Temporary::new();
         spoil(&temporary.shared());
-        let (member, handed) = Member::join(temporary.place()).await;
-        assert!(matches!(member, Member::Waiting(_)) && handed.is_none());
+        let (member, handed) = GroupMember::join(temporary.place()).await;
+        assert!(matches!(member, GroupMember::Joining(_)) && handed.is_none());
         let mut process = Process::start(member).await;
         assert!(!process.may_warm().await);
         process.divided_by(2).await;
@@ -141,7 +141,7 @@
     inside(async {
         let temporary = Temporary::new();
         let older = temporary.place().join().expect("a folder");
-        let (member, _) = Member::join(temporary.place()).await;
+        let (member, _) = GroupMember::join(temporary.place()).await;
         let mut process = Process::start(member).await;
         process.divided_by(2).await;
         assert!(!process.may_warm().await, "the older one does");
@@ -151,7 +151,7 @@
         for _ in 0..LOOKS {
             assert!(!process.may_warm().await);
         }
-        assert_eq!(process.others.borrow().parts, 2);
+        assert_eq!(process.others.borrow().process_count, 2);
         std::fs::remove_file(temporary.shared()).expect("removes");
         std::fs::rename(&away, temporary.shared()).expect("renames");
         drop(older);
--- a/dispatcher/tests/followers.rs
+++ b/dispatcher/tests/followers.rs
@@ -2,7 +2,7 @@
 //! cuts and leaves out what it tells. Their lists are those of the log in the end, and few whole lists are had. And one
 //! follower of a log that is too crowded to take its connection at once.
 
-use sedgebeam::roster::{self, Reached};
+use sedgebeam::change_log::{self, ChangeLogPosition};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::{BrokerMessage, Listing, RequestRouter, Target, apply};
 use sedgebeam_retune::Tuning;
@@ -139,7 +139,7 @@
 /// A follower, and the list that its broker has been told.
 struct Follower {
     address: watch::Sender<Option<SocketAddr>>,
-    reached: watch::Receiver<Reached>,
+    reached: watch::Receiver<ChangeLogPosition>,
     list: watch::Receiver<Vec<Target>>,
 }
 
@@ -155,17 +155,17 @@
         }
     });
     desk.open_shard(0, mailbox).await.expect("a broker");
-    let first = roster::fold(vec![read(1)]);
+    let first = change_log::fold_changes(vec![read(1)]);
     desk.update_engine_list(Listing::Complete, first)
         .await
         .expect("a broker");
     let (address, changes) = watch::channel(Some(log.address));
-    let (reached, heard) = watch::channel(Reached {
+    let (reached, heard) = watch::channel(ChangeLogPosition {
         seq: 1,
         caught_up: false,
     });
     let pauses = Pauses::new(FOLLOWERS, u64::from(number));
-    tokio::spawn(roster::follow(changes, reached, desk, pauses));
+    tokio::spawn(change_log::follow(changes, reached, desk, pauses));
     Follower {
         address,
         reached: heard,
@@ -173,7 +173,7 @@
     }
 }
 
-fn read(seq: u64) -> roster::Change {
+fn read(seq: u64) -> change_log::Change {
     miniserde::json::from_str(&event(seq)).expect("an event")
 }
 
@@ -192,7 +192,7 @@
 
 /// Waits until all have heard so much, and compares their lists with the log's.
 async fn agree(followers: &mut [Follower], seq: u64) {
-    let truth = sorted(roster::fold((1..=seq).map(read).collect()));
+    let truth = sorted(change_log::fold_changes((1..=seq).map(read).collect()));
     for follower in followers {
         let heard = follower.reached.wait_for(|reached| reached.seq == seq);
         heard.await.expect("it follows");
@@ -284,8 +284,13 @@
         let _fills_the_queue = TcpStream::connect(address).await.expect("connects");
         let desk = RequestRouter::new(1, 0, Figures::default(), Tuning::default());
         let (_address, changes) = watch::channel(Some(address));
-        let (reached, _heard) = watch::channel(Reached::default());
-        tokio::spawn(roster::follow(changes, reached, desk, Pauses::new(1, 1)));
+        let (reached, _heard) = watch::channel(ChangeLogPosition::default());
+        tokio::spawn(change_log::follow(
+            changes,
+            reached,
+            desk,
+            Pauses::new(1, 1),
+        ));
         let port = loop {
             if let [port] = connecting_to(address.port())[..] {
                 break port;
--- a/dispatcher/tests/scenarios/wire.rs
+++ b/dispatcher/tests/scenarios/wire.rs
@@ -1,7 +1,7 @@
 //! What only one wire has: starts, cancels, what is malformed.
 
 use crate::stage::{SOCKETS, Stage};
-use sedgebeam::descriptors::Descriptors;
+use sedgebeam::descriptors::DescriptorBudget;
 
 #[test]
 fn an_empty_query_is_answered_at_the_start_of_a_session() {
@@ -201,8 +201,12 @@
     let mut stage = Stage::new(&["e1", "e2", "log", "log2"]);
     stage.play("log expect asked 1");
     // What is set apart for the process itself is no less than it holds.
-    let parts = Descriptors::of(SOCKETS, 1, true, true).expect("enough for all");
-    assert!(stage.descriptors() <= parts.own, "{}", stage.descriptors());
+    let parts = DescriptorBudget::divide(SOCKETS, 1, true, true).expect("enough for all");
+    assert!(
+        stage.descriptors() <= parts.reserved,
+        "{}",
+        stage.descriptors()
+    );
     for number in 1..=SOCKETS {
         stage.play(&format!(
             "to{number} send 50\ntf{number} send 50\nta{number} send 47"
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::{SETTINGS, Stage, folder};
 use sedgebeam::config::{self, Config, Environment};
-use sedgebeam::crew::Crew;
+use sedgebeam::worker_pool::WorkerPool;
 use sedgebeam_core::{AttemptNo, ClassId, Micros, RequestId, TableGroupId};
 use sedgebeam_operation::Figures;
 use sedgebeam_port::clock::Clock;
@@ -213,7 +213,7 @@
 }
 
 struct Bench {
-    crew: Crew,
+    crew: WorkerPool,
     figures: Figures,
     world: Arc<World>,
     hears: mpsc::UnboundedReceiver<Sent>,
@@ -232,10 +232,10 @@
         let (world, hears) = World::new();
         let figures = Figures::default();
         let (config, clock) = (config(), Clock::start());
-        let crew = Crew::start(&config, world.clone(), &figures, clock).await;
+        let crew = WorkerPool::start(&config, world.clone(), &figures, clock).await;
         let crew = crew.expect("starts");
         let list = vec![target("e-1")];
-        crew.desk
+        crew.router
             .update_engine_list(Listing::Complete, list)
             .await
             .expect("is told");
@@ -269,7 +269,7 @@
             session: None,
             cancel_token: CancellationToken::new(),
         };
-        self.crew.desk.submit(request).await
+        self.crew.router.submit(request).await
     }
 
     /// The next that an engine is sent.
@@ -289,7 +289,7 @@
     async fn hears_of(&self, uid: &str) {
         let told = self
             .crew
-            .desk
+            .router
             .update_engine_list(Listing::Changes, vec![target(uid)]);
         told.await.expect("is told");
     }
@@ -392,7 +392,7 @@
         let others = lost.len() as u64 - loads;
         assert_eq!(counts["lookup"].ended, [0, others, 0]);
         assert_eq!(counts["journal-load"].ended, [0, 0, loads]);
-        bench.until(|bench| bench.crew.restarts() == 1).await;
+        bench.until(|bench| bench.crew.broker_restarts() == 1).await;
         // Its names are free again, and it serves again, with the list that the others have.
         let (pending, sent) = all_out(&mut bench, 101..125).await;
         assert!(sent.iter().any(|sent| sent.worker == VICTIM));
@@ -407,12 +407,12 @@
         let mut bench = Bench::new().await;
         let (before, sent_before) = all_out(&mut bench, 1..25).await;
         bench.hears_of("stall-2").await;
-        bench.until(|bench| !bench.crew.desk.is_alive(1)).await;
+        bench.until(|bench| !bench.crew.router.is_alive(1)).await;
         let (during, sent) = all_out(&mut bench, 101..125).await;
         assert!(sent.iter().all(|sent| sent.worker != VICTIM));
         served(&sent, during).await;
         assert!(
-            !bench.crew.desk.is_alive(1),
+            !bench.crew.router.is_alive(1),
             "it stands still all the while"
         );
         // A name that it has open is open for all.
@@ -434,13 +434,13 @@
     block_on(async {
         let mut bench = Bench::new().await;
         let drain = AdminRequest::Drain("e-1".to_string(), true);
-        bench.crew.desk.administer(drain).await.expect("is done");
+        bench.crew.router.administer(drain).await.expect("is done");
         bench.hears_of("boom-2").await;
-        bench.until(|bench| bench.crew.restarts() == 1).await;
+        bench.until(|bench| bench.crew.broker_restarts() == 1).await;
         let (_pending, sent) = all_out(&mut bench, 1..25).await;
         assert!(sent.iter().any(|sent| sent.worker == VICTIM));
         let Ok(AdminResponse::Engines(rows)) =
-            bench.crew.desk.administer(AdminRequest::Engines).await
+            bench.crew.router.administer(AdminRequest::Engines).await
         else {
             panic!("no engines are told");
         };
@@ -457,7 +457,7 @@
         assert_eq!(row("boom-2").attempts_in_flight, 24);
         let unknown = bench
             .crew
-            .desk
+            .router
             .administer(AdminRequest::RemoveEngine("none".to_string()))
             .await;
         assert!(matches!(unknown, Err(AdminError::NotFound(_))));
