--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::{SETTINGS, Stage, folder};
 use sedgebeam::config::{self, Config, Environment};
-use sedgebeam::crew::Crew;
+use sedgebeam::worker_pool::WorkerPool;
 use sedgebeam_core::{AttemptNo, ClassId, Micros, RequestId, TableGroupId};
 use sedgebeam_operation::Metrics;
 use sedgebeam_port::clock::Clock;
@@ -213,8 +213,8 @@
 }
 
 struct Bench {
-    crew: Crew,
-    figures: Metrics,
+ crew: WorkerPool,
+figures: Metrics,
     world: Arc<World>,
     hears: mpsc::UnboundedReceiver<Sent>,
     /// How often each request was sent.
@@ -232,11 +232,11 @@
         let (world, hears) = World::new();
         let figures = Metrics::default();
         let (config, clock) = (config(), Clock::start());
-        let crew = Crew::start(&config, world.clone(), &figures, clock).await;
+        let crew = WorkerPool::start(&config, world.clone(), &figures, clock).await;
         let crew = crew.expect("starts");
         let list = vec![target("e-1")];
-        crew.desk
-            .update_engine_list(ListUpdate::Complete, list)
+ crew.router
+.update_engine_list(ListUpdate::Complete, list)
             .await
             .expect("is told");
         Bench {
@@ -269,7 +269,7 @@
             session: None,
             cancel_token: CancellationToken::new(),
         };
-        self.crew.desk.submit(request).await
+        self.crew.router.submit(request).await
     }
 
     /// The next that an engine is sent.
@@ -289,8 +289,8 @@
     async fn hears_of(&self, uid: &str) {
         let told = self
             .crew
-            .desk
-            .update_engine_list(ListUpdate::Changes, vec![target(uid)]);
+ .router
+.update_engine_list(ListUpdate::Changes, vec![target(uid)]);
         told.await.expect("is told");
     }
 
@@ -390,9 +390,9 @@
         let counts = bench.figures.request_counts();
         let loads = lost.iter().filter(|id| class(id.0) == LOAD).count() as u64;
         let others = lost.len() as u64 - loads;
-        assert_eq!(counts["lookup"].ended_by_disposition, [0, others, 0]);
-        assert_eq!(counts["journal-load"].ended_by_disposition, [0, 0, loads]);
-        bench.until(|bench| bench.crew.restarts() == 1).await;
+ assert_eq!(counts["lookup"].ended_by_disposition, [0, others, 0]);
+assert_eq!(counts["journal-load"].ended_by_disposition, [0, 0, loads]);
+bench.until(|bench| bench.crew.broker_restarts() == 1).await;
         // Its names are free again, and it serves again, with the list that the others have.
         let (pending, sent) = all_out(&mut bench, 101..125).await;
         assert!(sent.iter().any(|sent| sent.worker == VICTIM));
@@ -407,12 +407,12 @@
         let mut bench = Bench::new().await;
         let (before, sent_before) = all_out(&mut bench, 1..25).await;
         bench.hears_of("stall-2").await;
-        bench.until(|bench| !bench.crew.desk.is_alive(1)).await;
+        bench.until(|bench| !bench.crew.router.is_alive(1)).await;
         let (during, sent) = all_out(&mut bench, 101..125).await;
         assert!(sent.iter().all(|sent| sent.worker != VICTIM));
         served(&sent, during).await;
         assert!(
-            !bench.crew.desk.is_alive(1),
+            !bench.crew.router.is_alive(1),
             "it stands still all the while"
         );
         // A name that it has open is open for all.
@@ -434,13 +434,13 @@
     block_on(async {
         let mut bench = Bench::new().await;
         let drain = AdminRequest::Drain("e-1".to_string(), true);
-        bench.crew.desk.administer(drain).await.expect("is done");
+        bench.crew.router.administer(drain).await.expect("is done");
         bench.hears_of("boom-2").await;
-        bench.until(|bench| bench.crew.restarts() == 1).await;
+        bench.until(|bench| bench.crew.broker_restarts() == 1).await;
         let (_pending, sent) = all_out(&mut bench, 1..25).await;
         assert!(sent.iter().any(|sent| sent.worker == VICTIM));
         let Ok(AdminResponse::Engines(rows)) =
-            bench.crew.desk.administer(AdminRequest::Engines).await
+            bench.crew.router.administer(AdminRequest::Engines).await
         else {
             panic!("no engines are told");
         };
@@ -457,7 +457,7 @@
         assert_eq!(row("boom-2").attempts_in_flight, 24);
         let unknown = bench
             .crew
-            .desk
+            .router
             .administer(AdminRequest::RemoveEngine("none".to_string()))
             .await;
         assert!(matches!(unknown, Err(AdminError::NotFound(_))));
