--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -94,19 +94,19 @@
                     open_requests,
                 }));
             }
- AdminRequest::Counters => return Ok(self.counters_response()),
-AdminRequest::Engines => return Ok(self.engines_response()),
-// The router has already sent the new tenant with the settings.
-AdminRequest::Tenants | AdminRequest::SetTenant(..) => {
-return Ok(self.tenants_response());
-}
-AdminRequest::SetEngine(target) => {
-self.update_engine_list(ListUpdate::Changes, vec![target])
-}
+            AdminRequest::Counters => return Ok(self.counters_response()),
+            AdminRequest::Engines => return Ok(self.engines_response()),
+            // The router has already sent the new tenant with the settings.
+            AdminRequest::Tenants | AdminRequest::SetTenant(..) => {
+                return Ok(self.tenants_response());
+            }
+            AdminRequest::SetEngine(target) => {
+                self.update_engine_list(ListUpdate::Changes, vec![target])
+            }
             AdminRequest::RemoveEngine(uid) => {
                 let mut target = self.find_target(&uid)?;
                 target.state = "removed".to_string();
- self.update_engine_list(ListUpdate::Changes, vec![target]);
+                self.update_engine_list(ListUpdate::Changes, vec![target]);
             }
             AdminRequest::Drain(uid, drained) => {
                 let target = self.find_target(&uid)?;
@@ -115,7 +115,7 @@
                 } else {
                     self.drained.remove(&uid);
                 }
- self.update_engine_list(ListUpdate::Changes, vec![target]);
+                self.update_engine_list(ListUpdate::Changes, vec![target]);
             }
         }
         Ok(self.engines_response())
--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -57,17 +57,17 @@
         Some(actor.mailbox.clone())
     }
 
- /// Sets the listed start time. The clocks of two machines may differ or be stepped, so the time is limited: it is
-/// not in the future, and an engine in a change started at most [`MAX_CHANGE_DELAY`] ago. Engines in a full list
-/// may be of any age. A repeated report of the same start changes nothing.
-fn set_reported_start(&mut self, start_ms: Option<f64>, listing: ListUpdate, now: Micros) {
-if self.reported_start_ms == start_ms {
+    /// Sets the listed start time. The clocks of two machines may differ or be stepped, so the time is limited: it is
+    /// not in the future, and an engine in a change started at most [`MAX_CHANGE_DELAY`] ago. Engines in a full list
+    /// may be of any age. A repeated report of the same start changes nothing.
+    fn set_reported_start(&mut self, start_ms: Option<f64>, listing: ListUpdate, now: Micros) {
+        if self.reported_start_ms == start_ms {
             return;
         }
- let started_at = millis_to_micros(start_ms.unwrap_or_default());
+        let started_at = millis_to_micros(start_ms.unwrap_or_default());
         let earliest = match listing {
- ListUpdate::Changes => now - MAX_CHANGE_DELAY,
-ListUpdate::Saved | ListUpdate::Complete => Micros(0),
+            ListUpdate::Changes => now - MAX_CHANGE_DELAY,
+            ListUpdate::Saved | ListUpdate::Complete => Micros(0),
         };
         self.reported_start_ms = start_ms;
         self.started_at = if started_at == Micros(0) {
@@ -111,7 +111,7 @@
         }
     }
 
- pub(super) fn update_engine_list(&mut self, listing: ListUpdate, targets: Vec<Target>) {
+    pub(super) fn update_engine_list(&mut self, listing: ListUpdate, targets: Vec<Target>) {
         let mut engines = Vec::new();
         for target in &targets {
             let id = self.engine_id(&target.uid);
@@ -182,9 +182,15 @@
         EngineId(number)
     }
 
- fn update_engine(&mut self, id: EngineId, target: &Target, is_ready: bool, listing: ListUpdate) {
-let previous_state = self.engines.get(&id).map(|engine| &engine.target.state);
-if previous_state != Some(&target.state) {
+    fn update_engine(
+        &mut self,
+        id: EngineId,
+        target: &Target,
+        is_ready: bool,
+        listing: ListUpdate,
+    ) {
+        let previous_state = self.engines.get(&id).map(|engine| &engine.target.state);
+        if previous_state != Some(&target.state) {
             log::info!(
                 "engine {} at {}: {}",
                 target.uid,
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -75,10 +75,10 @@
     /// Uids of the engines drained by the administration, regardless of their listed state.
     drained: BTreeSet<String>,
     counters: Tally,
- metrics: Metrics,
-/// The engine metrics as last reported.
-reported_engines: metrics::ShardEngines,
-/// Events for the gateway's next batch.
+    metrics: Metrics,
+    /// The engine metrics as last reported.
+    reported_engines: metrics::ShardEngines,
+    /// Events for the gateway's next batch.
     events: Vec<Event>,
     /// Requests that are answered and have no attempt in flight, removed after the next batch.
     finished: Vec<RequestId>,
@@ -102,12 +102,12 @@
 
 /// Creates a broker, with the sender and the receiver of its mailbox.
 pub fn new(config: BrokerConfig) -> (Broker, BrokerSender, mpsc::Receiver<BrokerMessage>) {
-let (own_sender, incoming) = mpsc::channel(MAILBOX_CAPACITY);
-let RuntimeSettings {
+    let (own_sender, incoming) = mpsc::channel(MAILBOX_CAPACITY);
+    let RuntimeSettings {
         settings,
         names,
- max_open_requests: most_open,
-} = (*config.runtime_settings).clone();
+        max_open_requests: most_open,
+    } = (*config.runtime_settings).clone();
     let broker = Broker {
         gateway: Gateway::new(settings.clone(), config.seed),
         class_names: class_names(&settings),
@@ -124,8 +124,8 @@
         engine_ids: HashMap::new(),
         drained: BTreeSet::new(),
         counters: Tally::default(),
- metrics: config.metrics,
-reported_engines: metrics::ShardEngines::default(),
+        metrics: config.metrics,
+        reported_engines: metrics::ShardEngines::default(),
         events: Vec::new(),
         finished: Vec::new(),
         timers: BTreeMap::new(),
@@ -298,10 +298,10 @@
             discovered: self.engines.len(),
             ejected: avoided.map(|(id, until)| (id.0, until.0)).collect(),
         };
- if engines != self.reported_engines {
-let shard = self.shard.as_ref().map_or(0, Shard::index);
-self.metrics.set_engines(shard, engines.clone());
-self.reported_engines = engines;
+        if engines != self.reported_engines {
+            let shard = self.shard.as_ref().map_or(0, Shard::index);
+            self.metrics.set_engines(shard, engines.clone());
+            self.reported_engines = engines;
         }
     }
 
@@ -427,22 +427,22 @@
         }
     }
 
- /// Applies new settings. Earlier events refer to the old settings, so the gateway processes them first.
-fn reconfigure(&mut self, runtime_settings: &RuntimeSettings) {
+    /// Applies new settings. Earlier events refer to the old settings, so the gateway processes them first.
+    fn reconfigure(&mut self, runtime_settings: &RuntimeSettings) {
         if !self.events.is_empty() {
             self.process_batch(Instant::now());
         }
- self.settings = runtime_settings.settings.clone();
-self.names = runtime_settings.names.clone();
-self.max_open_requests = runtime_settings.max_open_requests;
+        self.settings = runtime_settings.settings.clone();
+        self.names = runtime_settings.names.clone();
+        self.max_open_requests = runtime_settings.max_open_requests;
         self.class_names = class_names(&self.settings);
         if let Some(shard) = &self.shard {
             shard.reconfigure(&self.settings, self.max_open_requests);
         }
- self.gateway.reconfigure(runtime_settings.settings.clone());
-// Kinds and zones may be numbered differently now.
-let targets = self.engines.values().map(|engine| engine.target.clone());
-self.update_engine_list(ListUpdate::Complete, targets.collect());
+        self.gateway.reconfigure(runtime_settings.settings.clone());
+        // Kinds and zones may be numbered differently now.
+        let targets = self.engines.values().map(|engine| engine.target.clone());
+        self.update_engine_list(ListUpdate::Complete, targets.collect());
     }
 
     /// Sets the usage by other processes of this dispatcher. With several shards every shard passes it to the lease
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -35,9 +35,9 @@
     let facts = r#"{"balancers": 1, "tick": 5, "domain": DOMAIN, "kinds": ["std"], "tenants": [{"name": "acme"}],
         "limits": {"cancel": true, "max_attempts": 3}, "services": [{"name": "load", "on_time": 9000, "give_up": 9000}]}"#;
     let facts = &facts.replace("DOMAIN", domain);
- let facts: sedgebeam_settings::GatewaySettings =
-miniserde::json::from_str(facts).expect("settings");
-let runtime_settings = RuntimeSettings {
+    let facts: sedgebeam_settings::GatewaySettings =
+        miniserde::json::from_str(facts).expect("settings");
+    let runtime_settings = RuntimeSettings {
         settings: facts.settings(),
         names: facts.names(),
         max_open_requests: 100,
@@ -46,8 +46,8 @@
         runtime_settings: Arc::new(runtime_settings),
         seed: 1,
         clock: Clock::start(),
- metrics: Metrics::default(),
-engine_transport: Arc::new(UnusedTransport),
+        metrics: Metrics::default(),
+        engine_transport: Arc::new(UnusedTransport),
         shard: None,
     }
 }
@@ -481,7 +481,10 @@
             state: "up".to_string(),
             ..Target::default()
         };
- broker.handle_message(BrokerMessage::EngineList(ListUpdate::Complete, vec![target]));
+        broker.handle_message(BrokerMessage::EngineList(
+            ListUpdate::Complete,
+            vec![target],
+        ));
         let (reply, _gone) = oneshot::channel();
         broker.submit(request(), reply);
         broker.client_left(ID, Failure::Cancelled);
@@ -523,7 +526,10 @@
         model: Some("std".to_string()),
         ..Target::default()
     };
- broker.handle_message(BrokerMessage::EngineList(ListUpdate::Complete, vec![target]));
+    broker.handle_message(BrokerMessage::EngineList(
+        ListUpdate::Complete,
+        vec![target],
+    ));
     let (reply, _answer) = oneshot::channel();
     let new_request = NewRequest {
         memory_mb,
@@ -750,9 +756,9 @@
 
 /// The age of an engine as the gateway gets it, for an engine whose clock gives a start `from_now_ms` from now.
 fn listed_age(listing: ListUpdate, from_now_ms: f64) -> Micros {
-let config = config();
-let clock = config.clock;
-let (mut broker, _, _) = new(config);
+    let config = config();
+    let clock = config.clock;
+    let (mut broker, _, _) = new(config);
     let now = clock.micros(Instant::now()).0 as f64 / 1000.0;
     let target = Target {
         uid: "s-00000001".to_string(),
@@ -780,9 +786,9 @@
 /// Clocks of machines differ and are stepped, so the age of an engine is limited by this process's clock.
 #[test]
 fn an_engine_whose_clock_is_ahead_counts_as_started_when_listed() {
-run_in_runtime(|| {
-for listing in [ListUpdate::Saved, ListUpdate::Complete, ListUpdate::Changes] {
-let age = listed_age(listing, HOUR_MS);
+    run_in_runtime(|| {
+        for listing in [ListUpdate::Saved, ListUpdate::Complete, ListUpdate::Changes] {
+            let age = listed_age(listing, HOUR_MS);
             assert!(age < Micros::from_millis(1_000), "{listing:?}: {age:?}");
         }
     });
@@ -790,13 +796,13 @@
 
 #[test]
 fn an_engine_in_a_change_is_no_older_than_the_maximum_change_delay() {
-run_in_runtime(|| {
-let age = listed_age(ListUpdate::Changes, -HOUR_MS);
+    run_in_runtime(|| {
+        let age = listed_age(ListUpdate::Changes, -HOUR_MS);
         assert!(age <= Micros::from_millis(8_000), "{age:?}");
- let age = listed_age(ListUpdate::Changes, -3_000.0);
+        let age = listed_age(ListUpdate::Changes, -3_000.0);
         assert!(age >= Micros::from_millis(3_000), "{age:?}");
- // The first list may contain engines that started long ago.
-let age = listed_age(ListUpdate::Saved, -HOUR_MS);
+        // The first list may contain engines that started long ago.
+        let age = listed_age(ListUpdate::Saved, -HOUR_MS);
         assert!(age >= Micros::from_millis(3_600_000), "{age:?}");
     });
 }
--- a/dispatcher/src/change_log.rs
+++ b/dispatcher/src/change_log.rs
@@ -31,10 +31,10 @@
         Change { seq: 0, fleet }
     }
 
- fn listing(&self) -> ListUpdate {
-match self.fleet.is_complete {
-Some(true) => ListUpdate::Complete,
-_ => ListUpdate::Changes,
+    fn listing(&self) -> ListUpdate {
+        match self.fleet.is_complete {
+            Some(true) => ListUpdate::Complete,
+            _ => ListUpdate::Changes,
         }
     }
 }
@@ -78,9 +78,9 @@
 /// Follows the change log for ever, wherever it is; where it is nowhere, that it is somewhere is waited for.
 pub async fn follow(
     mut address: watch::Receiver<Option<SocketAddr>>,
- position: watch::Sender<ChangeLogPosition>,
-router: RequestRouter,
-mut pauses: RetryBackoff,
+    position: watch::Sender<ChangeLogPosition>,
+    router: RequestRouter,
+    mut pauses: RetryBackoff,
 ) {
     let mut follower = Follower::new(position.borrow().seq);
     loop {
@@ -90,16 +90,16 @@
             continue;
         };
         tokio::select! {
-            biased;
-            // The old log tells nothing more: the new one is asked, with the number reached.
- () = moved(&mut address) => pauses.reset(),
-ended = listen(current, &position, &router, &mut follower) => match ended {
-Ok(()) => log::info!("the change log ended the connection after {}", position.borrow().seq),
-Err(error) => log::warn!("the change log after {}: {error}", position.borrow().seq),
-            },
-        }
- if position.borrow().seq > before {
-pauses.reset();
+                    biased;
+                    // The old log tells nothing more: the new one is asked, with the number reached.
+         () = moved(&mut address) => pauses.reset(),
+        ended = listen(current, &position, &router, &mut follower) => match ended {
+        Ok(()) => log::info!("the change log ended the connection after {}", position.borrow().seq),
+        Err(error) => log::warn!("the change log after {}: {error}", position.borrow().seq),
+                    },
+                }
+        if position.borrow().seq > before {
+            pauses.reset();
         }
         tokio::select! {
             () = moved(&mut address) => {
@@ -141,7 +141,7 @@
             Ok(event) => event,
             Err(_) => {
                 if lines.decoder().begun {
- if !tell(follower.handle_silence(), position, router, follower).await {
+                    if !tell(follower.handle_silence(), position, router, follower).await {
                         return Ok(());
                     }
                     position.send_modify(|position| position.caught_up = true);
@@ -171,9 +171,9 @@
 
 /// Tells the brokers what follows from what the change log said; false where nobody takes it any more.
 async fn tell(
- next: FollowerAction,
-position: &watch::Sender<ChangeLogPosition>,
-router: &RequestRouter,
+    next: FollowerAction,
+    position: &watch::Sender<ChangeLogPosition>,
+    router: &RequestRouter,
     follower: &mut Follower,
 ) -> bool {
     let FollowerAction::Publish(seq, listing, targets) = next else {
@@ -183,8 +183,8 @@
         return false;
     }
     // Only now: what is dropped while it waits for the broker has not been told.
- follower.mark_published(seq);
-position.send_modify(|position| position.seq = seq);
+    follower.mark_published(seq);
+    position.send_modify(|position| position.seq = seq);
     true
 }
 
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -53,7 +53,7 @@
     pub max_message_bytes: usize,
     pub settings: Settings,
     pub names: Names,
- pub connection_limits: ConnectionSettings,
+    pub connection_limits: ConnectionSettings,
     /// Threads that serve, each with a shard of the decision module where there are several.
     pub workers: usize,
     pub pin_workers: bool,
@@ -68,11 +68,11 @@
 
 impl Config {
     /// What can change while the program runs.
- pub fn runtime_settings(&self) -> RuntimeSettings {
-RuntimeSettings {
+    pub fn runtime_settings(&self) -> RuntimeSettings {
+        RuntimeSettings {
             settings: self.settings.clone(),
             names: self.names.clone(),
- max_open_requests: self.connection_limits.max_open_requests,
+            max_open_requests: self.connection_limits.max_open_requests,
         }
     }
 }
--- a/dispatcher/src/config/checks.rs
+++ b/dispatcher/src/config/checks.rs
@@ -92,7 +92,7 @@
 }
 
 fn check_fleet(facts: &GatewaySettings) -> Result<(), ConfigError> {
-let (gateways, me) = facts.gateway_count_and_index();
+    let (gateways, me) = facts.gateway_count_and_index();
     if gateways.is_some_and(|count| !(1..=MAX_GATEWAYS).contains(&count)) {
         let why = format!("it is from 1 to {MAX_GATEWAYS}");
         return Err(config_error("settings.balancers", why));
--- a/dispatcher/src/control_socket.rs
+++ b/dispatcher/src/control_socket.rs
@@ -33,8 +33,8 @@
 /// What the door answers from.
 #[derive(Clone)]
 pub struct ControlContext {
-pub drain_manager: DrainManager,
-pub metrics: Metrics,
+    pub drain_manager: DrainManager,
+    pub metrics: Metrics,
     pub clock: Clock,
     /// Callers at once; beyond it whoever has been here for longest without a whole line gives way.
     pub max_callers: usize,
@@ -160,21 +160,26 @@
 }
 
 fn told(context: &ControlContext, line: &[u8]) -> String {
-match ControlCommand::parse(line) {
-Some(ControlCommand::Ping) if context.drain_manager.state().is_ready => "200 ready\n".to_string(),
-Some(ControlCommand::Ping) => "400 not ready\n".to_string(),
-Some(ControlCommand::Info) => {
-match context.metrics.encode(context.clock.micros(Instant::now()).0) {
-Ok(text) => format!("200 figures\n{text}"),
-Err(error) => format!("400 {error}\n"),
-}
-}
-Some(ControlCommand::LameDuck) => {
+    match ControlCommand::parse(line) {
+        Some(ControlCommand::Ping) if context.drain_manager.state().is_ready => {
+            "200 ready\n".to_string()
+        }
+        Some(ControlCommand::Ping) => "400 not ready\n".to_string(),
+        Some(ControlCommand::Info) => {
+            match context
+                .metrics
+                .encode(context.clock.micros(Instant::now()).0)
+            {
+                Ok(text) => format!("200 figures\n{text}"),
+                Err(error) => format!("400 {error}\n"),
+            }
+        }
+        Some(ControlCommand::LameDuck) => {
             log::info!("lame duck: clients are sent away");
- context.drain_manager.update(Drain::start_lame_duck);
+            context.drain_manager.update(Drain::start_lame_duck);
             "200 draining\n".to_string()
         }
- Some(ControlCommand::Rejoin) if context.drain_manager.update(|drain, _| drain.rejoin()) => {
+        Some(ControlCommand::Rejoin) if context.drain_manager.update(|drain, _| drain.rejoin()) => {
             log::info!("rejoined: clients are taken");
             "200 serving\n".to_string()
         }
--- a/dispatcher/src/drain_manager.rs
+++ b/dispatcher/src/drain_manager.rs
@@ -20,10 +20,10 @@
 }
 
 impl DrainManager {
-/// `is_socket_inherited` where the platform holds the clients' socket.
-pub fn new(is_socket_inherited: bool) -> DrainManager {
-let drain = Drain::new(is_socket_inherited);
-let (orders, _) = watch::channel(drain.state(Duration::ZERO));
+    /// `is_socket_inherited` where the platform holds the clients' socket.
+    pub fn new(is_socket_inherited: bool) -> DrainManager {
+        let drain = Drain::new(is_socket_inherited);
+        let (orders, _) = watch::channel(drain.state(Duration::ZERO));
         let shared = Shared {
             drain: Mutex::new(drain),
             orders,
@@ -53,8 +53,8 @@
     }
 
     /// What holds now, whether or not the time for it has been told yet.
- pub fn state(&self) -> DrainState {
-self.update(|drain, now| drain.state(now))
+    pub fn state(&self) -> DrainState {
+        self.update(|drain, now| drain.state(now))
     }
 
     pub fn subscribe(&self) -> watch::Receiver<DrainState> {
--- a/dispatcher/src/peer_process.rs
+++ b/dispatcher/src/peer_process.rs
@@ -110,9 +110,9 @@
 /// What this process tells of itself.
 pub struct ProcessContext {
     pub clock: Clock,
- pub router: RequestRouter,
-pub session_slots: SessionSlots,
-pub drain_state: watch::Receiver<DrainState>,
+    pub router: RequestRouter,
+    pub session_slots: SessionSlots,
+    pub drain_state: watch::Receiver<DrainState>,
     /// The change log's number.
     pub change_log_position: watch::Receiver<crate::change_log::ChangeLogPosition>,
     /// The platform's file that is in use.
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -40,9 +40,9 @@
         let running: Option<Value> = json::from_str(in_use).ok();
         let lacks = |config: &Config| {
             let running = running.as_ref();
- running.and_then(|running| {
-completeness::first_missing_key(running, &config.platform_config, &SKIPPED)
-})
+            running.and_then(|running| {
+                completeness::first_missing_key(running, &config.platform_config, &SKIPPED)
+            })
         };
         let why = match self.load() {
             Ok(config) => match lacks(&config) {
@@ -64,15 +64,15 @@
 pub struct ConfigReloader {
     pub source: ConfigSource,
     /// The platform's file that was last taken.
- pub applied_config: Value,
-pub router: RequestRouter,
-pub change_log_address: watch::Sender<Option<SocketAddr>>,
-pub connection_limits: watch::Sender<ConnectionSettings>,
+    pub applied_config: Value,
+    pub router: RequestRouter,
+    pub change_log_address: watch::Sender<Option<SocketAddr>>,
+    pub connection_limits: watch::Sender<ConnectionSettings>,
     /// The text of the file that is in use.
     pub applied_config_text: watch::Sender<Arc<str>>,
     /// Classes may have been retired.
- pub names_retired: watch::Sender<()>,
-pub metrics: Metrics,
+    pub names_retired: watch::Sender<()>,
+    pub metrics: Metrics,
 }
 
 impl ConfigReloader {
@@ -83,21 +83,21 @@
             while let Err(wrong) = self.read().await {
                 log::warn!("the running configuration is kept ({attempt} of {TRIES}): {wrong}");
                 if attempt == TRIES {
- self.metrics.count_reload(false);
+                    self.metrics.count_reload(false);
                     break;
                 }
                 attempt += 1;
                 tokio::select! {
-                    // This hangup reads a newer file; the one before is not waited for any longer.
-                    again = hangup.recv() => {
-                        if again.is_none() {
-                            return;
-                        }
- self.metrics.count_reload(false);
-                        attempt = 1;
-                    }
-                    () = sleep(BETWEEN) => {}
-                }
+                                   // This hangup reads a newer file; the one before is not waited for any longer.
+                                   again = hangup.recv() => {
+                                       if again.is_none() {
+                                           return;
+                                       }
+                self.metrics.count_reload(false);
+                                       attempt = 1;
+                                   }
+                                   () = sleep(BETWEEN) => {}
+                               }
             }
         }
     }
@@ -105,22 +105,24 @@
     /// Reads the files, and takes them where nothing is wrong with them.
     async fn read(&mut self) -> Result<(), ConfigError> {
         let config = self.source.load()?;
- if let Some(key) = completeness::first_missing_key(&self.applied_config, &config.platform_config, &SKIPPED) {
-return Err(config_error(
+        if let Some(key) =
+            completeness::first_missing_key(&self.applied_config, &config.platform_config, &SKIPPED)
+        {
+            return Err(config_error(
                 &key,
                 "it is there in the running configuration, and missing now",
             ));
         }
- if !self.router.reconfigure(&config.runtime_settings()).await {
-let why = format!("there are more than {MAX_TABLE_ENTRIES}, with those that end");
-return Err(config_error("settings.services or settings.tenants", why));
+        if !self.router.reconfigure(&config.runtime_settings()).await {
+            let why = format!("there are more than {MAX_TABLE_ENTRIES}, with those that end");
+            return Err(config_error("settings.services or settings.tenants", why));
         }
- self.metrics.count_reload(true);
-self.names_retired.send_replace(());
-self.connection_limits
-.send_replace(config.connection_limits);
-let moved = self.change_log_address.send_if_modified(|address| {
-std::mem::replace(address, config.change_log_address) != config.change_log_address
+        self.metrics.count_reload(true);
+        self.names_retired.send_replace(());
+        self.connection_limits
+            .send_replace(config.connection_limits);
+        let moved = self.change_log_address.send_if_modified(|address| {
+            std::mem::replace(address, config.change_log_address) != config.change_log_address
         });
         match (moved, config.change_log_address) {
             (false, _) => log::info!("the configuration was read again and taken"),
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -39,8 +39,8 @@
 /// What the parts of a running program have in common.
 struct Program {
     config: Config,
- drain_manager: DrainManager,
-metrics: Metrics,
+    drain_manager: DrainManager,
+    metrics: Metrics,
     clock: Clock,
     worker_pool: Arc<WorkerPool>,
     /// For connections that are closed without a place.
--- a/dispatcher/src/serve/limits.rs
+++ b/dispatcher/src/serve/limits.rs
@@ -11,9 +11,9 @@
 /// The limits of one dispatcher, and where this process's share of them is told.
 pub(super) struct SharedLimits {
     pub sessions: usize,
- pub session_slots: SessionSlots,
-pub whole: watch::Receiver<ConnectionSettings>,
-pub divided: watch::Sender<ConnectionSettings>,
+    pub session_slots: SessionSlots,
+    pub whole: watch::Receiver<ConnectionSettings>,
+    pub divided: watch::Sender<ConnectionSettings>,
 }
 
 impl SharedLimits {
@@ -24,9 +24,9 @@
         loop {
             let whole = *self.whole.borrow_and_update();
             let beside = *others.borrow_and_update();
- self.divided.send_replace(ConnectionSettings {
-max_per_engine: (whole.max_per_engine / beside.process_count).max(1),
-max_total: (whole.max_total / beside.process_count).max(1),
+            self.divided.send_replace(ConnectionSettings {
+                max_per_engine: (whole.max_per_engine / beside.process_count).max(1),
+                max_total: (whole.max_total / beside.process_count).max(1),
                 ..whole
             });
             let left = self.sessions.saturating_sub(beside.session_count);
--- a/dispatcher/src/serve/shutdown.rs
+++ b/dispatcher/src/serve/shutdown.rs
@@ -31,16 +31,16 @@
     /// Ends: takes nothing new after the last call, and waits until all that was taken is answered.
     pub async fn run(mut self) {
         // Said once it holds: whoever reads it may ask at the door at once.
- self.drain_manager.update(Drain::start_shutdown);
+        self.drain_manager.update(Drain::start_shutdown);
         log::info!("ending: last call");
         let patience = self.longest_deadline.min(MAX_DEADLINE) + LAST_ANSWERS_AFTER;
         let last_answers = Instant::now() + patience;
         // Accepting ends by itself then; sessions end when they are idle. The sender is held by the drain's state.
- let _ = self
-.drain_manager
-.subscribe()
-.wait_for(|orders| orders.is_shutdown_grace_over)
-.await;
+        let _ = self
+            .drain_manager
+            .subscribe()
+            .wait_for(|orders| orders.is_shutdown_grace_over)
+            .await;
         let _ = self.end.send(true);
         let _ = self.accepting.await;
         let ended = async { while self.all_ended.recv().await.is_some() {} };
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -33,11 +33,11 @@
         connections: watch::Receiver<ConnectionSettings>,
         alive: mpsc::Sender<()>,
     ) -> io::Result<Program> {
- let drain_manager = DrainManager::new(config.inherited_socket.is_some());
-let metrics = Metrics::default();
+        let drain_manager = DrainManager::new(config.inherited_socket.is_some());
+        let metrics = Metrics::default();
         let clock = Clock::start();
         for class in &config.names.classes {
- metrics.register_class(class);
+            metrics.register_class(class);
         }
         let farewells = Arc::new(Semaphore::new(config.descriptor_budget.lingering_closes));
         open_control_socket(&config, &drain_manager, &metrics, clock, &farewells).await?;
@@ -65,9 +65,9 @@
     pub(super) async fn restore_list(&self, handed: Option<HandoverMessage>) -> io::Result<u64> {
         let (known, router) = (&self.config.known_changes, &self.worker_pool.router);
         let ended = |_| io::Error::other("the broker ended at once");
- let saved = change_log::fold_changes(known.changes.clone());
-router
-.update_engine_list(ListUpdate::Saved, saved)
+        let saved = change_log::fold_changes(known.changes.clone());
+        router
+            .update_engine_list(ListUpdate::Saved, saved)
             .await
             .map_err(ended)?;
         let Some(share) = handed else {
@@ -77,8 +77,8 @@
         let stated = share.status;
         let seq = stated.change_log_seq.max(known.seq);
         if stated.change_log_seq > known.seq {
- let told = router
-.update_engine_list(ListUpdate::Complete, stated.targets)
+            let told = router
+                .update_engine_list(ListUpdate::Complete, stated.targets)
                 .await;
             told.map_err(ended)?;
         }
@@ -102,9 +102,9 @@
             seq,
             caught_up: false,
         });
- let pauses = RetryBackoff::new(config.settings.gateways, config.seed);
-let following =
-change_log::follow(address, reached, self.worker_pool.router.clone(), pauses);
+        let pauses = RetryBackoff::new(config.settings.gateways, config.seed);
+        let following =
+            change_log::follow(address, reached, self.worker_pool.router.clone(), pauses);
         supervise::spawn_critical("the change log", following);
         (changelog, heard)
     }
@@ -157,7 +157,7 @@
             .administer(AdminRequest::Health)
             .await;
         health.map_err(|_| io::Error::other("the brokers ended at once"))?;
- self.drain_manager.update(|drain, _| drain.set_prepared());
+        self.drain_manager.update(|drain, _| drain.set_prepared());
         Ok(())
     }
 
@@ -171,8 +171,8 @@
 
 async fn open_control_socket(
     config: &Config,
- drain_manager: &DrainManager,
-metrics: &Metrics,
+    drain_manager: &DrainManager,
+    metrics: &Metrics,
     clock: Clock,
     farewells: &Arc<Semaphore>,
 ) -> io::Result<()> {
--- a/dispatcher/src/worker_pool.rs
+++ b/dispatcher/src/worker_pool.rs
@@ -75,8 +75,8 @@
     /// Starts the brokers, on threads of their own where there are several workers.
     pub async fn start(
         config: &Config,
- engine_transport: Arc<dyn EngineTransport>,
-metrics: &Metrics,
+        engine_transport: Arc<dyn EngineTransport>,
+        metrics: &Metrics,
         clock: Clock,
     ) -> io::Result<WorkerPool> {
         let tuning = config.runtime_settings();
@@ -117,9 +117,9 @@
         setup: BrokerConfig,
     ) -> io::Result<WorkerPool> {
         let tuning = &setup.runtime_settings;
- let (open, settings) = (tuning.max_open_requests, &tuning.settings);
-let shared = ShardLeases::new(config.shards, open, settings, router.clone());
-widen_descriptors(config.max_descriptors);
+        let (open, settings) = (tuning.max_open_requests, &tuning.settings);
+        let shared = ShardLeases::new(config.shards, open, settings, router.clone());
+        widen_descriptors(config.max_descriptors);
         let cores = if config.pin_workers {
             core_affinity::get_core_ids().unwrap_or_default()
         } else {
--- a/dispatcher/tests/beside.rs
+++ b/dispatcher/tests/beside.rs
@@ -54,20 +54,20 @@
     told: mpsc::Receiver<BrokerMessage>,
     others: watch::Receiver<PeerUsage>,
     // They end with it.
- _orders: watch::Sender<DrainState>,
-_reached: watch::Sender<ChangeLogPosition>,
+    _orders: watch::Sender<DrainState>,
+    _reached: watch::Sender<ChangeLogPosition>,
     _file: watch::Sender<Arc<str>>,
 }
 
 impl Process {
- async fn start(member: GroupMember) -> Process {
-let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
+    async fn start(member: GroupMember) -> Process {
+        let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
         let (mailbox, told) = mpsc::channel(16);
         desk.open_shard(0, mailbox).await.expect("a broker");
         let mut drain = Drain::new(true);
- drain.set_prepared();
-let (_orders, orders) = watch::channel(drain.state(Duration::ZERO));
-let (_reached, reached) = watch::channel(ChangeLogPosition::default());
+        drain.set_prepared();
+        let (_orders, orders) = watch::channel(drain.state(Duration::ZERO));
+        let (_reached, reached) = watch::channel(ChangeLogPosition::default());
         let (_file, file) = watch::channel("{}".into());
         let own = ProcessContext {
             clock: Clock::start(),
--- a/dispatcher/tests/followers.rs
+++ b/dispatcher/tests/followers.rs
@@ -155,8 +155,8 @@
         }
     });
     desk.open_shard(0, mailbox).await.expect("a broker");
- let first = change_log::fold_changes(vec![read(1)]);
-desk.update_engine_list(ListUpdate::Complete, first)
+    let first = change_log::fold_changes(vec![read(1)]);
+    desk.update_engine_list(ListUpdate::Complete, first)
         .await
         .expect("a broker");
     let (address, changes) = watch::channel(Some(log.address));
@@ -164,8 +164,8 @@
         seq: 1,
         caught_up: false,
     });
- let pauses = RetryBackoff::new(FOLLOWERS, u64::from(number));
-tokio::spawn(change_log::follow(changes, reached, desk, pauses));
+    let pauses = RetryBackoff::new(FOLLOWERS, u64::from(number));
+    tokio::spawn(change_log::follow(changes, reached, desk, pauses));
     Follower {
         address,
         reached: heard,
@@ -284,13 +284,13 @@
         let _fills_the_queue = TcpStream::connect(address).await.expect("connects");
         let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
         let (_address, changes) = watch::channel(Some(address));
- let (reached, _heard) = watch::channel(ChangeLogPosition::default());
-tokio::spawn(change_log::follow(
-changes,
-reached,
-desk,
-RetryBackoff::new(1, 1),
-));
+        let (reached, _heard) = watch::channel(ChangeLogPosition::default());
+        tokio::spawn(change_log::follow(
+            changes,
+            reached,
+            desk,
+            RetryBackoff::new(1, 1),
+        ));
         let port = loop {
             if let [port] = connecting_to(address.port())[..] {
                 break port;
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -213,8 +213,8 @@
 }
 
 struct Bench {
- crew: WorkerPool,
-figures: Metrics,
+    crew: WorkerPool,
+    figures: Metrics,
     world: Arc<World>,
     hears: mpsc::UnboundedReceiver<Sent>,
     /// How often each request was sent.
@@ -235,8 +235,8 @@
         let crew = WorkerPool::start(&config, world.clone(), &figures, clock).await;
         let crew = crew.expect("starts");
         let list = vec![target("e-1")];
- crew.router
-.update_engine_list(ListUpdate::Complete, list)
+        crew.router
+            .update_engine_list(ListUpdate::Complete, list)
             .await
             .expect("is told");
         Bench {
@@ -289,8 +289,8 @@
     async fn hears_of(&self, uid: &str) {
         let told = self
             .crew
- .router
-.update_engine_list(ListUpdate::Changes, vec![target(uid)]);
+            .router
+            .update_engine_list(ListUpdate::Changes, vec![target(uid)]);
         told.await.expect("is told");
     }
 
@@ -390,9 +390,9 @@
         let counts = bench.figures.request_counts();
         let loads = lost.iter().filter(|id| class(id.0) == LOAD).count() as u64;
         let others = lost.len() as u64 - loads;
- assert_eq!(counts["lookup"].ended_by_disposition, [0, others, 0]);
-assert_eq!(counts["journal-load"].ended_by_disposition, [0, 0, loads]);
-bench.until(|bench| bench.crew.broker_restarts() == 1).await;
+        assert_eq!(counts["lookup"].ended_by_disposition, [0, others, 0]);
+        assert_eq!(counts["journal-load"].ended_by_disposition, [0, 0, loads]);
+        bench.until(|bench| bench.crew.broker_restarts() == 1).await;
         // Its names are free again, and it serves again, with the list that the others have.
         let (pending, sent) = all_out(&mut bench, 101..125).await;
         assert!(sent.iter().any(|sent| sent.worker == VICTIM));
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -197,7 +197,7 @@
     }
 
     fn close_idle(&mut self) {
- let idle_timeout = to_duration(self.settings().idle_timeout);
+        let idle_timeout = to_duration(self.settings().idle_timeout);
         let now = Instant::now();
         self.connections.retain(|_, connection| {
             connection.attempts_in_flight > 0 || now < connection.last_used_at + idle_timeout
@@ -219,7 +219,7 @@
             connection.attempts_in_flight += 1;
             return Some((*connection_id, connection.channel.clone()));
         }
- if self.connections.len() >= self.settings().max_per_engine {
+        if self.connections.len() >= self.settings().max_per_engine {
             return None;
         }
         let Some(slot) = self.transport.slots.try_acquire(self.settings().max_total) else {
@@ -337,12 +337,12 @@
         let mut open_channels = self
             .connections
             .values()
- .filter_map(|connection| connection.channel.peek().cloned().flatten());
-let channel = open_channels.next();
-drop(open_channels);
-let (endpoint, reporter) = (self.endpoint.clone(), self.reporter.clone());
-let connect_timeout = to_duration(self.settings().connect_timeout);
-let (slots, max_connections) = (self.transport.slots.clone(), self.settings().max_total);
+            .filter_map(|connection| connection.channel.peek().cloned().flatten());
+        let channel = open_channels.next();
+        drop(open_channels);
+        let (endpoint, reporter) = (self.endpoint.clone(), self.reporter.clone());
+        let connect_timeout = to_duration(self.settings().connect_timeout);
+        let (slots, max_connections) = (self.transport.slots.clone(), self.settings().max_total);
         tokio::spawn(async move {
             // Without an open connection the probe opens one, which holds a slot until the probe ends.
             let slot = channel
@@ -436,8 +436,8 @@
 struct AttemptTask {
     attempt: Attempt,
     endpoint: String,
- reporter: EngineReporter,
-metrics: Metrics,
+    reporter: EngineReporter,
+    metrics: Metrics,
 }
 
 impl AttemptTask {
@@ -463,8 +463,8 @@
         }
         match self.execute(client(channel)).await {
             Ok((stream, work)) => {
- self.metrics.count_forwards(1);
-self.serve_pages(stream, work, page_requests).await;
+                self.metrics.count_forwards(1);
+                self.serve_pages(stream, work, page_requests).await;
                 false
             }
             Err(status) => {
--- a/engines/src/flight/tests.rs
+++ b/engines/src/flight/tests.rs
@@ -23,8 +23,8 @@
     let task = AttemptTask {
         attempt,
         endpoint: String::new(),
- reporter: EngineReporter::new(EngineId(1), broker),
-metrics: Metrics::default(),
+        reporter: EngineReporter::new(EngineId(1), broker),
+        metrics: Metrics::default(),
     };
     task.with_metadata(()).metadata().clone()
 }
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -20,11 +20,11 @@
 /// Starts the actors that talk to engines over the network.
 #[derive(Clone)]
 pub struct NetworkTransport {
- /// Connection settings, which may change at runtime.
-pub connections: watch::Receiver<ConnectionSettings>,
-/// Counts the attempts that were written to an engine.
-pub metrics: Metrics,
-/// Shared by all engines; each connection holds one slot.
+    /// Connection settings, which may change at runtime.
+    pub connections: watch::Receiver<ConnectionSettings>,
+    /// Counts the attempts that were written to an engine.
+    pub metrics: Metrics,
+    /// Shared by all engines; each connection holds one slot.
     pub slots: ConnectionSlots,
 }
 
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -134,9 +134,9 @@
 pub struct ConnectionTask {
     pub id: ConnectionId,
     pub endpoint: String,
- pub connect_timeout: Duration,
-pub events: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
-pub metrics: Metrics,
+    pub connect_timeout: Duration,
+    pub events: mpsc::Sender<(ConnectionId, ConnectionEvent)>,
+    pub metrics: Metrics,
 }
 
 fn fetched_request(command: &Command) -> Option<RequestId> {
@@ -246,9 +246,9 @@
             for attempt_key in withdrawn {
                 self.report(ConnectionEvent::Withdrawn(attempt_key)).await;
             }
- self.metrics.count_forwards(written.started_attempts);
-for request_id in written.aborted_requests {
-self.report(ConnectionEvent::AbortWritten(request_id)).await;
+            self.metrics.count_forwards(written.started_attempts);
+            for request_id in written.aborted_requests {
+                self.report(ConnectionEvent::AbortWritten(request_id)).await;
             }
         }
     }
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -212,20 +212,20 @@
     /// dispatcher has hundreds of engines, most of them idle.
     fn next_check_at(&self) -> Option<Instant> {
         let settings = self.settings();
- let pages = self.page_deadlines().map(|(_, due)| due);
-let aborts = self.abort_deadlines().map(|(_, due)| due);
-let probe_timeout = to_duration(settings.connect_timeout);
-let probes = self
-.unanswered_probes
-.values()
-.map(|sent_at| *sent_at + probe_timeout);
-let idle_timeout = to_duration(settings.idle_timeout).mul_f64(IDLE_FRACTION);
-let idle_connections = self
-.connections
-.values()
-.filter(|connection| !connection.is_busy());
-let closes = idle_connections.map(|connection| {
-if connection.is_retiring {
+        let pages = self.page_deadlines().map(|(_, due)| due);
+        let aborts = self.abort_deadlines().map(|(_, due)| due);
+        let probe_timeout = to_duration(settings.connect_timeout);
+        let probes = self
+            .unanswered_probes
+            .values()
+            .map(|sent_at| *sent_at + probe_timeout);
+        let idle_timeout = to_duration(settings.idle_timeout).mul_f64(IDLE_FRACTION);
+        let idle_connections = self
+            .connections
+            .values()
+            .filter(|connection| !connection.is_busy());
+        let closes = idle_connections.map(|connection| {
+            if connection.is_retiring {
                 Instant::now()
             } else {
                 connection.last_used_at + idle_timeout
@@ -469,8 +469,8 @@
         if self.connections.len() >= settings.max_per_engine {
             return None;
         }
- let Some(slot) = self.transport.slots.try_acquire(settings.max_total) else {
-if is_required {
+        let Some(slot) = self.transport.slots.try_acquire(settings.max_total) else {
+            if is_required {
                 self.transport.slots.signal_shortage();
             }
             return None;
@@ -880,8 +880,9 @@
 
     async fn check_deadlines(&mut self) {
         let now = Instant::now();
- let idle_timeout = to_duration(self.settings().idle_timeout).mul_f64(IDLE_FRACTION);
-let (mut open_count, max_connections) = (self.connections.len(), self.settings().max_per_engine);
+        let idle_timeout = to_duration(self.settings().idle_timeout).mul_f64(IDLE_FRACTION);
+        let (mut open_count, max_connections) =
+            (self.connections.len(), self.settings().max_per_engine);
         self.close_idle(|connection| {
             // After the limit was lowered, idle connections beyond it are closed at once.
             let should_close = connection.is_retiring
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -173,9 +173,9 @@
 // ---- A dispatcher ----
 
 fn connection_settings() -> ConnectionSettings {
-ConnectionSettings {
-max_per_engine: 64,
-max_total: 1024,
+    ConnectionSettings {
+        max_per_engine: 64,
+        max_total: 1024,
         max_streams: 32,
         connect_timeout: to_micros(CONNECT_TIMEOUT),
         idle_timeout: Micros::from_millis(30_000),
@@ -198,14 +198,14 @@
         Dispatcher::start_with(engine, connection_settings())
     }
 
- fn start_with(engine: &MockEngine, settings: ConnectionSettings) -> Dispatcher {
-Dispatcher::start_at(engine.address, settings)
+    fn start_with(engine: &MockEngine, settings: ConnectionSettings) -> Dispatcher {
+        Dispatcher::start_at(engine.address, settings)
     }
 
- fn start_at(engine_address: SocketAddr, settings: ConnectionSettings) -> Dispatcher {
+    fn start_at(engine_address: SocketAddr, settings: ConnectionSettings) -> Dispatcher {
         let transport = NetworkTransport {
- connections: watch::channel(settings).1,
-metrics: Metrics::default(),
+            connections: watch::channel(settings).1,
+            metrics: Metrics::default(),
             slots: ConnectionSlots::default(),
         };
         let (mailbox, incoming) = mpsc::channel(1024);
@@ -641,8 +641,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn attempts_that_cannot_share_a_connection_open_one_each() {
-let engine = MockEngine::start(HEALTHY).await;
-let one_per_connection = ConnectionSettings {
+    let engine = MockEngine::start(HEALTHY).await;
+    let one_per_connection = ConnectionSettings {
         max_streams: 1,
         ..connection_settings()
     };
@@ -657,17 +657,17 @@
 
 #[tokio::test]
 async fn an_actor_with_nothing_in_flight_and_no_connection_has_no_timer() {
-let settings = ConnectionSettings {
-max_per_engine: 2,
-max_total: 64,
+    let settings = ConnectionSettings {
+        max_per_engine: 2,
+        max_total: 64,
         max_streams: 2,
         connect_timeout: Micros::from_millis(250),
         idle_timeout: Micros::from_millis(30_000),
         max_open_requests: 10,
     };
     let transport = NetworkTransport {
- connections: watch::channel(settings).1,
-metrics: Metrics::default(),
+        connections: watch::channel(settings).1,
+        metrics: Metrics::default(),
         slots: ConnectionSlots::default(),
     };
     let (broker, _reports) = mpsc::channel(4);
--- a/fronts/src/connection_drain.rs
+++ b/fronts/src/connection_drain.rs
@@ -9,14 +9,14 @@
 /// The state of the drain, for all connections.
 #[derive(Clone)]
 pub struct DrainWatcher {
- drain_state: watch::Receiver<DrainState>,
-/// The moment from which the drain counts its times.
-epoch: Instant,
+    drain_state: watch::Receiver<DrainState>,
+    /// The moment from which the drain counts its times.
+    epoch: Instant,
 }
 
 impl DrainWatcher {
- pub fn new(drain_state: watch::Receiver<DrainState>, epoch: Instant) -> DrainWatcher {
-DrainWatcher { drain_state, epoch }
+    pub fn new(drain_state: watch::Receiver<DrainState>, epoch: Instant) -> DrainWatcher {
+        DrainWatcher { drain_state, epoch }
     }
 
     /// Tracks a connection that was accepted now. `jitter`, from 0 to 1, spreads the closing times of idle connections.
@@ -32,35 +32,34 @@
 
 /// The state of the drain, for one connection.
 pub struct ConnectionDrain {
- drain_state: watch::Receiver<DrainState>,
-epoch: Instant,
-/// Time since the epoch.
-accepted_at: Duration,
-jitter: f64,
+    drain_state: watch::Receiver<DrainState>,
+    epoch: Instant,
+    /// Time since the epoch.
+    accepted_at: Duration,
+    jitter: f64,
 }
 
 impl ConnectionDrain {
     /// Whether the dispatcher takes new work.
     pub fn accepts_work(&self) -> bool {
- self.drain_state.borrow().is_ready
+        self.drain_state.borrow().is_ready
     }
 
     /// Whether the connection closes after the answer that it has just sent.
     pub fn closes_after_answer(&self) -> bool {
- self.drain_state.borrow().existing_connections != ExistingConnections::Keep
+        self.drain_state.borrow().existing_connections != ExistingConnections::Keep
     }
 
     /// Completes when the idle connection must close.
     pub async fn wait_for_idle_close(&mut self) {
         loop {
- let policy = self.drain_state.borrow_and_update().existing_connections;
-let close_at = match policy {
-ExistingConnections::CloseWhenIdle => return,
-ExistingConnections::CloseGradually(since) => {
-Some(self.epoch + idle_close_at(self.accepted_at, since, self.jitter))
-}
-}
-ExistingConnections::Keep => None,
+            let policy = self.drain_state.borrow_and_update().existing_connections;
+            let close_at = match policy {
+                ExistingConnections::CloseWhenIdle => return,
+                ExistingConnections::CloseGradually(since) => {
+                    Some(self.epoch + idle_close_at(self.accepted_at, since, self.jitter))
+                }
+                ExistingConnections::Keep => None,
             };
             tokio::select! {
                 // The sender is dropped only when the dispatcher ends.
--- a/fronts/src/pg/tests.rs
+++ b/fronts/src/pg/tests.rs
@@ -75,24 +75,24 @@
 async fn start_session(
     router: &RequestRouter,
     drain: Drain,
- sent: &[u8],
+    sent: &[u8],
 ) -> (TcpStream, watch::Sender<DrainState>) {
-let (mut client, server) = connection_pair().await;
-client.write_all(sent).await.expect("writes");
-// All bytes are readable before the session begins.
-let mut readable = vec![0; sent.len()];
-while server.peek(&mut readable).await.expect("reads") < sent.len() {}
-let (slot, _) = SessionSlots::new(1).acquire().expect("a slot");
-let (drain_sender, drain_state) = watch::channel(drain.state(Duration::ZERO));
-let connection_drain = DrainWatcher::new(drain_state, Instant::now()).new_connection(0.5);
-tokio::spawn(serve(
-server,
-session_context(router),
-SessionKey(7),
-connection_drain,
-slot,
-));
-(client, drain_sender)
+    let (mut client, server) = connection_pair().await;
+    client.write_all(sent).await.expect("writes");
+    // All bytes are readable before the session begins.
+    let mut readable = vec![0; sent.len()];
+    while server.peek(&mut readable).await.expect("reads") < sent.len() {}
+    let (slot, _) = SessionSlots::new(1).acquire().expect("a slot");
+    let (drain_sender, drain_state) = watch::channel(drain.state(Duration::ZERO));
+    let connection_drain = DrainWatcher::new(drain_state, Instant::now()).new_connection(0.5);
+    tokio::spawn(serve(
+        server,
+        session_context(router),
+        SessionKey(7),
+        connection_drain,
+        slot,
+    ));
+    (client, drain_sender)
 }
 
 /// The error that answers a query right behind the startup. With a broker, the broker refuses it with this retry delay.
@@ -160,21 +160,21 @@
         run(async {
             let (router, _broker) = test_router(max_retry_after_ms).await;
             let mut drain = Drain::new(false);
- drain.set_prepared();
-drain.start_lame_duck(Duration::ZERO);
-// The platform sends an empty query to check whether the dispatcher takes work.
-let error = refusal_of(&router, drain, ";", None).await;
-assert_eq!(
-error,
-expected_error(reason, retry_delay_ms),
-"{max_retry_after_ms}"
-);
-let error = rejection_error(router, RejectReason::Draining).await;
-assert_eq!(
-error,
-expected_error(reason, retry_delay_ms),
-"{max_retry_after_ms}"
-);
+            drain.set_prepared();
+            drain.start_lame_duck(Duration::ZERO);
+            // The platform sends an empty query to check whether the dispatcher takes work.
+            let error = refusal_of(&router, drain, ";", None).await;
+            assert_eq!(
+                error,
+                expected_error(reason, retry_delay_ms),
+                "{max_retry_after_ms}"
+            );
+            let error = rejection_error(router, RejectReason::Draining).await;
+            assert_eq!(
+                error,
+                expected_error(reason, retry_delay_ms),
+                "{max_retry_after_ms}"
+            );
         });
     }
 }
@@ -279,38 +279,38 @@
 
 #[test]
 fn commands_sent_ahead_are_answered_although_a_drain_ends_the_session() {
-run(async {
-let (router, mut broker) = test_router(1000).await;
-let mut sent = startup_and_query(&statement_with_limit(1, 60_000));
-(2..=4).for_each(|id| sent.extend(query(&statement_with_limit(id, 60_000))));
-let (client, drain_sender) = start_session(&router, Drain::new(false), &sent).await;
-let (_, reply) = next_request(&mut broker).await;
-let mut drain = Drain::new(false);
-drain.start_shutdown(Duration::ZERO);
-drain_sender.send_replace(drain.state(Duration::from_secs(1)));
-assert!(
-reply.send(REFUSED_WITHOUT_DELAY).is_ok(),
-"the session waits for the answer"
-);
-assert_eq!(
-error_codes(client).await,
-["53300", "57P03", "57P03", "57P03"]
-);
-assert!(broker.try_recv().is_err(), "none of them is submitted");
+    run(async {
+        let (router, mut broker) = test_router(1000).await;
+        let mut sent = startup_and_query(&statement_with_limit(1, 60_000));
+        (2..=4).for_each(|id| sent.extend(query(&statement_with_limit(id, 60_000))));
+        let (client, drain_sender) = start_session(&router, Drain::new(false), &sent).await;
+        let (_, reply) = next_request(&mut broker).await;
+        let mut drain = Drain::new(false);
+        drain.start_shutdown(Duration::ZERO);
+        drain_sender.send_replace(drain.state(Duration::from_secs(1)));
+        assert!(
+            reply.send(REFUSED_WITHOUT_DELAY).is_ok(),
+            "the session waits for the answer"
+        );
+        assert_eq!(
+            error_codes(client).await,
+            ["53300", "57P03", "57P03", "57P03"]
+        );
+        assert!(broker.try_recv().is_err(), "none of them is submitted");
     });
 }
 
 #[test]
 fn each_command_is_answered_although_too_many_are_sent_ahead() {
-run(async {
-let (router, mut broker) = test_router(1000).await;
-let mut sent = startup_and_query(&statement_with_limit(1, 60_000));
-(2..=80).for_each(|id| sent.extend(query(&statement_with_limit(id, 60_000))));
-let mut drain = Drain::new(false);
-drain.set_prepared();
-let (client, _drain_sender) = start_session(&router, drain, &sent).await;
-let (_, _reply) = next_request(&mut broker).await;
-let codes = error_codes(client).await;
+    run(async {
+        let (router, mut broker) = test_router(1000).await;
+        let mut sent = startup_and_query(&statement_with_limit(1, 60_000));
+        (2..=80).for_each(|id| sent.extend(query(&statement_with_limit(id, 60_000))));
+        let mut drain = Drain::new(false);
+        drain.set_prepared();
+        let (client, _drain_sender) = start_session(&router, drain, &sent).await;
+        let (_, _reply) = next_request(&mut broker).await;
+        let codes = error_codes(client).await;
         assert_eq!(codes[0], "08P01");
         assert_eq!(codes.len(), 80, "{codes:?}");
         assert!(codes[1..].iter().all(|code| code == "53300"), "{codes:?}");
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -110,7 +110,7 @@
         Some("1") => true,
         Some(_) => return Err(invalid_field("second")),
     };
- let limit = number("limit", micros_to_millis(give_up) * MAX_LIMIT_TO_GIVE_UP)?;
+    let limit = number("limit", micros_to_millis(give_up) * MAX_LIMIT_TO_GIVE_UP)?;
     if limit == 0.0 {
         return Err(invalid_field("limit"));
     }
@@ -120,9 +120,9 @@
             .ok_or_else(|| invalid_field("txn"))?,
         class,
         tenant: field("team").map(str::to_string),
- deadline: received_at + to_duration(millis_to_micros(limit)),
-work: millis_to_micros(number("cpu", MAX_WORK_MS)?),
-memory_mb: number("memory", MAX_MEMORY_MB)?,
+        deadline: received_at + to_duration(millis_to_micros(limit)),
+        work: millis_to_micros(number("cpu", MAX_WORK_MS)?),
+        memory_mb: number("memory", MAX_MEMORY_MB)?,
         group: TableGroupId(table_group(text).unwrap_or_default()),
         statement,
         is_retry,
--- a/fronts/src/test_router.rs
+++ b/fronts/src/test_router.rs
@@ -20,7 +20,7 @@
         name: "lookup".to_string(),
         ..Class::default()
     };
- let runtime_settings = RuntimeSettings {
+    let runtime_settings = RuntimeSettings {
         settings: Settings {
             classes: vec![class],
             max_retry_after: Micros::from_millis(max_retry_after_ms),
@@ -33,13 +33,13 @@
         },
         max_open_requests: 100,
     };
- let router = RequestRouter::new(1, 1, Metrics::default(), runtime_settings);
-let (broker_sender, broker) = mpsc::channel(64);
-router
-.open_shard(0, broker_sender)
-.await
-.expect("the router accepts the broker");
-(router, broker)
+    let router = RequestRouter::new(1, 1, Metrics::default(), runtime_settings);
+    let (broker_sender, broker) = mpsc::channel(64);
+    router
+        .open_shard(0, broker_sender)
+        .await
+        .expect("the router accepts the broker");
+    (router, broker)
 }
 
 /// The next request that is submitted, and the sender of its answer.
--- a/port/src/answer.rs
+++ b/port/src/answer.rs
@@ -49,8 +49,8 @@
     engine: EngineSender,
     request: RequestId,
     number: AttemptNo,
- /// Records the request's disposition once the result is complete or lost.
-running: Option<RunningRequest>,
+    /// Records the request's disposition once the result is complete or lost.
+    running: Option<RunningRequest>,
 }
 
 /// The rest of a result can't be fetched.
@@ -79,7 +79,7 @@
 
     fn record_disposition(&mut self, disposition: Disposition) {
         if let Some(running) = self.running.take() {
- running.finish(disposition);
+            running.finish(disposition);
         }
     }
 
@@ -148,11 +148,11 @@
     request: RequestId,
     answer: oneshot::Receiver<Answer>,
     broker: Option<BrokerSender>,
- /// The answer if the broker dies before it sends one.
-fallback: Option<Answer>,
-is_answered: bool,
-/// Records the request's disposition; moves on to the result if there is one.
-running: Option<RunningRequest>,
+    /// The answer if the broker dies before it sends one.
+    fallback: Option<Answer>,
+    is_answered: bool,
+    /// Records the request's disposition; moves on to the result if there is one.
+    running: Option<RunningRequest>,
     cancelled: CancellationToken,
     /// Makes the request known to those who cancel its session's request.
     _session_entry: Option<SessionEntry>,
@@ -163,9 +163,9 @@
         request: &NewRequest,
         answer: oneshot::Receiver<Answer>,
         broker: Option<BrokerSender>,
- fallback: Answer,
-running: Option<RunningRequest>,
-session_entry: Option<SessionEntry>,
+        fallback: Answer,
+        running: Option<RunningRequest>,
+        session_entry: Option<SessionEntry>,
     ) -> PendingAnswer {
         PendingAnswer {
             request: request.id,
@@ -185,10 +185,10 @@
             return;
         };
         match answer {
- Answer::Rows(pages) => pages.running = Some(running),
-Answer::Refused { .. } => running.finish(Disposition::Declined),
-// A client that cancelled its request is still connected and is told that it failed.
-Answer::Failed(_) => running.finish(Disposition::Aborted),
+            Answer::Rows(pages) => pages.running = Some(running),
+            Answer::Refused { .. } => running.finish(Disposition::Declined),
+            // A client that cancelled its request is still connected and is told that it failed.
+            Answer::Failed(_) => running.finish(Disposition::Aborted),
         }
     }
 }
--- a/port/src/replicated_state.rs
+++ b/port/src/replicated_state.rs
@@ -10,8 +10,8 @@
 pub struct ReplicatedState {
     targets: Vec<Target>,
     drained: BTreeSet<String>,
- /// The settings, with the tenants set by the administration.
-pub table: SettingsTable,
+    /// The settings, with the tenants set by the administration.
+    pub table: SettingsTable,
 }
 
 impl ReplicatedState {
@@ -23,9 +23,9 @@
         }
     }
 
- /// Applies an update of the engine list.
-pub fn apply_listing(&mut self, listing: ListUpdate, targets: &[Target]) {
-apply_update(&mut self.targets, listing, targets);
+    /// Applies an update of the engine list.
+    pub fn apply_listing(&mut self, listing: ListUpdate, targets: &[Target]) {
+        apply_update(&mut self.targets, listing, targets);
     }
 
     /// Records an administration request that brokers have carried out.
@@ -74,14 +74,14 @@
     }
 
     #[test]
- fn a_new_broker_gets_the_engine_list_and_the_drains() {
-let mut state = ReplicatedState::new(SettingsTable::default());
-state.apply_listing(
-ListUpdate::Complete,
-&[target("a", "up"), target("b", "up")],
-);
-state.apply_listing(
-ListUpdate::Changes,
+    fn a_new_broker_gets_the_engine_list_and_the_drains() {
+        let mut state = ReplicatedState::new(SettingsTable::default());
+        state.apply_listing(
+            ListUpdate::Complete,
+            &[target("a", "up"), target("b", "up")],
+        );
+        state.apply_listing(
+            ListUpdate::Changes,
             &[target("a", "removed"), target("c", "up")],
         );
         for request in [
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -48,8 +48,8 @@
     ClientLeft(RequestId),
     EngineReport(EngineId, EngineReport),
     EngineActorDied(EngineId),
- EngineList(ListUpdate, Vec<Target>),
-/// Asks for the gateway's handover state.
+    EngineList(ListUpdate, Vec<Target>),
+    /// Asks for the gateway's handover state.
     GetHandoverState(oneshot::Sender<HandoverState>),
     /// Restores the handover state of an earlier process.
     RestoreHandoverState(Arc<HandoverState>),
@@ -57,8 +57,8 @@
     SetPeerProcessUsage(Arc<HandoverState>, bool),
     /// The process is shutting down: all open requests are answered now.
     Shutdown,
- /// New settings; the sender is dropped once they are applied.
-Reconfigure(Arc<RuntimeSettings>, oneshot::Sender<()>),
+    /// New settings; the sender is dropped once they are applied.
+    Reconfigure(Arc<RuntimeSettings>, oneshot::Sender<()>),
     Admin(
         AdminRequest,
         oneshot::Sender<Result<AdminResponse, AdminError>>,
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -84,14 +84,14 @@
 }
 
 struct Shared {
- slots: Vec<ShardSlot>,
-metrics: Metrics,
-/// The settings that all brokers have applied.
-runtime_settings: RwLock<Arc<RuntimeSettings>>,
-/// Clients choose their request ids: without a seed a client could direct all of its requests to one shard.
-hash_seed: u64,
-started_at: Instant,
-/// The open request of each session, for cancellation.
+    slots: Vec<ShardSlot>,
+    metrics: Metrics,
+    /// The settings that all brokers have applied.
+    runtime_settings: RwLock<Arc<RuntimeSettings>>,
+    /// Clients choose their request ids: without a seed a client could direct all of its requests to one shard.
+    hash_seed: u64,
+    started_at: Instant,
+    /// The open request of each session, for cancellation.
     sessions: Sessions,
     /// Locked during broadcasts, so that all brokers receive them in the same order.
     replicated_state: Mutex<ReplicatedState>,
@@ -157,13 +157,13 @@
 pub struct RouterClosed;
 
 impl RequestRouter {
- /// Creates a router for this number of shards, none of which is open yet.
-pub fn new(
-shards: usize,
-seed: u64,
-metrics: Metrics,
-runtime_settings: RuntimeSettings,
-) -> RequestRouter {
+    /// Creates a router for this number of shards, none of which is open yet.
+    pub fn new(
+        shards: usize,
+        seed: u64,
+        metrics: Metrics,
+        runtime_settings: RuntimeSettings,
+    ) -> RequestRouter {
         RequestRouter {
             shared: Arc::new(Shared {
                 slots: (0..shards).map(|_| ShardSlot::new()).collect(),
@@ -172,7 +172,9 @@
                 hash_seed: seed,
                 started_at: Instant::now(),
                 sessions: Sessions::default(),
- replicated_state: Mutex::new(ReplicatedState::new(SettingsTable::new(runtime_settings))),
+                replicated_state: Mutex::new(ReplicatedState::new(SettingsTable::new(
+                    runtime_settings,
+                ))),
             }),
         }
     }
@@ -220,12 +222,12 @@
         shard: usize,
         mailbox: BrokerSender,
     ) -> Result<(), RouterClosed> {
- let state = self.shared.replicated_state.lock().await;
-// The settings go first because later messages use their numbering of classes, kinds and zones.
-let (applied, _) = oneshot::channel();
-let reconfigure = BrokerMessage::Reconfigure(self.runtime_settings(), applied);
-mailbox.send(reconfigure).await.map_err(|_| RouterClosed)?;
-let list = BrokerMessage::EngineList(ListUpdate::Saved, state.targets());
+        let state = self.shared.replicated_state.lock().await;
+        // The settings go first because later messages use their numbering of classes, kinds and zones.
+        let (applied, _) = oneshot::channel();
+        let reconfigure = BrokerMessage::Reconfigure(self.runtime_settings(), applied);
+        mailbox.send(reconfigure).await.map_err(|_| RouterClosed)?;
+        let list = BrokerMessage::EngineList(ListUpdate::Saved, state.targets());
         mailbox.send(list).await.map_err(|_| RouterClosed)?;
         for request in state.replay_requests() {
             let (reply, _) = oneshot::channel();
@@ -305,8 +307,8 @@
             Some(class) if class.effect == Effect::Repeatable => self.refusal(),
             _ => Answer::Failed(Failure::ShuttingDown),
         };
- let running = class.map(|class| self.shared.metrics.start_request(&class.name));
-let session_entry = SessionEntry::new(&self.shared.sessions, &request);
+        let running = class.map(|class| self.shared.metrics.start_request(&class.name));
+        let session_entry = SessionEntry::new(&self.shared.sessions, &request);
         let route = match self.route(&request).await {
             Ok(route) => route,
             Err(early_answer) => {
@@ -384,22 +386,22 @@
         if ended { Err(RouterClosed) } else { Ok(()) }
     }
 
- /// The current settings, and the names that requests may use.
-pub fn runtime_settings(&self) -> Arc<RuntimeSettings> {
-let runtime_settings = self.shared.runtime_settings.read();
-runtime_settings
-.unwrap_or_else(PoisonError::into_inner)
-.clone()
+    /// The current settings, and the names that requests may use.
+    pub fn runtime_settings(&self) -> Arc<RuntimeSettings> {
+        let runtime_settings = self.shared.runtime_settings.read();
+        runtime_settings
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
- /// Applies new settings at all brokers. Returns false and changes nothing if their names exceed the table's limits.
-pub async fn reconfigure(&self, runtime_settings: &RuntimeSettings) -> bool {
-let mut state = self.shared.replicated_state.lock().await;
-if state
-.table
-.reconfigure(self.micros(), runtime_settings)
-.is_none()
-{
+    /// Applies new settings at all brokers. Returns false and changes nothing if their names exceed the table's limits.
+    pub async fn reconfigure(&self, runtime_settings: &RuntimeSettings) -> bool {
+        let mut state = self.shared.replicated_state.lock().await;
+        if state
+            .table
+            .reconfigure(self.micros(), runtime_settings)
+            .is_none()
+        {
             return false;
         }
         self.broadcast_settings(&state.table).await;
@@ -469,23 +471,23 @@
 
     /// The listed engines, those drained by the administration, and the tenants that it has set.
     pub async fn replicated_state(&self) -> (Vec<Target>, Vec<String>, Vec<Tenant>) {
- let state = self.shared.replicated_state.lock().await;
-let (targets, drained) = (state.targets(), state.drained());
-(targets, drained, state.table.tenant_overrides().to_vec())
+        let state = self.shared.replicated_state.lock().await;
+        let (targets, drained) = (state.targets(), state.drained());
+        (targets, drained, state.table.tenant_overrides().to_vec())
     }
 
     fn micros(&self) -> Micros {
         to_micros(self.shared.started_at.elapsed())
     }
 
- /// Applies the settings at all brokers first and only then publishes them to fronts, so that no request uses a name
-/// that its broker does not know. A broker that does not reply in time is not waited for: its mailbox keeps the
-/// order.
-async fn broadcast_settings(&self, table: &SettingsTable) {
-let runtime_settings = Arc::new(table.runtime_settings().clone());
-let replies = self.open_brokers().map(|mailbox| {
-let (applied, done) = oneshot::channel();
-let reconfigure = BrokerMessage::Reconfigure(runtime_settings.clone(), applied);
+    /// Applies the settings at all brokers first and only then publishes them to fronts, so that no request uses a name
+    /// that its broker does not know. A broker that does not reply in time is not waited for: its mailbox keeps the
+    /// order.
+    async fn broadcast_settings(&self, table: &SettingsTable) {
+        let runtime_settings = Arc::new(table.runtime_settings().clone());
+        let replies = self.open_brokers().map(|mailbox| {
+            let (applied, done) = oneshot::channel();
+            let reconfigure = BrokerMessage::Reconfigure(runtime_settings.clone(), applied);
             async move {
                 // The successor of a broker that has died gets the settings when it is registered.
                 if mailbox.send(reconfigure).await.is_ok() {
@@ -493,9 +495,9 @@
                 }
             }
         });
- futures::future::join_all(replies).await;
-for class in &runtime_settings.settings.classes {
-self.shared.metrics.register_class(&class.name);
+        futures::future::join_all(replies).await;
+        for class in &runtime_settings.settings.classes {
+            self.shared.metrics.register_class(&class.name);
         }
         *self
             .shared
