--- a/operation/src/control_command.rs
+++ b/operation/src/control_command.rs
@@ -1,22 +1,22 @@
-//! What an operator may ask at the door: one line a connection.
+//! Commands that operators send on the control socket, one line per connection.
 
-/// The longest line that is read: calls are single words, and what is longer is none.
+/// Longest line that is read. Commands are single words, so a longer line is none of them.
 pub const MAX_LINE_BYTES: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlCommand {
-    /// Whether this process is ready to serve.
+    /// Asks whether this process is ready to serve.
     Ping,
-    /// The figures.
+    /// Asks for the metrics.
     Info,
-    /// Clients are to be sent away.
+    /// Starts the drain of client connections.
     LameDuck,
-    /// The drain is over.
+    /// Ends the drain.
     Rejoin,
 }
 
 impl ControlCommand {
-    /// Reads a line, with or without its end; `None` where it is no call.
+    /// Parses a line with or without its line ending; `None` where it is not a command.
     pub fn parse(line: &[u8]) -> Option<ControlCommand> {
         match line.trim_ascii() {
             b"PING" => Some(ControlCommand::Ping),
@@ -33,8 +33,8 @@
     use super::*;
 
     #[test]
-    fn a_line_is_one_of_four_words_and_nothing_else() {
-        for (line, call) in [
+    fn only_the_four_command_words_are_parsed() {
+        for (line, command) in [
             (&b"PING\n"[..], Some(ControlCommand::Ping)),
             (b" INFO \r\n", Some(ControlCommand::Info)),
             (b"LAMEDUCK", Some(ControlCommand::LameDuck)),
@@ -46,7 +46,7 @@
             (b"PIN\0G", None),
             (b"\xff\xfe", None),
         ] {
-            assert_eq!(ControlCommand::parse(line), call, "{line:?}");
+            assert_eq!(ControlCommand::parse(line), command, "{line:?}");
         }
     }
 }
--- a/operation/src/drain.rs
+++ b/operation/src/drain.rs
@@ -1,164 +1,172 @@
-//! The drain: whether the dispatcher is ready, what becomes of new connections, and when kept ones go.
+//! Drain of a dispatcher: whether it is ready, and what happens to new and to existing client connections.
 //!
-//! The platform's front asks every 0.1 s whether the dispatcher is ready. After the first no it goes on
-//! connecting for 0.2 s; kept connections stay in use while they are open. From the fourth second of a lame
-//! duck none may be idle, nor hold a request of the last two seconds. Times are since one fixed moment.
+//! The platform's front polls readiness every 0.1 s and goes on connecting for 0.2 s after the first negative
+//! answer. From 4 s after LAMEDUCK no connection may be idle or hold a request that began in the last 2 s.
+//! Times are offsets from one fixed moment.
 
 use std::time::Duration;
 
-/// Connections go on coming for so long after LAMEDUCK: 0.1 s until the front asks, 0.2 s more, and until
-/// then nobody is let go, as he would come back here. A sixth more for what is on its way.
-const STILL_COMING: Duration = Duration::from_millis(350);
-/// Until then idle connections have gone, each at a time of its own.
-const ALL_ASKED: Duration = Duration::from_millis(1600);
-/// From then on a new connection is refused: it would find no time for a request.
-const TURNED_AWAY: Duration = Duration::from_millis(1200);
-/// From then on nothing idle is kept: what begins within two seconds before the fourth counts against it.
-const NONE_IDLE: Duration = Duration::from_millis(1700);
-/// A new connection has so long to ask something while others are being let go.
-const NEWCOMER: Duration = Duration::from_millis(250);
-/// After SIGTERM connections and requests go on coming for so long, with some to spare.
-const LAST_CALL: Duration = Duration::from_millis(700);
+/// New connections are expected for this time after LAMEDUCK: 0.1 s until the front polls, 0.2 s more, and one
+/// sixth as margin for connections in transit. A client whose connection closes earlier would reconnect here.
+const FRONT_REACTION_TIME: Duration = Duration::from_millis(350);
+/// End of the staggered closing: by then each idle connection has been closed at its own random time.
+const STAGGERED_CLOSE_END: Duration = Duration::from_millis(1600);
+/// From this time on a new connection is rejected, as no time would be left for a request.
+const REJECT_NEW_AFTER: Duration = Duration::from_millis(1200);
+/// From this time on no idle connection is kept: a request that begins 2 s or less before the limit of 4 s violates it.
+const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(1700);
+/// Time that a new connection has for its first request while others are being closed.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(250);
+/// Time after SIGTERM in which connections and requests still arrive, with a margin.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 
-/// What becomes of a new connection.
+/// What happens to a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewConnections {
     Accept,
-    /// Refused with a word, and closed.
+    /// Accepted, answered with an error and closed.
     Reject,
-    /// Not accepted: it is for another process, or for nobody.
+    /// Not accepted: it stays in the listen backlog, for another process if one accepts from the same socket.
     LeaveInBacklog,
 }
 
-/// What becomes of a connection that is kept between requests.
+/// What happens to a connection that is kept open between requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExistingConnections {
     Keep,
-    /// It goes once it has answered, and when idle at a time of its own ([`goes_at`]); so since then.
+    /// Closed after its current answer or, when idle, at its own time ([`idle_close_at`]). Holds the start of the
+    /// drain.
     CloseGradually(Duration),
     CloseWhenIdle,
 }
 
-/// All that follows from the state at one time.
+/// All that follows from the drain at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainState {
     pub is_ready: bool,
     pub new_connections: NewConnections,
     pub existing_connections: ExistingConnections,
-    /// The list and the engines are there.
+    /// The engine list and the engines are available.
     pub is_prepared: bool,
-    /// The process was told to end.
+    /// SIGTERM was received.
     pub is_shutting_down: bool,
-    /// The last call is over: the process ends once all that was taken is answered.
+    /// No more requests are accepted: the process exits once all accepted ones are answered.
     pub is_shutdown_grace_over: bool,
 }
 
-/// The state of a dispatcher as to its clients.
+/// The events that decide how a dispatcher treats its clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Drain {
-    /// The list and the engines are there.
-    prepared: bool,
+    /// The engine list and the engines are available.
+    is_prepared: bool,
     /// Another process accepts from the same socket, or will.
-    passed: bool,
-    lame_duck: Option<Duration>,
-    ending: Option<Duration>,
+    has_inherited_listener: bool,
+    lame_duck_since: Option<Duration>,
+    shutdown_since: Option<Duration>,
 }
 
 impl Drain {
-    /// `passed` where the platform holds the socket: what is not accepted stays for another process.
-    pub fn new(passed: bool) -> Drain {
+    /// `has_inherited_listener` is set where the platform holds the listening socket: connections that this process
+    /// does not accept remain for another one.
+    pub fn new(has_inherited_listener: bool) -> Drain {
         Drain {
-            passed,
+            has_inherited_listener,
             ..Drain::default()
         }
     }
 
     pub fn set_prepared(&mut self) {
-        self.prepared = true;
+        self.is_prepared = true;
     }
 
-    /// LAMEDUCK; a second one does not begin the drain anew.
+    /// Handles LAMEDUCK; a repeated one does not restart the drain.
     pub fn start_lame_duck(&mut self, now: Duration) {
-        self.lame_duck.get_or_insert(now);
+        self.lame_duck_since.get_or_insert(now);
     }
 
-    /// REJOIN; false where the process is ending, which nothing takes back.
+    /// Handles REJOIN; false during a shutdown, which can't be undone.
     pub fn rejoin(&mut self) -> bool {
-        if self.ending.is_none() {
-            self.lame_duck = None;
+        if self.shutdown_since.is_none() {
+            self.lame_duck_since = None;
         }
-        self.ending.is_none()
+        self.shutdown_since.is_none()
     }
 
-    /// SIGTERM; a second one does not begin the last call anew.
+    /// Handles SIGTERM; a repeated one does not restart the grace period.
     pub fn start_shutdown(&mut self, now: Duration) {
-        self.ending.get_or_insert(now);
+        self.shutdown_since.get_or_insert(now);
     }
 
     pub fn state(&self, now: Duration) -> DrainState {
-        let (newcomers, kept) = match (self.ending, self.lame_duck) {
-            (Some(since), lame_duck) => {
-                let over = now >= since + LAST_CALL;
-                let kept = match lame_duck {
-                    _ if over => ExistingConnections::CloseWhenIdle,
-                    Some(since) => leaving(since, now).1,
-                    None => ExistingConnections::Keep,
-                };
-                let newcomers = if self.passed || over {
-                    NewConnections::LeaveInBacklog
-                } else {
-                    NewConnections::Accept
-                };
-                (newcomers, kept)
-            }
-            (None, Some(since)) => leaving(since, now),
-            // Who comes before all is there waits to be accepted.
-            (None, None) if !self.prepared => {
-                (NewConnections::LeaveInBacklog, ExistingConnections::Keep)
-            }
-            (None, None) => (NewConnections::Accept, ExistingConnections::Keep),
-        };
-        let over = self.ending.is_some_and(|since| now >= since + LAST_CALL);
-        let ready = self.prepared && self.ending.is_none() && self.lame_duck.is_none();
+        let (new_connections, existing_connections) =
+            match (self.shutdown_since, self.lame_duck_since) {
+                (Some(shutdown_since), lame_duck_since) => {
+                    let is_grace_over = now >= shutdown_since + SHUTDOWN_GRACE;
+                    let existing_connections = match lame_duck_since {
+                        _ if is_grace_over => ExistingConnections::CloseWhenIdle,
+                        Some(lame_duck_since) => lame_duck_connections(lame_duck_since, now).1,
+                        None => ExistingConnections::Keep,
+                    };
+                    let new_connections = if self.has_inherited_listener || is_grace_over {
+                        NewConnections::LeaveInBacklog
+                    } else {
+                        NewConnections::Accept
+                    };
+                    (new_connections, existing_connections)
+                }
+                (None, Some(lame_duck_since)) => lame_duck_connections(lame_duck_since, now),
+                // Clients that connect before the engines are known wait in the listen backlog.
+                (None, None) if !self.is_prepared => {
+                    (NewConnections::LeaveInBacklog, ExistingConnections::Keep)
+                }
+                (None, None) => (NewConnections::Accept, ExistingConnections::Keep),
+            };
+        let is_shutdown_grace_over = self
+            .shutdown_since
+            .is_some_and(|since| now >= since + SHUTDOWN_GRACE);
+        let is_ready =
+            self.is_prepared && self.shutdown_since.is_none() && self.lame_duck_since.is_none();
         DrainState {
-            is_ready: ready,
-            new_connections: newcomers,
-            existing_connections: kept,
-            is_prepared: self.prepared,
-            is_shutting_down: self.ending.is_some(),
-            is_shutdown_grace_over: over,
+            is_ready,
+            new_connections,
+            existing_connections,
+            is_prepared: self.is_prepared,
+            is_shutting_down: self.shutdown_since.is_some(),
+            is_shutdown_grace_over,
         }
     }
 
-    /// When the orders will be others if nothing happens.
+    /// When [`Drain::state`] next changes if no event occurs.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        let ending = self.ending.map(|since| since + LAST_CALL);
-        let steps = [STILL_COMING, TURNED_AWAY, NONE_IDLE];
-        let lame_duck = steps.map(|step| self.lame_duck.map(|since| since + step));
-        let changes = lame_duck.into_iter().chain([ending]).flatten();
+        let shutdown = self.shutdown_since.map(|since| since + SHUTDOWN_GRACE);
+        let offsets = [FRONT_REACTION_TIME, REJECT_NEW_AFTER, CLOSE_ALL_IDLE_AFTER];
+        let lame_duck = offsets.map(|offset| self.lame_duck_since.map(|since| since + offset));
+        let changes = lame_duck.into_iter().chain([shutdown]).flatten();
         changes.filter(|change| *change > now).min()
     }
 }
 
-fn leaving(since: Duration, now: Duration) -> (NewConnections, ExistingConnections) {
-    let newcomers = if now < since + TURNED_AWAY {
+fn lame_duck_connections(since: Duration, now: Duration) -> (NewConnections, ExistingConnections) {
+    let new_connections = if now < since + REJECT_NEW_AFTER {
         NewConnections::Accept
     } else {
         NewConnections::Reject
     };
-    let kept = if now < since + STILL_COMING {
+    let existing_connections = if now < since + FRONT_REACTION_TIME {
         ExistingConnections::Keep
-    } else if now < since + NONE_IDLE {
+    } else if now < since + CLOSE_ALL_IDLE_AFTER {
         ExistingConnections::CloseGradually(since)
     } else {
         ExistingConnections::CloseWhenIdle
     };
-    (newcomers, kept)
+    (new_connections, existing_connections)
 }
 
-/// When an idle connection that came at this time goes in a lame duck that began at that one; the draw is
-/// from 0 to 1.
-pub fn idle_close_at(came: Duration, since: Duration, draw: f64) -> Duration {
-    let drawn = STILL_COMING + (ALL_ASKED - STILL_COMING).mul_f64(draw.clamp(0.0, 1.0));
-    (since + drawn).max(came + NEWCOMER).min(since + NONE_IDLE)
+/// When an idle connection is closed in a drain; `draw` is a random number from 0 to 1 that staggers the closing.
+pub fn idle_close_at(accepted_at: Duration, drain_started_at: Duration, draw: f64) -> Duration {
+    let offset = FRONT_REACTION_TIME
+        + (STAGGERED_CLOSE_END - FRONT_REACTION_TIME).mul_f64(draw.clamp(0.0, 1.0));
+    (drain_started_at + offset)
+        .max(accepted_at + NEW_CONNECTION_GRACE)
+        .min(drain_started_at + CLOSE_ALL_IDLE_AFTER)
 }
--- a/operation/src/lib.rs
+++ b/operation/src/lib.rs
@@ -1,5 +1,6 @@
-//! What operations staff ask of a dispatcher, and what it tells them: calls at the door, the drain, the
-//! figures. No I/O, no clock: times come in, as the time since one fixed moment.
+//! The interface of a dispatcher to its operators: control commands, drain and metrics.
+//!
+//! Does no I/O and reads no clock: callers pass times as offsets from one fixed moment.
 
 pub mod control_command;
 pub mod drain;
--- a/operation/src/metrics.rs
+++ b/operation/src/metrics.rs
@@ -1,8 +1,8 @@
-//! The figures: what has become of requests, and what the dispatcher believes of its engines.
+//! Metrics of a process: the outcomes of requests, and the state of the engines as the dispatcher knows it.
 //!
-//! Each thing is counted in one place, where it happens: a request from when it is taken until its
-//! [`Running`] is told how it ended, or is dropped because its client has left. All figures stand behind one
-//! lock, so that at any moment what was taken is what has ended, has left or is outstanding.
+//! A request counts as outstanding until its [`RunningRequest`] is finished, or dropped because the client
+//! disconnected. One lock guards all metrics, so that accepted requests always equal ended plus disconnected plus
+//! outstanding ones.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric, text};
@@ -14,7 +14,7 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How a request ended for a client that was there.
+/// How a request ended for a client that was still connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Disposition {
     Succeeded,
@@ -28,12 +28,12 @@
     (Disposition::Aborted, "aborted"),
 ];
 
-/// What was counted of a class.
+/// The requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     pub accepted: u64,
     pub ended_by_disposition: [u64; 3],
-    /// Requests whose client left before they ended.
+    /// Requests whose client disconnected before they ended.
     pub client_disconnected: u64,
 }
 
@@ -47,68 +47,68 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShardEngines {
     pub discovered: usize,
-    /// Those that are set aside, by number, and until which Unix microsecond.
+    /// The numbers of ejected engines, each with the Unix microsecond at which its ejection ends.
     pub ejected: Vec<(u64, u64)>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Classes that have gone stay: their counts are still asked for.
+    /// Classes that are removed from the settings stay here: their counts are still scraped.
     classes: BTreeMap<Arc<str>, RequestCounts>,
     forwards: u64,
-    applied: u64,
-    rejected: u64,
+    reloads_applied: u64,
+    reloads_rejected: u64,
     engines: BTreeMap<usize, ShardEngines>,
 }
 
-/// The figures of one process; clones are handles on the same.
+/// The metrics of one process; clones share the same state.
 #[derive(Clone, Default)]
 pub struct Metrics(Arc<Mutex<State>>);
 
 impl Metrics {
     fn state(&self) -> MutexGuard<'_, State> {
-        // Nothing panics while it is held; what it holds would be whole all the same.
+        // No code panics while it holds the lock, and each update leaves the state consistent.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has a class stand among the figures before anything of it is counted.
+    /// Lists a class with counts of zero before its first request.
     pub fn register_class(&self, name: &str) {
         self.state().classes.entry(name.into()).or_default();
     }
 
-    /// A request of this class is taken.
+    /// Counts an accepted request of this class.
     pub fn start_request(&self, class: &str) -> RunningRequest {
         let mut state = self.state();
-        let known = state.classes.get_key_value(class);
-        let class = known.map_or_else(|| class.into(), |(class, _)| class.clone());
+        let existing = state.classes.get_key_value(class);
+        let class = existing.map_or_else(|| class.into(), |(class, _)| class.clone());
         state.classes.entry(class.clone()).or_default().accepted += 1;
         RunningRequest {
             metrics: self.clone(),
             class,
-            counted: false,
+            is_finished: false,
         }
     }
 
-    fn count(&self, class: &Arc<str>, count: impl FnOnce(&mut RequestCounts)) {
-        count(self.state().classes.entry(class.clone()).or_default());
+    fn update(&self, class: &Arc<str>, update: impl FnOnce(&mut RequestCounts)) {
+        update(self.state().classes.entry(class.clone()).or_default());
     }
 
-    /// So many attempts have been written whole to an engine.
+    /// Counts attempts that were completely written to an engine.
     pub fn count_forwards(&self, attempts: usize) {
         self.state().forwards += attempts as u64;
     }
 
-    /// A file was read at SIGHUP and taken, or turned down.
+    /// Counts a configuration file that was read on SIGHUP and applied or rejected.
     pub fn count_reload(&self, applied: bool) {
         let mut state = self.state();
         if applied {
-            state.applied += 1;
+            state.reloads_applied += 1;
         } else {
-            state.rejected += 1;
+            state.reloads_rejected += 1;
         }
     }
 
-    /// What a shard now believes of the engines.
+    /// Replaces the engines as one shard sees them.
     pub fn set_engines(&self, shard: usize, engines: ShardEngines) {
         self.state().engines.insert(shard, engines);
     }
@@ -121,7 +121,7 @@
         self.state().forwards
     }
 
-    /// The figures in the text form of OpenMetrics, as of this Unix microsecond; its last line is `EOF`.
+    /// The metrics in the OpenMetrics text format at the Unix microsecond `now`; the last line is `EOF`.
     pub fn encode(&self, now: u64) -> Result<String, fmt::Error> {
         let snapshot = Snapshot::new(&self.state(), now);
         let mut registry = Registry::default();
@@ -133,27 +133,27 @@
     }
 }
 
-/// A request under way, counted as outstanding until this is told of its end; dropped, its client has left.
+/// A request in flight. Dropping it without [`RunningRequest::finish`] counts a client that disconnected.
 pub struct RunningRequest {
     metrics: Metrics,
     class: Arc<str>,
-    counted: bool,
+    is_finished: bool,
 }
 
 impl RunningRequest {
-    pub fn finish(mut self, how: Disposition) {
-        self.counted = true;
-        self.metrics.count(&self.class, |counts| {
-            counts.ended_by_disposition[how as usize] += 1
+    pub fn finish(mut self, disposition: Disposition) {
+        self.is_finished = true;
+        self.metrics.update(&self.class, |counts| {
+            counts.ended_by_disposition[disposition as usize] += 1
         });
     }
 }
 
 impl Drop for RunningRequest {
     fn drop(&mut self) {
-        if !self.counted {
+        if !self.is_finished {
             self.metrics
-                .count(&self.class, |counts| counts.client_disconnected += 1);
+                .update(&self.class, |counts| counts.client_disconnected += 1);
         }
     }
 }
@@ -164,11 +164,11 @@
     }
 }
 
-/// The figures of one moment.
+/// The metrics at one moment.
 #[derive(Debug)]
 struct Snapshot {
     classes: Vec<(Arc<str>, RequestCounts)>,
-    totals: [(&'static str, &'static str, u64); 3],
+    counters: [(&'static str, &'static str, u64); 3],
     gauges: [(&'static str, &'static str, i64); 3],
 }
 
@@ -176,23 +176,29 @@
     fn new(state: &State, now: u64) -> Snapshot {
         let shards = state.engines.values();
         let discovered = shards.clone().map(|engines| engines.discovered).max();
-        let avoided = shards.flat_map(|engines| &engines.ejected);
-        let avoided = avoided.filter(|(_, until)| now < *until).map(|(id, _)| *id);
-        let ejected = avoided.collect::<BTreeSet<u64>>().len();
+        let ejections = shards.flat_map(|engines| &engines.ejected);
+        let ejected_ids = ejections
+            .filter(|(_, until)| now < *until)
+            .map(|(id, _)| *id);
+        let ejected = ejected_ids.collect::<BTreeSet<u64>>().len();
         let outstanding: u64 = state.classes.values().map(RequestCounts::outstanding).sum();
         Snapshot {
             classes: state.classes.clone().into_iter().collect(),
-            totals: [
+            counters: [
                 (
                     "forwards",
                     "Attempts written whole to engines",
                     state.forwards,
                 ),
-                ("sighup_applied", "Files taken at SIGHUP", state.applied),
+                (
+                    "sighup_applied",
+                    "Files taken at SIGHUP",
+                    state.reloads_applied,
+                ),
                 (
                     "sighup_rejected",
                     "Files turned down at SIGHUP",
-                    state.rejected,
+                    state.reloads_rejected,
                 ),
             ],
             gauges: [
@@ -217,9 +223,9 @@
         let (name, help) = ("dispatcher_results", "Requests ended, by class and how");
         let mut family = encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
         for (class, counts) in &self.classes {
-            for (how, word) in DISPOSITIONS {
-                let labels = [("service", class.as_ref()), ("disposition", word)];
-                let count = ConstCounter::new(counts.ended_by_disposition[how as usize]);
+            for (disposition, label) in DISPOSITIONS {
+                let labels = [("service", class.as_ref()), ("disposition", label)];
+                let count = ConstCounter::new(counts.ended_by_disposition[disposition as usize]);
                 count.encode(family.encode_family(&labels)?)?;
             }
         }
@@ -229,7 +235,7 @@
             let labels = [("service", class.as_ref())];
             ConstCounter::new(counts.client_disconnected).encode(family.encode_family(&labels)?)?;
         }
-        for (name, help, count) in self.totals {
+        for (name, help, count) in self.counters {
             let name = format!("dispatcher_{name}");
             let metric = encoder.encode_descriptor(&name, help, None, MetricType::Counter)?;
             ConstCounter::new(count).encode(metric)?;
@@ -248,30 +254,30 @@
     use super::*;
 
     #[test]
-    fn the_figures_stand_under_the_names_that_staff_look_for() {
-        let figures = Metrics::default();
-        figures.register_class("report");
-        let running: Vec<RunningRequest> =
-            (0..6).map(|_| figures.start_request("lookup")).collect();
-        let mut running = running.into_iter();
-        let mut next = || running.next().expect("there are six");
-        next().finish(Disposition::Succeeded);
-        next().finish(Disposition::Succeeded);
-        next().finish(Disposition::Declined);
-        next().finish(Disposition::Aborted);
-        drop(next());
-        figures.count_forwards(7);
-        figures.count_reload(true);
-        figures.count_reload(false);
-        figures.count_reload(false);
-        // Two shards, of whom both avoid one engine and one has found another well meanwhile.
-        let engines = |avoided: &[(u64, u64)]| ShardEngines {
+    fn metrics_are_exported_under_their_documented_names() {
+        let metrics = Metrics::default();
+        metrics.register_class("report");
+        let requests: Vec<RunningRequest> =
+            (0..6).map(|_| metrics.start_request("lookup")).collect();
+        let mut requests = requests.into_iter();
+        let mut next_request = || requests.next().expect("there are six");
+        next_request().finish(Disposition::Succeeded);
+        next_request().finish(Disposition::Succeeded);
+        next_request().finish(Disposition::Declined);
+        next_request().finish(Disposition::Aborted);
+        drop(next_request());
+        metrics.count_forwards(7);
+        metrics.count_reload(true);
+        metrics.count_reload(false);
+        metrics.count_reload(false);
+        // Both shards eject engine 1; the ejection of engine 2 by the first shard is over at 500.
+        let engines = |ejected: &[(u64, u64)]| ShardEngines {
             discovered: 5,
-            ejected: avoided.to_vec(),
+            ejected: ejected.to_vec(),
         };
-        figures.set_engines(0, engines(&[(1, 900), (2, 400)]));
-        figures.set_engines(1, engines(&[(1, 800)]));
-        let text = figures.encode(500).expect("is written");
+        metrics.set_engines(0, engines(&[(1, 900), (2, 400)]));
+        metrics.set_engines(1, engines(&[(1, 800)]));
+        let text = metrics.encode(500).expect("is written");
         for line in [
             r#"dispatcher_results_total{service="lookup",disposition="succeeded"} 2"#,
             r#"dispatcher_results_total{service="lookup",disposition="declined"} 1"#,
@@ -285,7 +291,7 @@
             "dispatcher_sighup_applied_total 1",
             "dispatcher_sighup_rejected_total 2",
         ] {
-            assert!(text.lines().any(|told| told == line), "{line} in\n{text}");
+            assert!(text.lines().any(|found| found == line), "{line} in\n{text}");
         }
         assert_eq!(text.lines().last(), Some("EOF"));
     }
--- a/operation/tests/drain.rs
+++ b/operation/tests/drain.rs
@@ -1,31 +1,33 @@
-//! The drain under any order of calls, signals, clients and time, held against the words of the platform's page.
+//! The drain under any order of commands, signals, client events and delays, checked against the platform's rules.
 
 use proptest::prelude::*;
 use sedgebeam_operation::drain::idle_close_at;
 use sedgebeam_operation::{Drain, DrainState, ExistingConnections, NewConnections};
 use std::time::Duration;
 
-/// From so long after LAMEDUCK no connection may be idle, or hold a request of the time before.
-const AWAY: Duration = Duration::from_secs(4);
-const LATELY: Duration = Duration::from_secs(2);
-/// The front may connect for so long after the call: it asks every 0.1 s, and goes on for 0.2 s.
-const COMING: Duration = Duration::from_millis(300);
-/// After SIGTERM requests on kept connections go on for so long, as new connections do at most.
-const AFTER_TERM: Duration = Duration::from_millis(600);
-/// By then idle connections go, whatever comes.
-const LAST: Duration = Duration::from_secs(1);
+/// From this time after LAMEDUCK on no connection may be idle, or hold a request that began within [`RECENT`].
+const DRAIN_LIMIT: Duration = Duration::from_secs(4);
+const RECENT: Duration = Duration::from_secs(2);
+/// The front may connect for this time after LAMEDUCK: it polls every 0.1 s, and goes on connecting for 0.2 s.
+const FRONT_CONNECTS_FOR: Duration = Duration::from_millis(300);
+/// Requests on kept connections may arrive for this time after SIGTERM, and new connections no longer than that.
+const ARRIVALS_AFTER_SIGTERM: Duration = Duration::from_millis(600);
+/// By this time after SIGTERM idle connections are closed in any case.
+const SHUTDOWN_LIMIT: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Prepared,
     LameDuck,
     Rejoin,
-    End,
+    Shutdown,
+    /// A new connection, with the random number that staggers its closing.
     Connect(f64),
-    /// A connection begins a request, or ends it.
+    /// A request begins on the connection with this index, or is answered.
     Begin(usize),
     Answer(usize),
-    Passes(u64),
+    /// Time passes, in milliseconds.
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -33,294 +35,315 @@
         2 => Just(Step::LameDuck),
         1 => Just(Step::Rejoin),
         1 => Just(Step::Prepared),
-        1 => prop::bool::weighted(0.2).prop_map(|ends| if ends { Step::End } else { Step::Rejoin }),
+        1 => prop::bool::weighted(0.2).prop_map(|shutdown| if shutdown { Step::Shutdown } else { Step::Rejoin }),
         4 => (0.0..1.0).prop_map(Step::Connect),
         6 => (0usize..8).prop_map(Step::Begin),
         5 => (0usize..8).prop_map(Step::Answer),
-        8 => (1u64..900).prop_map(Step::Passes),
+        8 => (1u64..900).prop_map(Step::Advance),
     ]
 }
 
 struct Session {
-    came: Duration,
+    accepted_at: Duration,
     draw: f64,
-    /// When its request began, while it has one.
-    busy: Option<Duration>,
+    /// When its request began, while one is open.
+    request_since: Option<Duration>,
 }
 
-/// What a double does with the orders of the real one.
-type Bends = fn(DrainState, Duration) -> DrainState;
+/// How a faulty variant changes the state that the drain returns.
+type Distortion = fn(DrainState, Duration) -> DrainState;
 
-/// A dispatcher whose sessions obey the drain.
-struct House {
+/// A model of a dispatcher whose sessions follow the drain.
+struct DispatcherModel {
     drain: Drain,
-    passed: bool,
-    bends: Bends,
+    has_inherited_listener: bool,
+    distortion: Distortion,
     now: Duration,
     sessions: Vec<Session>,
-    prepared: bool,
-    called: Option<Duration>,
-    ended: Option<Duration>,
+    is_prepared: bool,
+    lame_duck_since: Option<Duration>,
+    shutdown_since: Option<Duration>,
 }
 
-impl House {
-    fn orders(&self) -> DrainState {
-        (self.bends)(self.drain.state(self.now), self.now)
+impl DispatcherModel {
+    fn state(&self) -> DrainState {
+        (self.distortion)(self.drain.state(self.now), self.now)
     }
 
-    /// Sessions go as they must, and what holds at this moment is checked.
-    fn settle(&mut self) -> Result<(), String> {
-        let (now, kept) = (self.now, self.orders().existing_connections);
+    /// Closes the sessions that the drain closes by now, and checks the rules that hold at this moment.
+    fn close_and_check(&mut self) -> Result<(), String> {
+        let (now, existing_connections) = (self.now, self.state().existing_connections);
         self.sessions.retain(|session| {
-            let goes = match kept {
+            let closes = match existing_connections {
                 ExistingConnections::Keep => false,
                 ExistingConnections::CloseGradually(since) => {
-                    now >= idle_close_at(session.came, since, session.draw)
+                    now >= idle_close_at(session.accepted_at, since, session.draw)
                 }
                 ExistingConnections::CloseWhenIdle => true,
             };
-            session.busy.is_some() || !goes
+            session.request_since.is_some() || !closes
         });
-        let ready = self.prepared && self.called.is_none() && self.ended.is_none();
-        if self.orders().is_ready != ready {
-            return Err(format!("it says {} at {now:?}", self.orders().is_ready));
+        let is_ready =
+            self.is_prepared && self.lame_duck_since.is_none() && self.shutdown_since.is_none();
+        if self.state().is_ready != is_ready {
+            return Err(format!("is_ready is {} at {now:?}", self.state().is_ready));
         }
-        let away = self.called.filter(|called| now >= *called + AWAY);
-        let held = self
-            .sessions
-            .iter()
-            .find(|session| session.busy.is_none_or(|began| began + LATELY > now));
-        if let (Some(called), Some(held)) = (away, held) {
+        let overdue = self
+            .lame_duck_since
+            .filter(|since| now >= *since + DRAIN_LIMIT);
+        let open_session = self.sessions.iter().find(|session| {
+            session
+                .request_since
+                .is_none_or(|began| began + RECENT > now)
+        });
+        if let (Some(since), Some(session)) = (overdue, open_session) {
             return Err(format!(
-                "called at {called:?}, it holds {:?} at {now:?}",
-                held.busy
+                "a session with a request since {:?} is open at {now:?}, draining since {since:?}",
+                session.request_since
             ));
         }
         Ok(())
     }
 
     fn connect(&mut self, draw: f64) -> Result<(), String> {
-        let newcomers = self.orders().new_connections;
-        let coming = match (self.ended, self.called) {
-            (Some(ended), _) if self.passed => {
-                let left = newcomers == NewConnections::LeaveInBacklog;
-                return if left {
+        let new_connections = self.state().new_connections;
+        let must_be_accepted = match (self.shutdown_since, self.lame_duck_since) {
+            (Some(since), _) if self.has_inherited_listener => {
+                let is_queued = new_connections == NewConnections::LeaveInBacklog;
+                return if is_queued {
                     Ok(())
                 } else {
-                    Err(format!("ended at {ended:?}, it accepts"))
+                    Err(format!("accepts although shutting down since {since:?}"))
                 };
             }
-            (Some(ended), None) => self.now < ended + AFTER_TERM,
+            (Some(since), None) => self.now < since + ARRIVALS_AFTER_SIGTERM,
             (Some(_), Some(_)) => false,
-            (None, Some(called)) => self.now < called + COMING,
-            (None, None) => self.prepared,
+            (None, Some(since)) => self.now < since + FRONT_CONNECTS_FOR,
+            (None, None) => self.is_prepared,
         };
-        match newcomers {
+        match new_connections {
             NewConnections::Accept => self.sessions.push(Session {
-                came: self.now,
+                accepted_at: self.now,
                 draw,
-                busy: None,
+                request_since: None,
             }),
-            _ if coming => return Err(format!("a client that may come is {newcomers:?}")),
+            _ if must_be_accepted => {
+                return Err(format!(
+                    "a connection that must be accepted gets {new_connections:?}"
+                ));
+            }
             _ => {}
         }
         Ok(())
     }
 
-    /// Time passes in the steps at which the drain says that something changes, or a session goes.
-    fn pass(&mut self, until: Duration) -> Result<(), String> {
+    /// Advances the time in steps: to each change that the drain announces, and to each closing of a session.
+    fn advance(&mut self, until: Duration) -> Result<(), String> {
         while self.now < until {
-            let kept = self.orders().existing_connections;
-            let going = self.sessions.iter().filter_map(|session| match kept {
-                ExistingConnections::CloseGradually(since) => {
-                    Some(idle_close_at(session.came, since, session.draw))
-                }
-                _ => None,
-            });
-            // The page's own moments are looked at whatever the drain says.
-            let looks = [
-                self.called.map(|at| at + AWAY),
+            let existing_connections = self.state().existing_connections;
+            let closings = self
+                .sessions
+                .iter()
+                .filter_map(|session| match existing_connections {
+                    ExistingConnections::CloseGradually(since) => {
+                        Some(idle_close_at(session.accepted_at, since, session.draw))
+                    }
+                    _ => None,
+                });
+            // The drain limit is checked also where the drain announces no change for it.
+            let checks = [
+                self.lame_duck_since.map(|since| since + DRAIN_LIMIT),
                 self.drain.next_change(self.now),
             ];
-            let next = going
-                .chain(looks.into_iter().flatten())
+            let next = closings
+                .chain(checks.into_iter().flatten())
                 .filter(|at| *at > self.now);
             let next = next.min().unwrap_or(until).min(until);
-            let before = self.drain.state(self.now);
+            let state = self.drain.state(self.now);
             let just_before = next.saturating_sub(Duration::from_nanos(1)).max(self.now);
-            if self.drain.state(just_before) != before {
+            if self.drain.state(just_before) != state {
                 return Err(format!(
-                    "orders change before {next:?}, of which nobody was told"
+                    "the state changes before {next:?} without an announcement"
                 ));
             }
             self.now = next;
-            self.settle()?;
+            self.close_and_check()?;
         }
         Ok(())
     }
 }
 
-/// Plays the steps; what the page forbids first.
-fn play(steps: &[Step], passed: bool, bends: Bends) -> Result<(), String> {
-    let mut house = House {
-        drain: Drain::new(passed),
-        passed,
-        bends,
+/// Plays the steps; returns the first violation of a rule.
+fn play(
+    steps: &[Step],
+    has_inherited_listener: bool,
+    distortion: Distortion,
+) -> Result<(), String> {
+    let mut dispatcher = DispatcherModel {
+        drain: Drain::new(has_inherited_listener),
+        has_inherited_listener,
+        distortion,
         now: Duration::ZERO,
         sessions: Vec::new(),
-        prepared: false,
-        called: None,
-        ended: None,
+        is_prepared: false,
+        lame_duck_since: None,
+        shutdown_since: None,
     };
     for step in steps {
-        let now = house.now;
+        let now = dispatcher.now;
         match *step {
             Step::Prepared => {
-                house.drain.set_prepared();
-                house.prepared = true;
+                dispatcher.drain.set_prepared();
+                dispatcher.is_prepared = true;
             }
             Step::LameDuck => {
-                house.drain.start_lame_duck(now);
-                house.called.get_or_insert(now);
+                dispatcher.drain.start_lame_duck(now);
+                dispatcher.lame_duck_since.get_or_insert(now);
             }
             Step::Rejoin => {
-                let rejoined = house.drain.rejoin();
-                if rejoined != house.ended.is_none() {
+                let rejoined = dispatcher.drain.rejoin();
+                if rejoined != dispatcher.shutdown_since.is_none() {
                     return Err(format!("rejoined: {rejoined}"));
                 }
                 if rejoined {
-                    house.called = None;
+                    dispatcher.lame_duck_since = None;
                 }
             }
-            Step::End => {
-                house.drain.start_shutdown(now);
-                house.ended.get_or_insert(now);
+            Step::Shutdown => {
+                dispatcher.drain.start_shutdown(now);
+                dispatcher.shutdown_since.get_or_insert(now);
             }
-            Step::Connect(draw) => house.connect(draw)?,
-            Step::Begin(place) => {
-                let kept = house.sessions.len().max(1);
-                if let Some(session) = house.sessions.get_mut(place % kept) {
-                    session.busy.get_or_insert(now);
+            Step::Connect(draw) => dispatcher.connect(draw)?,
+            Step::Begin(index) => {
+                let sessions = dispatcher.sessions.len().max(1);
+                if let Some(session) = dispatcher.sessions.get_mut(index % sessions) {
+                    session.request_since.get_or_insert(now);
                 }
             }
-            Step::Answer(place) => {
-                let (kept, stays) = (
-                    house.sessions.len().max(1),
-                    house.orders().existing_connections,
+            Step::Answer(index) => {
+                let (sessions, existing_connections) = (
+                    dispatcher.sessions.len().max(1),
+                    dispatcher.state().existing_connections,
                 );
-                if let Some(session) = house.sessions.get_mut(place % kept)
-                    && session.busy.take().is_some()
-                    && stays != ExistingConnections::Keep
+                if let Some(session) = dispatcher.sessions.get_mut(index % sessions)
+                    && session.request_since.take().is_some()
+                    && existing_connections != ExistingConnections::Keep
                 {
-                    house.sessions.remove(place % kept);
+                    dispatcher.sessions.remove(index % sessions);
                 }
             }
-            Step::Passes(millis) => house.pass(now + Duration::from_millis(millis))?,
+            Step::Advance(millis) => dispatcher.advance(now + Duration::from_millis(millis))?,
         }
-        house.settle()?;
+        dispatcher.close_and_check()?;
     }
-    let (over, kept) = (
-        house.orders().is_shutdown_grace_over,
-        house.orders().existing_connections,
+    let (is_grace_over, existing_connections) = (
+        dispatcher.state().is_shutdown_grace_over,
+        dispatcher.state().existing_connections,
     );
-    let since = house.ended.map(|ended| house.now - ended);
-    if over && since.is_none_or(|since| since < AFTER_TERM) {
-        return Err("over while requests may come".to_string());
+    let shutdown_time = dispatcher
+        .shutdown_since
+        .map(|since| dispatcher.now - since);
+    if is_grace_over && shutdown_time.is_none_or(|time| time < ARRIVALS_AFTER_SIGTERM) {
+        return Err("the grace period is over while requests may arrive".to_string());
     }
-    if since.is_some_and(|since| since >= LAST)
-        && !(over && kept == ExistingConnections::CloseWhenIdle)
+    if shutdown_time.is_some_and(|time| time >= SHUTDOWN_LIMIT)
+        && !(is_grace_over && existing_connections == ExistingConnections::CloseWhenIdle)
     {
-        return Err("it does not end".to_string());
+        return Err("the shutdown does not end".to_string());
     }
     Ok(())
 }
 
 proptest! {
     #[test]
-    fn no_order_of_events_breaks_a_rule_of_the_page(
+    fn no_order_of_events_breaks_a_rule_of_the_platform(
         steps in prop::collection::vec(step(), 1..60),
-        passed in any::<bool>(),
+        has_inherited_listener in any::<bool>(),
     ) {
-        prop_assert_eq!(play(&steps, passed, |orders, _| orders), Ok(()));
+        prop_assert_eq!(play(&steps, has_inherited_listener, |state, _| state), Ok(()));
     }
 }
 
 #[test]
-fn doubles_that_break_a_rule_are_caught() {
-    let passes = Step::Passes(850);
+fn variants_that_break_a_rule_are_detected() {
+    let advance = Step::Advance(850);
     let lame_duck = [
         Step::Prepared,
         Step::Connect(0.6),
         Step::Connect(0.9),
         Step::LameDuck,
-        passes,
+        advance,
         Step::Begin(0),
-        passes,
-        passes,
-        passes,
-        passes,
+        advance,
+        advance,
+        advance,
+        advance,
         Step::Rejoin,
         Step::Connect(0.1),
     ];
-    let coming = [
+    let connect_in_drain = [
         Step::Prepared,
         Step::LameDuck,
-        Step::Passes(200),
+        Step::Advance(200),
         Step::Connect(0.5),
     ];
-    let ending = [
+    let shutdown = [
         Step::Prepared,
-        Step::End,
-        passes,
+        Step::Shutdown,
+        advance,
         Step::Connect(0.5),
-        passes,
+        advance,
     ];
-    for steps in [&lame_duck[..], &coming, &ending] {
-        assert_eq!(play(steps, true, |orders, _| orders), Ok(()));
+    for steps in [&lame_duck[..], &connect_in_drain, &shutdown] {
+        assert_eq!(play(steps, true, |state, _| state), Ok(()));
     }
-    let doubles: [(&str, &[Step], Bends); 6] = [
-        ("still says yes", &lame_duck, |orders, _| DrainState {
+    let variants: [(&str, &[Step], Distortion); 6] = [
+        ("stays ready", &lame_duck, |state, _| DrainState {
             is_ready: true,
-            ..orders
+            ..state
         }),
-        ("never says yes again", &lame_duck, |orders, now| {
+        ("never becomes ready again", &lame_duck, |state, now| {
             DrainState {
-                is_ready: orders.is_ready && now < Duration::from_secs(1),
-                ..orders
+                is_ready: state.is_ready && now < Duration::from_secs(1),
+                ..state
             }
         }),
-        ("keeps idle ones", &lame_duck, |orders, _| DrainState {
-            existing_connections: ExistingConnections::Keep,
-            ..orders
+        ("keeps idle connections", &lame_duck, |state, _| {
+            DrainState {
+                existing_connections: ExistingConnections::Keep,
+                ..state
+            }
         }),
-        ("lets them go late", &lame_duck, |orders, _| {
-            match orders.existing_connections {
-                ExistingConnections::Keep => orders,
+        (
+            "closes idle connections late",
+            &lame_duck,
+            |state, _| match state.existing_connections {
+                ExistingConnections::Keep => state,
                 _ => DrainState {
-                    existing_connections: ExistingConnections::CloseGradually(LATELY + LAST),
-                    ..orders
+                    existing_connections: ExistingConnections::CloseGradually(
+                        RECENT + SHUTDOWN_LIMIT,
+                    ),
+                    ..state
                 },
-            }
-        }),
+            },
+        ),
         (
-            "turns away who may come",
-            &coming,
-            |orders, _| match orders.is_ready {
+            "rejects a connection too early",
+            &connect_in_drain,
+            |state, _| match state.is_ready {
                 false => DrainState {
                     new_connections: NewConnections::Reject,
-                    ..orders
+                    ..state
                 },
-                true => orders,
+                true => state,
             },
         ),
-        ("accepts what is another's", &ending, |orders, _| {
-            DrainState {
-                new_connections: NewConnections::Accept,
-                ..orders
-            }
+        ("accepts in a shutdown", &shutdown, |state, _| DrainState {
+            new_connections: NewConnections::Accept,
+            ..state
         }),
     ];
-    for (fault, steps, bends) in doubles {
-        assert!(play(steps, true, bends).is_err(), "{fault}");
+    for (fault, steps, distortion) in variants {
+        assert!(play(steps, true, distortion).is_err(), "{fault}");
     }
 }
--- a/operation/tests/metrics.rs
+++ b/operation/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Whatever happens in whatever order: what was taken is what has ended, has left or is outstanding.
+//! In any order of events, accepted requests equal ended plus disconnected plus outstanding ones.
 
 use proptest::prelude::*;
 use sedgebeam_operation::{Disposition, Metrics, RunningRequest};
@@ -6,9 +6,9 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Take(usize),
-    End(usize, Disposition),
-    Leave(usize),
+    Start(usize),
+    Finish(usize, Disposition),
+    Disconnect(usize),
     Forward(usize),
     Reload(bool),
 }
@@ -16,23 +16,23 @@
 const CLASSES: [&str; 3] = ["lookup", "a \"quoted\" class", "journal-load"];
 
 fn step() -> impl Strategy<Value = Step> {
-    let how = prop_oneof![
+    let disposition = prop_oneof![
         Just(Disposition::Succeeded),
         Just(Disposition::Declined),
         Just(Disposition::Aborted),
     ];
     prop_oneof![
-        4 => (0usize..3).prop_map(Step::Take),
-        3 => (0usize..9, how).prop_map(|(which, how)| Step::End(which, how)),
-        1 => (0usize..9).prop_map(Step::Leave),
+        4 => (0usize..3).prop_map(Step::Start),
+        3 => (0usize..9, disposition).prop_map(|(index, disposition)| Step::Finish(index, disposition)),
+        1 => (0usize..9).prop_map(Step::Disconnect),
         1 => (0usize..4).prop_map(Step::Forward),
         1 => any::<bool>().prop_map(Step::Reload),
     ]
 }
 
-/// The sum of all figures whose name begins so.
-fn sum(text: &str, name: &str) -> u64 {
-    let lines = text.lines().filter(|line| line.starts_with(name));
+/// The sum of all samples whose name starts with the prefix.
+fn sum(text: &str, prefix: &str) -> u64 {
+    let lines = text.lines().filter(|line| line.starts_with(prefix));
     let values = lines.map(|line| line.rsplit_once(' ').expect("a value").1);
     values
         .map(|value| value.parse::<u64>().expect("a number"))
@@ -41,53 +41,53 @@
 
 proptest! {
     #[test]
-    fn all_that_was_taken_is_accounted_for_at_any_moment(steps in prop::collection::vec(step(), 0..80)) {
-        let (figures, mut open) = (Metrics::default(), Vec::<(usize, RunningRequest)>::new());
+    fn every_accepted_request_is_counted_exactly_once_at_any_time(steps in prop::collection::vec(step(), 0..80)) {
+        let (metrics, mut requests) = (Metrics::default(), Vec::<(usize, RunningRequest)>::new());
         let mut ended: BTreeMap<(usize, &str), u64> = BTreeMap::new();
-        let (mut taken, mut left, mut forwards, mut reloads) = (0, 0, 0, [0, 0]);
+        let (mut accepted, mut disconnected, mut forwards, mut reloads) = (0, 0, 0, [0, 0]);
         for step in steps {
             match step {
-                Step::Take(class) => {
-                    taken += 1;
-                    open.push((class, figures.start_request(CLASSES[class])));
+                Step::Start(class) => {
+                    accepted += 1;
+                    requests.push((class, metrics.start_request(CLASSES[class])));
                 }
-                Step::End(which, how) if which < open.len() => {
-                    let (class, running) = open.swap_remove(which);
-                    running.finish(how);
-                    let word = match how {
+                Step::Finish(index, disposition) if index < requests.len() => {
+                    let (class, request) = requests.swap_remove(index);
+                    request.finish(disposition);
+                    let label = match disposition {
                         Disposition::Succeeded => "succeeded",
                         Disposition::Declined => "declined",
                         Disposition::Aborted => "aborted",
                     };
-                    *ended.entry((class, word)).or_default() += 1;
+                    *ended.entry((class, label)).or_default() += 1;
                 }
-                Step::Leave(which) if which < open.len() => {
-                    left += 1;
-                    drop(open.swap_remove(which));
+                Step::Disconnect(index) if index < requests.len() => {
+                    disconnected += 1;
+                    drop(requests.swap_remove(index));
                 }
                 Step::Forward(count) => {
                     forwards += count as u64;
-                    figures.count_forwards(count);
+                    metrics.count_forwards(count);
                 }
                 Step::Reload(applied) => {
                     reloads[usize::from(applied)] += 1;
-                    figures.count_reload(applied);
+                    metrics.count_reload(applied);
                 }
-                Step::End(..) | Step::Leave(_) => {}
+                Step::Finish(..) | Step::Disconnect(_) => {}
             }
-            let text = figures.encode(0).expect("is written");
+            let text = metrics.encode(0).expect("is written");
             let results = sum(&text, "dispatcher_results_total");
             prop_assert_eq!(results, ended.values().sum::<u64>());
-            prop_assert_eq!(sum(&text, "dispatcher_left_total"), left);
-            prop_assert_eq!(sum(&text, "dispatcher_outstanding"), open.len() as u64);
-            prop_assert_eq!(results + left + open.len() as u64, taken);
+            prop_assert_eq!(sum(&text, "dispatcher_left_total"), disconnected);
+            prop_assert_eq!(sum(&text, "dispatcher_outstanding"), requests.len() as u64);
+            prop_assert_eq!(results + disconnected + requests.len() as u64, accepted);
             prop_assert_eq!(sum(&text, "dispatcher_forwards_total"), forwards);
             prop_assert_eq!(sum(&text, "dispatcher_sighup_rejected_total"), reloads[0]);
             prop_assert_eq!(sum(&text, "dispatcher_sighup_applied_total"), reloads[1]);
-            for ((class, word), count) in &ended {
+            for ((class, label), count) in &ended {
                 let class = CLASSES[*class].replace('"', "\\\"");
-                let line = format!(r#"dispatcher_results_total{{service="{class}",disposition="{word}"}} {count}"#);
-                prop_assert!(text.lines().any(|told| told == line), "{} in {}", line, text);
+                let line = format!(r#"dispatcher_results_total{{service="{class}",disposition="{label}"}} {count}"#);
+                prop_assert!(text.lines().any(|found| found == line), "{} in {}", line, text);
             }
         }
     }
