--- a/reconfigure/src/lib.rs
+++ b/reconfigure/src/lib.rs
@@ -1,5 +1,5 @@
-//! New settings while a dispatcher runs: which files are taken, and what becomes of classes and tenants
-//! whose requests are under way. No I/O, no clock: times come in, in microseconds.
+//! Reconfiguration of a running dispatcher: which configuration files are accepted, and how classes and tenants with
+//! open requests are treated. Does no I/O and reads no clock: callers pass times in microseconds.
 
 pub mod completeness;
 mod settings_table;
--- a/reconfigure/src/settings_table.rs
+++ b/reconfigure/src/settings_table.rs
@@ -1,49 +1,50 @@
-//! The places of classes and tenants: all that goes by a place still means the same after a retuning.
+//! Stable indexes of classes and tenants: an index means the same class or tenant after a change of the settings.
 //!
-//! A class that stays keeps its place. One that vanishes, or comes back with another effect or placement,
-//! is retired: its requests end under the terms under which they were taken. Clients that began before may
-//! come back with its name until they have given up; later nobody knows it, and once no request of it can
-//! be under way its place is free.
+//! A class that is removed, or returns with another effect or placement, is retired: its open requests end under the
+//! terms at which they were accepted, and its name stays valid until clients that used it before have given up. Its
+//! index is free once no request of it can be open.
 
 use sedgebeam_core::{Class, Micros, Settings, Tenant};
 use sedgebeam_settings::Names;
 
-/// Classes, and tenants, that there can be at once, retired ones counted.
+/// Maximum number of classes, and of tenants, including retired ones.
 pub const MAX_TABLE_ENTRIES: usize = 1024;
-/// A client waits for one try at most this many times as long as its class's deadline.
-const PATIENCE: u64 = 2;
+/// The longest wait of a client for one try, in deadlines of its class.
+const MAX_WAIT_DEADLINES: u64 = 2;
 
-/// Settings whose lists stand by place, and the names that requests may use.
+/// Settings whose lists of classes and tenants have stable indexes, and the names that requests may use.
 #[derive(Clone, Debug, Default)]
 pub struct RuntimeSettings {
     pub settings: Settings,
-    /// A place that requests can't name any more has an empty name.
+    /// The name of an index that requests can no longer use is empty.
     pub names: Names,
-    /// The requests that may be open at once.
+    /// How many requests may be open at the same time.
     pub max_open_requests: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
-    Used,
-    /// Its name is known until the first time, zero once that is over, and its place is taken until the second.
+enum EntryState {
+    InUse,
+    /// The name is valid until the first time, which is zero once it has passed; the index is reserved until the
+    /// second.
     Retired(Micros, Micros),
     Free,
 }
 
+/// Runtime settings, and the lifetimes of their classes and tenants.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsTable {
     runtime_settings: RuntimeSettings,
-    classes: Vec<Life>,
-    tenants: Vec<Life>,
-    /// By class, until when requests may be open that were taken under other figures.
+    class_states: Vec<EntryState>,
+    tenant_states: Vec<EntryState>,
+    /// By class, until when requests may be open that were accepted under earlier settings.
     open_until: Vec<Micros>,
-    /// Tenants set by the administration: they count over those of the settings.
-    set: Vec<Tenant>,
+    /// Tenants set by administrators; they override those of the settings.
+    tenant_overrides: Vec<Tenant>,
 }
 
-/// Whether a request of the one is decided on as one of the other would be, but for figures.
-fn same(one: &Class, other: &Class) -> bool {
+/// Whether requests of both classes are handled alike, apart from numeric settings.
+fn is_same_class(one: &Class, other: &Class) -> bool {
     let terms = |class: &Class| {
         let order = (class.holds_group, class.in_key_order, class.is_streamed);
         (class.effect, order)
@@ -52,32 +53,36 @@
     one.name == other.name && terms(one) == terms(other) && placement
 }
 
-/// The place for a newcomer: that of its earlier self, or a free one, or one more.
-fn place(lives: &mut Vec<Life>, earlier: impl Fn(usize) -> bool) -> Option<usize> {
-    let was = (0..lives.len()).find(|place| lives[*place] != Life::Free && earlier(*place));
-    let place = was.or_else(|| lives.iter().position(|life| *life == Life::Free));
-    if place.is_none() && lives.len() < MAX_TABLE_ENTRIES {
-        lives.push(Life::Free);
-        return Some(lives.len() - 1);
+/// The index for a class or tenant: its previous one, a free one, or a new one at the end.
+fn assign_index(
+    states: &mut Vec<EntryState>,
+    is_previous: impl Fn(usize) -> bool,
+) -> Option<usize> {
+    let previous =
+        (0..states.len()).find(|index| states[*index] != EntryState::Free && is_previous(*index));
+    let index = previous.or_else(|| states.iter().position(|state| *state == EntryState::Free));
+    if index.is_none() && states.len() < MAX_TABLE_ENTRIES {
+        states.push(EntryState::Free);
+        return Some(states.len() - 1);
     }
-    place
+    index
 }
 
-fn put<T: Clone + Default>(list: &mut Vec<T>, place: usize, value: T) {
-    if list.len() <= place {
-        list.resize(place + 1, T::default());
+fn set_at<T: Clone + Default>(list: &mut Vec<T>, index: usize, value: T) {
+    if list.len() <= index {
+        list.resize(index + 1, T::default());
     }
-    list[place] = value;
+    list[index] = value;
 }
 
 impl SettingsTable {
-    pub fn new(tuning: RuntimeSettings) -> SettingsTable {
+    pub fn new(runtime_settings: RuntimeSettings) -> SettingsTable {
         SettingsTable {
-            classes: vec![Life::Used; tuning.settings.classes.len()],
-            tenants: vec![Life::Used; tuning.settings.tenants.len()],
-            open_until: vec![Micros(0); tuning.settings.classes.len()],
-            set: Vec::new(),
-            runtime_settings: tuning,
+            class_states: vec![EntryState::InUse; runtime_settings.settings.classes.len()],
+            tenant_states: vec![EntryState::InUse; runtime_settings.settings.tenants.len()],
+            open_until: vec![Micros(0); runtime_settings.settings.classes.len()],
+            tenant_overrides: Vec::new(),
+            runtime_settings,
         }
     }
 
@@ -85,177 +90,187 @@
         &self.runtime_settings
     }
 
-    /// Tenants set by the administration.
+    /// Tenants set by administrators.
     pub fn tenant_overrides(&self) -> &[Tenant] {
-        &self.set
+        &self.tenant_overrides
     }
 
-    /// How long requests of a class that are taken now may be open, or a client may come back.
-    fn patience(&self, class: &Class) -> Micros {
-        Micros(class.give_up.0.saturating_mul(PATIENCE))
+    /// How long a request of this class that is accepted now may be open, or its client may retry.
+    fn max_open_time(&self, class: &Class) -> Micros {
+        Micros(class.give_up.0.saturating_mul(MAX_WAIT_DEADLINES))
     }
 
-    /// Until when a request that was taken by now may be open.
-    fn open_until(&self, place: usize, now: Micros) -> Micros {
-        let patience = self.patience(&self.runtime_settings.settings.classes[place]);
-        (now + patience + self.runtime_settings.settings.answer_slack).max(self.open_until[place])
+    /// Until when a request that was accepted by now may be open.
+    fn open_until(&self, index: usize, now: Micros) -> Micros {
+        let max_open_time = self.max_open_time(&self.runtime_settings.settings.classes[index]);
+        (now + max_open_time + self.runtime_settings.settings.answer_slack)
+            .max(self.open_until[index])
     }
 
-    /// The same of requests of any class.
-    fn all_open_until(&self, now: Micros) -> Micros {
-        let places = 0..self.classes.len();
-        let until = places.map(|place| self.open_until(place, now));
+    /// Until when a request of any class that was accepted by now may be open.
+    fn any_class_open_until(&self, now: Micros) -> Micros {
+        let indexes = 0..self.class_states.len();
+        let until = indexes.map(|index| self.open_until(index, now));
         until.max().unwrap_or_default()
     }
 
-    /// Takes new settings as a file has them; `None`, and nothing changes, where there is no room for all of
-    /// their classes and tenants.
-    pub fn reconfigure(&mut self, now: Micros, told: &RuntimeSettings) -> Option<&RuntimeSettings> {
+    /// Applies new settings as read from a file. Returns `None` and changes nothing where their classes or tenants
+    /// do not fit into the table.
+    pub fn reconfigure(&mut self, now: Micros, new: &RuntimeSettings) -> Option<&RuntimeSettings> {
         let mut next = self.clone();
         next.expire(now);
-        next.take_classes(now, &told.settings.classes)?;
-        next.take_tenants(now, &told.settings.tenants)?;
+        next.update_classes(now, &new.settings.classes)?;
+        next.update_tenants(now, &new.settings.tenants)?;
         let settings = std::mem::take(&mut next.runtime_settings.settings);
-        next.runtime_settings = told.clone();
+        next.runtime_settings = new.clone();
         next.runtime_settings.settings.classes = settings.classes;
         next.runtime_settings.settings.tenants = settings.tenants;
-        next.name();
+        next.update_names();
         *self = next;
         Some(&self.runtime_settings)
     }
 
-    fn take_classes(&mut self, now: Micros, told: &[Class]) -> Option<()> {
-        let mut used = Vec::new();
-        for class in told {
-            let known = &self.runtime_settings.settings.classes;
-            let earlier = |place: usize| same(&known[place], class) && !used.contains(&place);
-            let place = place(&mut self.classes, earlier)?;
-            let until = match self.classes[place] {
-                Life::Free => now,
-                _ => self.open_until(place, now),
+    fn update_classes(&mut self, now: Micros, new_classes: &[Class]) -> Option<()> {
+        let mut used_indexes = Vec::new();
+        for class in new_classes {
+            let classes = &self.runtime_settings.settings.classes;
+            let is_previous = |index: usize| {
+                is_same_class(&classes[index], class) && !used_indexes.contains(&index)
             };
-            put(&mut self.open_until, place, until);
-            self.classes[place] = Life::Used;
-            used.push(place);
-            put(
+            let index = assign_index(&mut self.class_states, is_previous)?;
+            let until = match self.class_states[index] {
+                EntryState::Free => now,
+                _ => self.open_until(index, now),
+            };
+            set_at(&mut self.open_until, index, until);
+            self.class_states[index] = EntryState::InUse;
+            used_indexes.push(index);
+            set_at(
                 &mut self.runtime_settings.settings.classes,
-                place,
+                index,
                 class.clone(),
             );
         }
-        for place in 0..self.classes.len() {
-            if self.classes[place] == Life::Used && !used.contains(&place) {
-                let named = now + self.patience(&self.runtime_settings.settings.classes[place]);
-                let taken = self.open_until(place, named);
-                let class = &mut self.runtime_settings.settings.classes[place];
+        for index in 0..self.class_states.len() {
+            if self.class_states[index] == EntryState::InUse && !used_indexes.contains(&index) {
+                let name_until =
+                    now + self.max_open_time(&self.runtime_settings.settings.classes[index]);
+                let index_until = self.open_until(index, name_until);
+                let class = &mut self.runtime_settings.settings.classes[index];
                 class.retired = true;
                 let name = class.name.clone();
-                self.unname(&name);
-                self.classes[place] = Life::Retired(named, taken);
+                self.expire_retired_names(&name);
+                self.class_states[index] = EntryState::Retired(name_until, index_until);
             }
         }
         Some(())
     }
 
-    /// Whoever comes back with a name means the class that had it last, not those before.
-    fn unname(&mut self, name: &str) {
+    /// A name refers to the class that had it last, so earlier retired classes lose it.
+    fn expire_retired_names(&mut self, name: &str) {
         let classes = self.runtime_settings.settings.classes.iter();
-        for (life, _) in self
-            .classes
+        for (state, _) in self
+            .class_states
             .iter_mut()
             .zip(classes)
             .filter(|(_, class)| class.name == name)
         {
-            if let Life::Retired(named, _) = life {
-                *named = Micros(0);
+            if let EntryState::Retired(name_until, _) = state {
+                *name_until = Micros(0);
             }
         }
     }
 
-    fn take_tenants(&mut self, now: Micros, told: &[Tenant]) -> Option<()> {
-        let mut used = Vec::new();
-        let set = self.set.clone();
-        let told = told
+    fn update_tenants(&mut self, now: Micros, new_tenants: &[Tenant]) -> Option<()> {
+        let mut used_indexes = Vec::new();
+        let overrides = self.tenant_overrides.clone();
+        let not_overridden = new_tenants
             .iter()
-            .filter(|tenant| !set.iter().any(|set| set.name == tenant.name));
-        for tenant in told.chain(&set) {
-            let known = &self.runtime_settings.settings.tenants;
-            let earlier = |place: usize| known[place].name == tenant.name;
-            let place = place(&mut self.tenants, earlier)?;
-            self.tenants[place] = Life::Used;
-            used.push(place);
-            put(
+            .filter(|tenant| !overrides.iter().any(|known| known.name == tenant.name));
+        for tenant in not_overridden.chain(&overrides) {
+            let tenants = &self.runtime_settings.settings.tenants;
+            let is_previous = |index: usize| tenants[index].name == tenant.name;
+            let index = assign_index(&mut self.tenant_states, is_previous)?;
+            self.tenant_states[index] = EntryState::InUse;
+            used_indexes.push(index);
+            set_at(
                 &mut self.runtime_settings.settings.tenants,
-                place,
+                index,
                 tenant.clone(),
             );
         }
         let classes = self.runtime_settings.settings.classes.iter();
-        let named = classes.map(|class| now + self.patience(class)).max();
-        let named = named.unwrap_or_default();
-        for place in 0..self.tenants.len() {
-            match self.tenants[place] {
-                Life::Used if !used.contains(&place) => {
-                    self.tenants[place] = Life::Retired(named, self.all_open_until(named));
-                    // What is under way of it goes on with no claim of its own.
-                    let tenant = &mut self.runtime_settings.settings.tenants[place];
+        let name_until = classes.map(|class| now + self.max_open_time(class)).max();
+        let name_until = name_until.unwrap_or_default();
+        for index in 0..self.tenant_states.len() {
+            match self.tenant_states[index] {
+                EntryState::InUse if !used_indexes.contains(&index) => {
+                    self.tenant_states[index] =
+                        EntryState::Retired(name_until, self.any_class_open_until(name_until));
+                    // Its open requests continue without a guaranteed share.
+                    let tenant = &mut self.runtime_settings.settings.tenants[index];
                     (tenant.share, tenant.requests_per_second) = (0.0, 0.0);
                 }
-                // Its last requests may be of classes whose deadlines are longer now.
-                Life::Retired(named, taken) => {
-                    let taken = self.all_open_until(named).max(taken);
-                    self.tenants[place] = Life::Retired(named, taken);
+                // Its last requests may be of classes whose deadlines have become longer.
+                EntryState::Retired(name_until, index_until) => {
+                    let index_until = self.any_class_open_until(name_until).max(index_until);
+                    self.tenant_states[index] = EntryState::Retired(name_until, index_until);
                 }
-                Life::Used | Life::Free => {}
+                EntryState::InUse | EntryState::Free => {}
             }
         }
         Some(())
     }
 
-    /// The administration sets a tenant's share, or adds it; false where there is no room for one more.
+    /// Sets a tenant on behalf of an administrator, or adds it; false where the table is full.
     pub fn set_tenant(&mut self, tenant: &Tenant) -> bool {
-        let known = &self.runtime_settings.settings.tenants;
-        let place = place(&mut self.tenants, |place| known[place].name == tenant.name);
-        let Some(place) = place else { return false };
-        self.tenants[place] = Life::Used;
-        put(
+        let tenants = &self.runtime_settings.settings.tenants;
+        let index = assign_index(&mut self.tenant_states, |index| {
+            tenants[index].name == tenant.name
+        });
+        let Some(index) = index else { return false };
+        self.tenant_states[index] = EntryState::InUse;
+        set_at(
             &mut self.runtime_settings.settings.tenants,
-            place,
+            index,
             tenant.clone(),
         );
-        self.set.retain(|set| set.name != tenant.name);
-        self.set.push(tenant.clone());
-        self.name();
+        self.tenant_overrides
+            .retain(|known| known.name != tenant.name);
+        self.tenant_overrides.push(tenant.clone());
+        self.update_names();
         true
     }
 
-    /// Forgets what is over by now; true where names that requests may use have changed.
+    /// Removes names and indexes whose time has passed; true where the names that requests may use have changed.
     pub fn expire(&mut self, now: Micros) -> bool {
-        for life in self.classes.iter_mut().chain(&mut self.tenants) {
-            match life {
-                Life::Retired(_, taken) if *taken <= now => *life = Life::Free,
-                Life::Retired(named, _) if *named <= now => *named = Micros(0),
+        for state in self.class_states.iter_mut().chain(&mut self.tenant_states) {
+            match state {
+                EntryState::Retired(_, index_until) if *index_until <= now => {
+                    *state = EntryState::Free
+                }
+                EntryState::Retired(name_until, _) if *name_until <= now => *name_until = Micros(0),
                 _ => {}
             }
         }
         let before = self.runtime_settings.names.clone();
-        self.name();
+        self.update_names();
         let names = &self.runtime_settings.names;
         (before.classes, before.tenants) != (names.classes.clone(), names.tenants.clone())
     }
 
-    /// When the next name is known no longer.
+    /// When the next retired name becomes invalid.
     pub fn next_expiry(&self) -> Option<Micros> {
-        let lives = self.classes.iter().chain(&self.tenants);
-        let ends = lives.filter_map(|life| match life {
-            Life::Retired(named, _) if *named > Micros(0) => Some(*named),
+        let states = self.class_states.iter().chain(&self.tenant_states);
+        let expiries = states.filter_map(|state| match state {
+            EntryState::Retired(name_until, _) if *name_until > Micros(0) => Some(*name_until),
             _ => None,
         });
-        ends.min()
+        expiries.min()
     }
 
-    /// Writes the names that requests may use; of two of one name, that of the settings.
-    fn name(&mut self) {
+    /// Updates the names that requests may use. Of two entries of one name, the one in use keeps it.
+    fn update_names(&mut self) {
         let (settings, names) = (
             &self.runtime_settings.settings,
             &mut self.runtime_settings.names,
@@ -268,23 +283,24 @@
         let tenants: Vec<&str> = settings
             .tenants
             .iter()
-            .map(|known| known.name.as_str())
+            .map(|tenant| tenant.name.as_str())
             .collect();
-        names.classes = named(&classes, &self.classes);
-        names.tenants = named(&tenants, &self.tenants);
+        names.classes = visible_names(&classes, &self.class_states);
+        names.tenants = visible_names(&tenants, &self.tenant_states);
         names.give_up = settings.classes.iter().map(|class| class.give_up).collect();
     }
 }
 
-fn named(names: &[&str], lives: &[Life]) -> Vec<String> {
-    let used = |name: &str| {
-        let mut places = names.iter().zip(lives);
-        places.any(|(known, life)| *known == name && *life == Life::Used)
+/// The name of each entry, empty where requests can no longer use it.
+fn visible_names(names: &[&str], states: &[EntryState]) -> Vec<String> {
+    let is_in_use = |name: &str| {
+        let mut entries = names.iter().zip(states);
+        entries.any(|(known, state)| *known == name && *state == EntryState::InUse)
     };
-    let name = |(name, life): (&&str, &Life)| match life {
-        Life::Used => name.to_string(),
-        Life::Retired(until, _) if *until > Micros(0) && !used(name) => name.to_string(),
+    let visible_name = |(name, state): (&&str, &EntryState)| match state {
+        EntryState::InUse => name.to_string(),
+        EntryState::Retired(until, _) if *until > Micros(0) && !is_in_use(name) => name.to_string(),
         _ => String::new(),
     };
-    names.iter().zip(lives).map(name).collect()
+    names.iter().zip(states).map(visible_name).collect()
 }
--- a/reconfigure/tests/stable_indexes.rs
+++ b/reconfigure/tests/stable_indexes.rs
@@ -1,5 +1,5 @@
-//! Whatever is retuned when: a request's place means what it meant when the request was taken, as long as it
-//! may be open, and every class of the settings can be named.
+//! For any sequence of changes of the settings: the index of a request keeps its meaning while the request may be open,
+//! and every class of the latest settings can be named.
 
 use proptest::prelude::*;
 use sedgebeam_core::{Class, DedupScope, Effect, Micros, Settings, Tenant};
@@ -8,7 +8,7 @@
 
 const SLACK: Micros = Micros::from_millis(20);
 
-/// A class by its number among a few: those of one name differ in effect, placement or figures.
+/// One of 16 classes: those that share a name differ in effect or in whether they hold a table group.
 fn class(number: u8, give_up: u64) -> Class {
     let effects = [
         Effect::Repeatable,
@@ -25,11 +25,11 @@
     }
 }
 
-fn told(numbers: &[u8], tenants: &[u8], give_up: u64) -> RuntimeSettings {
+fn runtime_settings(numbers: &[u8], tenants: &[u8], give_up: u64) -> RuntimeSettings {
     let mut classes: Vec<Class> = Vec::new();
     for number in numbers {
         let class = class(*number, give_up);
-        if classes.iter().all(|known| known.name != class.name) {
+        if classes.iter().all(|other| other.name != class.name) {
             classes.push(class);
         }
     }
@@ -54,19 +54,19 @@
     }
 }
 
-/// A request that was taken: its places, and what they meant.
-struct Open {
-    class: usize,
-    meant: Class,
+/// An open request: its indexes, and what they meant when it was accepted.
+struct OpenRequest {
+    class_index: usize,
+    accepted_class: Class,
     tenant: Option<(usize, String)>,
-    until: Micros,
+    open_until: Micros,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Retune(Vec<u8>, Vec<u8>, u64),
+    Reconfigure(Vec<u8>, Vec<u8>, u64),
     SetTenant(u8),
-    Passes(u64),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -74,26 +74,26 @@
     let tenants = proptest::collection::btree_set(0u8..4, 0..3);
     prop_oneof![
         3 => (classes, tenants, 1u64..4).prop_map(|(classes, tenants, seconds)|
-            Step::Retune(classes, tenants.into_iter().collect(), seconds * 1000)),
+            Step::Reconfigure(classes, tenants.into_iter().collect(), seconds * 1000)),
         1 => (0u8..6).prop_map(Step::SetTenant),
-        4 => (1u64..9000).prop_map(Step::Passes),
+        4 => (1u64..9000).prop_map(Step::Advance),
     ]
 }
 
-/// Plays the steps, with a request of each class and tenant that can be named after each; what is wrong first.
-fn play(steps: &[Step], early: Micros) -> Result<(), String> {
-    let first = told(&[0, 1, 2], &[0, 1], 1000);
+/// Plays the steps, and after each accepts a request of every class that can be named; returns the first violation.
+/// `clock_error` lets the clock of the table run ahead, by more at each step, so that entries expire too early.
+fn play(steps: &[Step], clock_error: Micros) -> Result<(), String> {
+    let first = runtime_settings(&[0, 1, 2], &[0, 1], 1000);
     let (mut table, mut now) = (SettingsTable::new(first.clone()), Micros(1));
-    let (mut last, mut open): (RuntimeSettings, Vec<Open>) = (first, Vec::new());
-    for (turn, step) in steps.iter().enumerate() {
+    let (mut latest, mut open_requests): (RuntimeSettings, Vec<OpenRequest>) = (first, Vec::new());
+    for (step_index, step) in steps.iter().enumerate() {
         match step {
-            Step::Retune(classes, tenants, give_up) => {
-                last = told(classes, tenants, *give_up);
-                // A double forgets earlier than it may.
-                let ahead = early.times(turn as f64);
-                let taken = table.reconfigure(now + ahead, &last).is_some();
-                if !taken {
-                    return Err("there is room".to_string());
+            Step::Reconfigure(classes, tenants, give_up) => {
+                latest = runtime_settings(classes, tenants, *give_up);
+                let ahead = clock_error.times(step_index as f64);
+                let is_applied = table.reconfigure(now + ahead, &latest).is_some();
+                if !is_applied {
+                    return Err("the settings do not fit into the table".to_string());
                 }
             }
             Step::SetTenant(number) => {
@@ -102,49 +102,56 @@
                     ..Tenant::default()
                 };
                 if !table.set_tenant(&tenant) {
-                    return Err("there is room for a tenant".to_string());
+                    return Err("the tenant does not fit into the table".to_string());
                 }
             }
-            Step::Passes(millis) => now = now + Micros::from_millis(*millis),
+            Step::Advance(millis) => now = now + Micros::from_millis(*millis),
         }
         table.expire(now);
         let RuntimeSettings {
             settings, names, ..
         } = table.runtime_settings();
-        open.retain(|request| request.until > now);
-        for request in &open {
-            let (is, was) = (&settings.classes[request.class], &request.meant);
-            if (&is.name, is.effect, is.holds_group) != (&was.name, was.effect, was.holds_group) {
-                return Err(format!("a request of {was:?} is now one of {is:?}"));
+        open_requests.retain(|request| request.open_until > now);
+        for request in &open_requests {
+            let (current, accepted) = (
+                &settings.classes[request.class_index],
+                &request.accepted_class,
+            );
+            if (&current.name, current.effect, current.holds_group)
+                != (&accepted.name, accepted.effect, accepted.holds_group)
+            {
+                return Err(format!(
+                    "a request of {accepted:?} is now one of {current:?}"
+                ));
             }
-            if let Some((place, name)) = &request.tenant
-                && settings.tenants[*place].name != *name
+            if let Some((index, name)) = &request.tenant
+                && settings.tenants[*index].name != *name
             {
-                return Err(format!("a request of {name} is now another's"));
+                return Err(format!("a request of {name} is now one of another tenant"));
             }
         }
-        for class in &last.settings.classes {
-            let place = names.class(&class.name).map(|id| id.0);
-            let found = place.map(|place| &settings.classes[place]);
+        for class in &latest.settings.classes {
+            let index = names.class(&class.name).map(|id| id.0);
+            let found = index.map(|index| &settings.classes[index]);
             if found.is_none_or(|found| found != class) {
-                return Err(format!("{} is not found as it was told", class.name));
+                return Err(format!("{} is not found as configured", class.name));
             }
         }
-        for place in 0..settings.classes.len() {
-            let name = &names.classes[place];
+        for index in 0..settings.classes.len() {
+            let name = &names.classes[index];
             if name.is_empty() {
                 continue;
             }
-            if names.class(name).map(|id| id.0) != Some(place) {
-                return Err(format!("{name} names two places"));
+            if names.class(name).map(|id| id.0) != Some(index) {
+                return Err(format!("{name} refers to two indexes"));
             }
-            let meant = settings.classes[place].clone();
+            let accepted_class = settings.classes[index].clone();
             let tenant = names.tenants.iter().position(|name| !name.is_empty());
-            open.push(Open {
-                class: place,
-                until: now + meant.give_up + meant.give_up + SLACK,
-                meant,
-                tenant: tenant.map(|place| (place, names.tenants[place].clone())),
+            open_requests.push(OpenRequest {
+                class_index: index,
+                open_until: now + accepted_class.give_up + accepted_class.give_up + SLACK,
+                accepted_class,
+                tenant: tenant.map(|index| (index, names.tenants[index].clone())),
             });
         }
     }
@@ -153,7 +160,7 @@
 
 proptest! {
     #[test]
-    fn requests_under_way_keep_their_class_and_every_class_can_be_named(
+    fn open_requests_keep_their_class_and_every_class_can_be_named(
         steps in proptest::collection::vec(step(), 1..40),
     ) {
         prop_assert_eq!(play(&steps, Micros(0)), Ok(()));
@@ -161,29 +168,36 @@
 }
 
 #[test]
-fn a_table_that_gives_places_away_too_early_is_caught() {
-    let retune = |class| Step::Retune(vec![class], Vec::new(), 1000);
-    let steps = [retune(4), retune(5), retune(6), retune(7), retune(8)];
+fn a_table_that_reuses_indexes_too_early_is_detected() {
+    let reconfigure = |class| Step::Reconfigure(vec![class], Vec::new(), 1000);
+    let steps = [
+        reconfigure(4),
+        reconfigure(5),
+        reconfigure(6),
+        reconfigure(7),
+        reconfigure(8),
+    ];
     assert_eq!(play(&steps, Micros(0)), Ok(()));
     assert!(play(&steps, Micros::from_millis(60_000)).is_err());
 }
 
 #[test]
-fn a_vanished_name_is_known_until_its_clients_have_given_up() {
-    let mut table = SettingsTable::new(told(&[0, 1], &[], 1000));
-    let after = |table: &SettingsTable, name| table.runtime_settings().names.class(name).is_some();
-    table.reconfigure(Micros(1), &told(&[0], &[], 1000));
-    assert!(after(&table, "class-1") && after(&table, "class-0"));
-    let end = table.next_expiry().expect("a name ends");
-    assert_eq!(end, Micros::from_millis(2000) + Micros(1));
-    assert!(table.expire(end) && !after(&table, "class-1"));
-    assert_eq!((table.next_expiry(), table.expire(end)), (None, false));
+fn a_removed_name_is_valid_until_its_clients_have_given_up() {
+    let mut table = SettingsTable::new(runtime_settings(&[0, 1], &[], 1000));
+    let is_valid =
+        |table: &SettingsTable, name| table.runtime_settings().names.class(name).is_some();
+    table.reconfigure(Micros(1), &runtime_settings(&[0], &[], 1000));
+    assert!(is_valid(&table, "class-1") && is_valid(&table, "class-0"));
+    let expiry = table.next_expiry().expect("a name expires");
+    assert_eq!(expiry, Micros::from_millis(2000) + Micros(1));
+    assert!(table.expire(expiry) && !is_valid(&table, "class-1"));
+    assert_eq!((table.next_expiry(), table.expire(expiry)), (None, false));
 }
 
 #[test]
-fn settings_for_which_there_is_no_room_change_nothing() {
-    let mut table = SettingsTable::new(told(&[0], &[], 1000));
-    let mut many = told(&[], &[], 1000);
+fn settings_that_exceed_the_table_change_nothing() {
+    let mut table = SettingsTable::new(runtime_settings(&[0], &[], 1000));
+    let mut many = runtime_settings(&[], &[], 1000);
     let class = |number| Class {
         name: format!("more-{number}"),
         ..class(0, 1000)
