--- a/discovery/src/follower.rs
+++ b/discovery/src/follower.rs
@@ -1,179 +1,180 @@
-//! How one follower of a change log among many keeps up with it: what becomes of each event, from which number the
-//! log is asked again, and after which pause. No I/O, no clock.
+//! Follows a change log: handles its events, decides from which sequence number to resume and after which delay.
 //!
-//! Guards against what hundreds of followers do together when one event reaches all: a log that breaks off, moves or
-//! leaves an event out would be asked by all at one moment, over and over while it is down, and for its whole list.
+//! The delays are randomized and grow with the number of followers, as hundreds of them react to the same event: when
+//! the log disconnects, moves or omits an event, all would retry at once, repeatedly, and request the complete list.
+//! Does no I/O and reads no clock.
 
 use crate::{ListUpdate, Target, apply_update};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// A first try comes within this much for each follower: at most a thousand a second of all together.
-const FIRST_EACH: Duration = Duration::from_millis(1);
-/// The longest pause for each follower: two to three hundred tries a second of all while the log is down.
-const LONGEST_EACH: Duration = Duration::from_millis(5);
-/// The pauses of few followers.
-const FIRST: Duration = Duration::from_millis(50);
-const LONGEST: Duration = Duration::from_millis(250);
-/// What the log tells counts as told seven seconds later at the latest, heard or not; a try may take a second, and
-/// the first after its return may be lost.
-const MOST: Duration = Duration::from_millis(2000);
-/// A pause is drawn from this part of its length to the whole.
-const SHORTEST_PART: f64 = 0.5;
+/// Upper bound of the first delay, per follower: all followers together make at most 1000 first tries per second.
+const FIRST_DELAY_PER_FOLLOWER: Duration = Duration::from_millis(1);
+/// Longest delay, per follower: all followers together make 200 to 300 tries per second while the log is down.
+const LONGEST_DELAY_PER_FOLLOWER: Duration = Duration::from_millis(5);
+/// The delays where there are few followers.
+const MIN_FIRST_DELAY: Duration = Duration::from_millis(50);
+const MIN_LONGEST_DELAY: Duration = Duration::from_millis(250);
+/// Upper bound of all delays. A change counts as known to each follower 7 s after the log publishes it, received or
+/// not; a try may take 1 s, and the first one after the log returns may be lost.
+const MAX_DELAY: Duration = Duration::from_millis(2000);
+/// Smallest random factor of a delay; the largest is 1.
+const MIN_JITTER: f64 = 0.5;
 
-/// Pauses between tries: the first is short, each further one twice as long up to a bound that grows with the number
-/// of followers, and each is drawn.
+/// Exponential backoff with jitter between tries to reach the change log. Its bounds grow with the number of followers.
 #[derive(Debug)]
 pub struct RetryBackoff {
-    first: Duration,
-    longest: Duration,
-    /// Tries since something new was heard.
+    first_delay: Duration,
+    longest_delay: Duration,
+    /// Tries since the last new event.
     tries: u32,
-    draws: StdRng,
+    rng: StdRng,
 }
 
 impl RetryBackoff {
-    /// For one of so many followers.
     pub fn new(followers: u32, seed: u64) -> RetryBackoff {
-        let each = |length: Duration| length.saturating_mul(followers);
+        let for_all = |delay: Duration| delay.saturating_mul(followers);
         RetryBackoff {
-            first: each(FIRST_EACH).clamp(FIRST, MOST),
-            longest: each(LONGEST_EACH).clamp(LONGEST, MOST),
+            first_delay: for_all(FIRST_DELAY_PER_FOLLOWER).clamp(MIN_FIRST_DELAY, MAX_DELAY),
+            longest_delay: for_all(LONGEST_DELAY_PER_FOLLOWER).clamp(MIN_LONGEST_DELAY, MAX_DELAY),
             tries: 0,
-            draws: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Something new was heard.
+    /// Starts again with the first delay, after a new event.
     pub fn reset(&mut self) {
         self.tries = 0;
     }
 
-    /// The pause before the next try.
+    /// The delay before the next try.
     pub fn next_delay(&mut self) -> Duration {
-        let length = self.first.saturating_mul(1 << self.tries.min(16));
-        let first = self.tries == 0;
+        let delay = self.first_delay.saturating_mul(1 << self.tries.min(16));
+        let is_first_try = self.tries == 0;
         self.tries += 1;
-        // A first try may come at once: one event has just reached all, and spread over it they ask evenly.
-        let least = if first { 0.0 } else { SHORTEST_PART };
-        let part = self.draws.random_range(least..=1.0);
-        length.min(self.longest).mul_f64(part)
+        // The first delay starts at zero: after an event that reaches all followers, their tries are spread evenly.
+        let min_jitter = if is_first_try { 0.0 } else { MIN_JITTER };
+        let jitter = self.rng.random_range(min_jitter..=1.0);
+        delay.min(self.longest_delay).mul_f64(jitter)
     }
 }
 
-/// A whole list that is being had again.
+/// A complete list that is being received again.
 #[derive(Clone, Debug, Default)]
 struct Rebuild {
     list: Vec<Target>,
-    /// The number up to which the list holds; none before the whole list has begun.
-    reached: Option<u64>,
-    /// It holds all that is known to exist from this number on.
-    until: u64,
+    /// The last event that the list includes; `None` before the complete list arrives.
+    last_seq: Option<u64>,
+    /// The latest event that is known to exist: the list is published once it includes this one.
+    required_seq: u64,
 }
 
-/// What follows from an event.
+/// What the caller must do after an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowerAction {
-    /// Nothing: it is old, or more must come first.
+    /// Nothing: the event is old, or more events are needed first.
     Ignore,
-    /// This is to be told, and then [`Follower::told`] of this number.
+    /// Publish this update, then call [`Follower::mark_published`] with this sequence number.
     Publish(u64, ListUpdate, Vec<Target>),
-    /// The log is to be asked again.
+    /// Connect to the log again.
     Reconnect,
 }
 
-/// What one follower has heard of the change log.
+/// What one follower knows of the change log.
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
-    reached: u64,
-    /// The log has been asked again from the number reached because of a gap.
-    asked_again: bool,
+    published_seq: u64,
+    /// After a gap the log was already requested once more from the published event.
+    has_retried_gap: bool,
     rebuild: Option<Rebuild>,
 }
 
 impl Follower {
-    /// One that knows all up to a number.
-    pub fn new(reached: u64) -> Follower {
+    /// `published_seq` is the last event that is already known.
+    pub fn new(published_seq: u64) -> Follower {
         Follower {
-            reached,
+            published_seq,
             ..Follower::default()
         }
     }
 
-    /// The number after which the log is asked; zero for its whole list.
+    /// The sequence number after which events are requested on a new connection; zero requests the complete list.
     pub fn resume_after(&mut self) -> u64 {
         match &mut self.rebuild {
             Some(rebuild) => {
-                // Each connection begins with the whole list anew.
-                (rebuild.list, rebuild.reached) = (Vec::new(), None);
+                // Each connection starts with the complete list.
+                (rebuild.list, rebuild.last_seq) = (Vec::new(), None);
                 0
             }
-            None => self.reached,
+            None => self.published_seq,
         }
     }
 
-    /// An event has come. A gap has the log asked again from the number reached, which is cheap and mends what got lost
-    /// on the way; where it stays, the whole list is had, and told only once it holds all that is known to exist, so
-    /// that no engine is forgotten meanwhile.
+    /// Handles an event. After a gap the log is requested once more from the published event, which is cheap and recovers
+    /// events lost in transit. If the gap remains, the complete list is requested. It is published only once it includes
+    /// all events that are known to exist, so that no engine is lost meanwhile.
     pub fn handle_event(
         &mut self,
         seq: u64,
-        listing: ListUpdate,
+        update: ListUpdate,
         targets: Vec<Target>,
     ) -> FollowerAction {
-        let whole = listing != ListUpdate::Changes;
+        let is_complete = update != ListUpdate::Changes;
         if let Some(rebuild) = &mut self.rebuild {
-            match rebuild.reached {
-                None if !whole => return FollowerAction::Ignore,
-                Some(reached) if seq <= reached => return FollowerAction::Ignore,
-                Some(reached) if !whole && seq > reached + 1 => return FollowerAction::Reconnect,
+            match rebuild.last_seq {
+                None if !is_complete => return FollowerAction::Ignore,
+                Some(last_seq) if seq <= last_seq => return FollowerAction::Ignore,
+                Some(last_seq) if !is_complete && seq > last_seq + 1 => {
+                    return FollowerAction::Reconnect;
+                }
                 _ => {}
             }
-            apply_update(&mut rebuild.list, listing, &targets);
-            rebuild.reached = Some(seq);
-            let list = (seq >= rebuild.until).then(|| rebuild.list.clone());
+            apply_update(&mut rebuild.list, update, &targets);
+            rebuild.last_seq = Some(seq);
+            let list = (seq >= rebuild.required_seq).then(|| rebuild.list.clone());
             return list.map_or(FollowerAction::Ignore, |list| {
                 FollowerAction::Publish(seq, ListUpdate::Complete, list)
             });
         }
-        // An event that is told again is an old state, also where it holds the whole list.
-        if seq <= self.reached {
+        // A repeated event is an old state, also where it has the complete list.
+        if seq <= self.published_seq {
             return FollowerAction::Ignore;
         }
-        if whole || seq == self.reached + 1 {
-            return FollowerAction::Publish(seq, listing, targets);
+        if is_complete || seq == self.published_seq + 1 {
+            return FollowerAction::Publish(seq, update, targets);
         }
-        if std::mem::replace(&mut self.asked_again, true) {
+        if std::mem::replace(&mut self.has_retried_gap, true) {
             self.rebuild = Some(Rebuild {
-                until: seq,
+                required_seq: seq,
                 ..Rebuild::default()
             });
         }
         FollowerAction::Reconnect
     }
 
-    /// The log says nothing for a while: it has said all that it has, or is slow. A list that is being had again is told
-    /// as far as it came, though it lacks what was heard of before, but only where it is newer than what was told.
+    /// Handles a log that sends nothing for a while, because it has sent everything or is slow. A list that is being
+    /// rebuilt is published as far as it was received, even without events known before, but only where it is newer than
+    /// the published one.
     pub fn handle_silence(&mut self) -> FollowerAction {
         let Some(rebuild) = &self.rebuild else {
             return FollowerAction::Ignore;
         };
-        match rebuild.reached {
-            Some(seq) if seq > self.reached => {
+        match rebuild.last_seq {
+            Some(seq) if seq > self.published_seq => {
                 FollowerAction::Publish(seq, ListUpdate::Complete, rebuild.list.clone())
             }
             _ => FollowerAction::Ignore,
         }
     }
 
-    /// What was to be told has been told.
+    /// Records that an update was published.
     pub fn mark_published(&mut self, seq: u64) {
-        self.reached = seq;
-        (self.rebuild, self.asked_again) = (None, false);
+        self.published_seq = seq;
+        (self.rebuild, self.has_retried_gap) = (None, false);
     }
 
-    /// Whether the whole list is being had.
+    /// Whether the complete list is being received again.
     pub fn is_rebuilding(&self) -> bool {
         self.rebuild.is_some()
     }
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -1,4 +1,4 @@
-//! Engines as a list names them, wherever the list comes from, and how it is followed. No I/O.
+//! Discovery of engines: the entries of an engine list, its updates, and a follower of its change log. Does no I/O.
 
 mod follower;
 
@@ -6,7 +6,7 @@
 
 use miniserde::{Deserialize, Serialize};
 
-/// An engine as listed.
+/// An entry of the engine list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Target {
     pub uid: String,
@@ -18,23 +18,26 @@
     pub boot_ms: Option<f64>,
 }
 
-/// Applies a change to a list: what it names stands behind the rest, and what is removed goes.
-pub fn apply_update(list: &mut Vec<Target>, listing: ListUpdate, targets: &[Target]) {
-    if listing != ListUpdate::Changes {
+/// Applies an update to a list: updated entries move to its end, and removed ones are deleted.
+pub fn apply_update(list: &mut Vec<Target>, update: ListUpdate, targets: &[Target]) {
+    if update != ListUpdate::Changes {
         list.clear();
     }
     for target in targets {
-        list.retain(|known| known.uid != target.uid);
+        list.retain(|listed| listed.uid != target.uid);
         if target.state != "removed" {
             list.push(target.clone());
         }
     }
 }
 
-/// What a list stands for.
+/// What a received list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
+    /// A complete list from an earlier time.
     Saved,
+    /// The complete current list.
     Complete,
+    /// Only the entries that changed.
     Changes,
 }
--- a/discovery/tests/follower.rs
+++ b/discovery/tests/follower.rs
@@ -1,4 +1,4 @@
-//! Followers of a change log that drops, repeats and cuts what it tells, and of one that is away.
+//! Followers of a change log that loses and repeats events, disconnects, or is down.
 
 use proptest::prelude::*;
 use sedgebeam_discovery::{
@@ -6,7 +6,7 @@
 };
 use std::time::Duration;
 
-/// The truth: a log of changes, each of one engine, behind a first one that holds the whole list.
+/// The reference: a log that starts with the complete list, followed by changes of one engine each.
 #[derive(Clone, Debug)]
 struct Log {
     events: Vec<(ListUpdate, Vec<Target>)>,
@@ -22,176 +22,180 @@
 
 impl Log {
     fn new(changes: &[(u8, u8)]) -> Log {
-        let whole = (0..4).map(|uid| target(uid, 0)).collect();
+        let first_list = (0..4).map(|uid| target(uid, 0)).collect();
         let changes = changes
             .iter()
             .map(|(uid, state)| (ListUpdate::Changes, vec![target(*uid, *state)]));
         Log {
-            events: [(ListUpdate::Complete, whole)]
+            events: [(ListUpdate::Complete, first_list)]
                 .into_iter()
                 .chain(changes)
                 .collect(),
         }
     }
 
-    /// The list that holds after so many events, by name.
+    /// The list after the event `seq`, sorted by name.
     fn list(&self, seq: u64) -> Vec<Target> {
         let mut list = Vec::new();
-        for (listing, targets) in &self.events[..seq as usize] {
-            apply_update(&mut list, *listing, targets);
+        for (update, targets) in &self.events[..seq as usize] {
+            apply_update(&mut list, *update, targets);
         }
         list.sort_by(|one, other| one.uid.cmp(&other.uid));
         list
     }
 }
 
-/// What happens to an event on its way.
+/// What happens to an event in transit.
 #[derive(Clone, Copy, Debug)]
-enum Way {
-    Comes,
+enum Delivery {
+    Delivered,
     Lost,
-    Twice,
-    /// The connection ends before it.
-    Cut,
-    /// Nothing comes for a while before it: the log is slow, or had said all that it had.
-    Quiet,
+    Repeated,
+    /// The connection ends before the event.
+    Disconnected,
+    /// Nothing arrives for a while before the event: the log is slow, or has sent all that it had.
+    Delayed,
 }
 
-fn way() -> impl Strategy<Value = Way> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        6 => Just(Way::Comes),
-        1 => Just(Way::Lost),
-        1 => Just(Way::Twice),
-        1 => Just(Way::Cut),
-        1 => Just(Way::Quiet),
+        6 => Just(Delivery::Delivered),
+        1 => Just(Delivery::Lost),
+        1 => Just(Delivery::Repeated),
+        1 => Just(Delivery::Disconnected),
+        1 => Just(Delivery::Delayed),
     ]
 }
 
-/// A follower's list, as those hear it who are told.
-struct Told {
+/// The list that a follower publishes, as its readers see it.
+struct PublishedList {
     list: Vec<Target>,
     seq: u64,
 }
 
-impl Told {
-    fn tell(&mut self, follower: &mut Follower, next: FollowerAction, log: &Log) {
-        if let FollowerAction::Publish(seq, listing, targets) = next {
-            assert!(seq > self.seq, "{seq} over the newer {}", self.seq);
-            apply_update(&mut self.list, listing, &targets);
+impl PublishedList {
+    fn execute(&mut self, follower: &mut Follower, action: FollowerAction, log: &Log) {
+        if let FollowerAction::Publish(seq, update, targets) = action {
+            assert!(seq > self.seq, "{seq} published after {}", self.seq);
+            apply_update(&mut self.list, update, &targets);
             self.seq = seq;
             follower.mark_published(seq);
         }
         let mut list = self.list.clone();
         list.sort_by(|one, other| one.uid.cmp(&other.uid));
-        // At every moment it is the list of some one number: nothing is forgotten, nothing older comes back.
+        // At any time it equals the list after one event: no entry is lost, and no older state returns.
         assert_eq!(list, log.list(self.seq));
     }
 }
 
 proptest! {
     #[test]
-    fn what_is_told_is_always_a_list_that_held_and_in_the_end_the_last(
+    fn published_lists_are_always_consistent_and_finally_current(
         changes in prop::collection::vec((0..6u8, 0..3u8), 1..40),
-        mut ways in prop::collection::vec(way(), 0..120),
+        mut deliveries in prop::collection::vec(delivery(), 0..120),
     ) {
         let log = Log::new(&changes);
         let mut follower = Follower::new(1);
-        let mut told = Told { list: log.list(1), seq: 1 };
+        let mut published = PublishedList { list: log.list(1), seq: 1 };
         let last = log.events.len() as u64;
-        ways.reverse();
-        // Connections go on until one of them has told everything; faults run out at last.
+        deliveries.reverse();
+        // Connections are repeated until one of them delivers everything; the list of faults is finite.
         for _ in 0..400 {
-            let mut at = follower.resume_after();
-            'connection: while at < last {
-                at += 1;
-                let (listing, targets) = log.events[at as usize - 1].clone();
-                let way = ways.pop().unwrap_or(Way::Comes);
-                if matches!(way, Way::Quiet) {
-                    let next = follower.handle_silence();
-                    told.tell(&mut follower, next, &log);
+            let mut seq = follower.resume_after();
+            'connection: while seq < last {
+                seq += 1;
+                let (update, targets) = log.events[seq as usize - 1].clone();
+                let delivery = deliveries.pop().unwrap_or(Delivery::Delivered);
+                if matches!(delivery, Delivery::Delayed) {
+                    let action = follower.handle_silence();
+                    published.execute(&mut follower, action, &log);
                 }
-                let times = match way {
-                    Way::Comes | Way::Quiet => 1,
-                    Way::Lost => 0,
-                    Way::Twice => 2,
-                    Way::Cut => break,
+                let copies = match delivery {
+                    Delivery::Delivered | Delivery::Delayed => 1,
+                    Delivery::Lost => 0,
+                    Delivery::Repeated => 2,
+                    Delivery::Disconnected => break,
                 };
-                for _ in 0..times {
-                    let next = follower.handle_event(at, listing, targets.clone());
-                    if next == FollowerAction::Reconnect {
+                for _ in 0..copies {
+                    let action = follower.handle_event(seq, update, targets.clone());
+                    if action == FollowerAction::Reconnect {
                         break 'connection;
                     }
-                    told.tell(&mut follower, next, &log);
+                    published.execute(&mut follower, action, &log);
                 }
             }
-            if told.seq == last {
+            if published.seq == last {
                 break;
             }
         }
-        prop_assert_eq!(told.seq, last);
+        prop_assert_eq!(published.seq, last);
     }
 }
 
 #[test]
-fn a_gap_is_mended_by_what_is_missing_and_one_that_stays_by_the_whole_list() {
+fn a_gap_is_filled_by_the_missing_events_or_by_the_complete_list() {
     let log = Log::new(&[(4, 0), (5, 0), (1, 2), (2, 1)]);
     let event = |seq: u64| log.events[seq as usize - 1].clone();
     let mut follower = Follower::new(2);
-    let mut told = Told {
+    let mut published = PublishedList {
         list: log.list(2),
         seq: 2,
     };
-    let hear = |follower: &mut Follower, seq| {
-        let (listing, targets) = event(seq);
-        follower.handle_event(seq, listing, targets)
+    let deliver = |follower: &mut Follower, seq| {
+        let (update, targets) = event(seq);
+        follower.handle_event(seq, update, targets)
     };
-    assert_eq!(hear(&mut follower, 5), FollowerAction::Reconnect);
+    assert_eq!(deliver(&mut follower, 5), FollowerAction::Reconnect);
     assert_eq!(
         (follower.resume_after(), follower.is_rebuilding()),
         (2, false)
     );
     assert_eq!(
-        hear(&mut follower, 4),
+        deliver(&mut follower, 4),
         FollowerAction::Reconnect,
-        "it is not there"
+        "the gap remains"
     );
     assert_eq!(
         (follower.resume_after(), follower.is_rebuilding()),
         (0, true)
     );
     for seq in [1, 2, 3] {
-        let next = hear(&mut follower, seq);
+        let action = deliver(&mut follower, seq);
         assert_eq!(
-            next,
+            action,
             FollowerAction::Ignore,
-            "not before all is there that was heard of"
+            "events that are known to exist are missing"
         );
     }
-    let next = hear(&mut follower, 4);
-    told.tell(&mut follower, next, &log);
-    assert_eq!((told.seq, follower.resume_after()), (4, 4));
-    // A log that pauses in the middle of its whole list is not believed to have lost what it told once.
+    let action = deliver(&mut follower, 4);
+    published.execute(&mut follower, action, &log);
+    assert_eq!((published.seq, follower.resume_after()), (4, 4));
+    // A log that pauses within its complete list is not taken to have lost events that it sent before.
     assert_eq!(
-        hear(&mut follower, 5),
+        deliver(&mut follower, 5),
         FollowerAction::Publish(5, ListUpdate::Changes, event(5).1)
     );
     follower.mark_published(5);
-    let lost = |follower: &mut Follower| follower.handle_event(9, ListUpdate::Changes, Vec::new());
+    let event_after_gap =
+        |follower: &mut Follower| follower.handle_event(9, ListUpdate::Changes, Vec::new());
     assert_eq!(
-        (lost(&mut follower), lost(&mut follower)),
+        (
+            event_after_gap(&mut follower),
+            event_after_gap(&mut follower)
+        ),
         (FollowerAction::Reconnect, FollowerAction::Reconnect)
     );
     assert_eq!(follower.resume_after(), 0);
     assert_eq!(follower.handle_silence(), FollowerAction::Ignore);
     for seq in 1..=5 {
-        assert_eq!(hear(&mut follower, seq), FollowerAction::Ignore);
+        assert_eq!(deliver(&mut follower, seq), FollowerAction::Ignore);
         assert_eq!(
             follower.handle_silence(),
             FollowerAction::Ignore,
-            "no newer than what was told"
+            "the list is not newer than the published one"
         );
     }
-    // What it has beyond that is all there is, though more was heard of.
+    // A newer list is published although a later event is known to exist.
     assert_eq!(
         follower.handle_event(6, ListUpdate::Changes, Vec::new()),
         FollowerAction::Ignore
@@ -202,37 +206,48 @@
     ));
 }
 
-/// Tries of so many followers, in milliseconds since the log went away, for so long.
-fn tries(followers: u32, told: u32, lasts: Duration) -> Vec<Vec<u128>> {
-    let one = |number: u32| {
-        let mut pauses = RetryBackoff::new(told, u64::from(number));
-        let (mut at, mut tries) = (Duration::ZERO, Vec::new());
-        while at < lasts {
-            at += pauses.next_delay();
-            tries.push(at.as_millis());
+/// The tries of each follower within `downtime`, in milliseconds since the log went down. Each follower assumes
+/// `assumed_followers` in total.
+fn tries(followers: u32, assumed_followers: u32, downtime: Duration) -> Vec<Vec<u128>> {
+    let tries_of = |number: u32| {
+        let mut backoff = RetryBackoff::new(assumed_followers, u64::from(number));
+        let (mut time, mut tries) = (Duration::ZERO, Vec::new());
+        while time < downtime {
+            time += backoff.next_delay();
+            tries.push(time.as_millis());
         }
         tries
     };
-    (0..followers).map(one).collect()
+    (0..followers).map(tries_of).collect()
 }
 
-/// Most tries of all within a tenth of a second.
-fn most(tries: &[Vec<u128>]) -> usize {
-    let tenth = |n: u128| tries.iter().flatten().filter(|at| **at / 100 == n).count();
-    (0..80).map(tenth).max().unwrap_or(0)
+/// The maximum number of tries of all followers within one tenth of a second.
+fn max_tries_per_tenth(tries: &[Vec<u128>]) -> usize {
+    let tries_in_tenth = |tenth: u128| {
+        tries
+            .iter()
+            .flatten()
+            .filter(|time| **time / 100 == tenth)
+            .count()
+    };
+    (0..80).map(tries_in_tenth).max().unwrap_or(0)
 }
 
 #[test]
-fn hundreds_ask_a_log_that_is_away_spread_out_and_find_it_soon_when_it_is_back() {
-    let away = Duration::from_millis(8000);
+fn tries_of_hundreds_of_followers_are_spread_and_reach_a_returning_log_soon() {
+    let downtime = Duration::from_millis(8000);
     for followers in [3, 30, 300, 350] {
-        let all = tries(followers, followers, away);
+        let all_tries = tries(followers, followers, downtime);
         let bound = 160.min(2 * followers as usize);
-        assert!(most(&all) <= bound, "{followers}: {}", most(&all));
-        for tries in &all {
-            // Wherever in its absence the log comes back, it is asked within the longest pause.
+        assert!(
+            max_tries_per_tenth(&all_tries) <= bound,
+            "{followers}: {}",
+            max_tries_per_tenth(&all_tries)
+        );
+        for tries in &all_tries {
+            // Whenever the log returns, the next try follows within the longest delay.
             assert!(
-                tries.windows(2).all(|two| two[1] - two[0] <= 2000),
+                tries.windows(2).all(|pair| pair[1] - pair[0] <= 2000),
                 "{tries:?}"
             );
             assert!(
@@ -244,14 +259,14 @@
                     }
             );
         }
-        let total: usize = all.iter().map(Vec::len).sum();
-        // Of many, some three hundred a second; of few, each some five.
+        let total: usize = all_tries.iter().map(Vec::len).sum();
+        // About 300 tries per second of many followers, and about 5 per second of each of a few.
         let rate = 320.min(6 * followers as usize).max(18);
         assert!(
             total <= 8 * rate + 2 * followers as usize,
             "{followers}: {total}"
         );
     }
-    // Those who take themselves for few are seen.
-    assert!(most(&tries(300, 3, away)) > 160);
+    // Followers that assume too few others exceed the bound.
+    assert!(max_tries_per_tenth(&tries(300, 3, downtime)) > 160);
 }
