--- a/discovery/src/follower.rs
+++ b/discovery/src/follower.rs
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Handles an event. After a gap the log is requested once more from the published event, which is cheap and recovers
-    /// events lost in transit. If the gap remains, the complete list is requested. It is published only once it includes
-    /// all events that are known to exist, so that no engine is lost meanwhile.
+    /// Handles an event. After a gap the log is requested once more from the published event, which is cheap and
+    /// recovers events lost in transit. If the gap remains, the complete list is requested. It is published only once
+    /// it includes all events that are known to exist, so that no engine is lost meanwhile.
     pub fn handle_event(
         &mut self,
         seq: u64,
@@ -154,8 +154,8 @@
     }
 
     /// Handles a log that sends nothing for a while, because it has sent everything or is slow. A list that is being
-    /// rebuilt is published as far as it was received, even without events known before, but only where it is newer than
-    /// the published one.
+    /// rebuilt is published as far as it was received, even where later events are known to exist, but only if it is
+    /// newer than the published one.
     pub fn handle_silence(&mut self) -> FollowerAction {
         let Some(rebuild) = &self.rebuild else {
             return FollowerAction::Ignore;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! The settings object of a gateway: how it is decoded, and what it means to the decision module.
+//! Decodes the settings object of a gateway and converts it to the settings of the decision module.
 //!
-//! A key that is absent, or null, has its default; a key that is not known is skipped.
+//! A key that is absent or null has its default; an unknown key is ignored.
 
 use miniserde::Deserialize;
 use sedgebeam_core::{
@@ -8,26 +8,27 @@
     LoadReportMode, Micros, Settings, Tenant, TenantId, ZoneId,
 };
 
+/// The settings object of a gateway, as decoded.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct GatewaySettings {
     balancers: Option<u32>,
     me: Option<u32>,
-    services: Option<Vec<Service>>,
-    tenants: Option<Vec<Account>>,
+    services: Option<Vec<ServiceSettings>>,
+    tenants: Option<Vec<TenantSettings>>,
     kinds: Option<Vec<String>>,
     zones: Option<Vec<String>>,
     zone: Option<String>,
     registry_mode: Option<String>,
-    domain: Option<Domain>,
-    limits: Option<Limits>,
-    rules: Option<Rules>,
-    telemetry: Option<Telemetry>,
-    prices: Option<Prices>,
+    domain: Option<DomainSettings>,
+    limits: Option<LimitSettings>,
+    rules: Option<RuleSettings>,
+    telemetry: Option<TelemetrySettings>,
+    prices: Option<PriceSettings>,
     tick: Option<f64>,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
-struct Service {
+struct ServiceSettings {
     name: String,
     worth: Option<f64>,
     late_share: Option<f64>,
@@ -44,14 +45,14 @@
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
-struct Account {
+struct TenantSettings {
     name: String,
     portion: Option<f64>,
     allowance_per_s: Option<f64>,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
-struct Domain {
+struct DomainSettings {
     class_load: Option<Vec<bool>>,
     class_waits: Option<Vec<bool>>,
     threads_by_class: Option<Vec<f64>>,
@@ -66,7 +67,7 @@
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
-struct Limits {
+struct LimitSettings {
     cancel: Option<bool>,
     max_attempts: Option<u32>,
     max_retry_after: Option<f64>,
@@ -80,7 +81,7 @@
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
-struct Rules {
+struct RuleSettings {
     answer_slack: Option<f64>,
     drain_grace: Option<f64>,
     fall_multiple: Option<f64>,
@@ -93,46 +94,49 @@
     look_back: Option<f64>,
 }
 
-/// What is charged, in mean requests' worth.
+/// Costs, in multiples of the mean worth of a request.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
-struct Prices {
+struct PriceSettings {
     probe: Option<f64>,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
-struct Telemetry {
+struct TelemetrySettings {
     how: Option<String>,
 }
 
-/// What a program needs to translate messages: the names behind the numbers.
+/// The names behind the indexes of the decision module, for the translation of messages.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub classes: Vec<String>,
-    /// By class, when a client gives up.
+    /// By class, how long a client waits before it gives up.
     pub give_up: Vec<Micros>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
+    /// Whether engines report the cost of a query.
     pub reports_cost: bool,
 }
 
-/// How connections to engines are kept; the decision module is not told.
+/// Limits and timeouts of connections to engines. The decision module does not use them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionSettings {
-    /// Connections to one engine at the most, and to all of them.
+    /// Maximum number of connections to one engine.
     pub max_per_engine: usize,
+    /// Maximum number of connections to all engines.
     pub max_total: usize,
+    /// Maximum number of concurrent streams on one connection.
     pub max_streams: usize,
     pub connect_timeout: Micros,
     pub idle_timeout: Micros,
-    /// The requests that may be open at once.
+    /// How many requests may be open at the same time.
     pub max_open_requests: usize,
 }
 
-/// Where a name stands in a list of names; an empty one is none.
+/// The index of a name in a list; `None` for an empty name.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
-    let mut places = names.iter();
-    places.position(|known| known == name && !name.is_empty())
+    let mut known_names = names.iter();
+    known_names.position(|known| known == name && !name.is_empty())
 }
 
 pub fn millis_to_micros(millis: f64) -> Micros {
@@ -143,7 +147,7 @@
     micros.0 as f64 / 1000.0
 }
 
-/// A load report from its named values, under the names of the settings or of the engines' wire.
+/// A load report from named values. The names are those of the settings or of the protocols of engines.
 pub fn load_report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in values {
@@ -176,20 +180,20 @@
     }
 }
 
-fn time(millis: Option<f64>) -> Micros {
+fn micros_or_zero(millis: Option<f64>) -> Micros {
     millis_to_micros(millis.unwrap_or_default())
 }
 
-fn at<T: Copy>(values: &Option<Vec<T>>, index: usize) -> Option<T> {
+fn copy_at<T: Copy>(values: &Option<Vec<T>>, index: usize) -> Option<T> {
     values.as_ref()?.get(index).copied()
 }
 
-fn list<T>(values: &Option<Vec<T>>) -> &[T] {
+fn slice_or_empty<T>(values: &Option<Vec<T>>) -> &[T] {
     values.as_deref().unwrap_or_default()
 }
 
-/// The places of the named ones, where a restriction is told.
-fn places(known: &[String], names: &Option<Vec<String>>) -> Option<Vec<usize>> {
+/// The indexes of the names; `None` where there is no restriction.
+fn indexes_of(known: &[String], names: &Option<Vec<String>>) -> Option<Vec<usize>> {
     let names = names.as_ref()?;
     Some(
         names
@@ -199,7 +203,7 @@
     )
 }
 
-impl Service {
+impl ServiceSettings {
     fn effect(&self) -> Effect {
         let effect = self.effect.as_deref().unwrap_or_default();
         match (effect, self.group.as_deref().unwrap_or_default()) {
@@ -207,38 +211,45 @@
             ("by_key", "zone") => Effect::Keyed(DedupScope::Zone),
             ("by_key", "cell") => Effect::Keyed(DedupScope::Cell),
             ("by_key", _) => Effect::Keyed(DedupScope::All),
-            // What is not known to be safe is never sent twice.
+            // A request whose effect is unknown is never sent twice.
             _ => Effect::Once,
         }
     }
 }
 
-/// Connections that all dispatchers together keep to one engine, for each of its cores: twice the threads that an engine runs
-/// on a core under pressure.
+/// Connections of all dispatchers together to one engine, per core of the engine: twice the threads that an engine runs
+/// on each core under load.
 const CONNECTIONS_PER_CORE: f64 = 4.0;
-/// Bounds of one dispatcher's part.
-const FEWEST_CONNECTIONS: usize = 2;
-const MOST_CONNECTIONS: usize = 24;
+/// Bounds of the connections of one dispatcher to one engine.
+const MIN_CONNECTIONS_PER_ENGINE: usize = 2;
+const MAX_CONNECTIONS_PER_ENGINE: usize = 24;
 
 impl GatewaySettings {
     pub fn names(&self) -> Names {
         let domain = self.domain.as_ref();
-        let services = list(&self.services).iter();
-        let tenants = list(&self.tenants).iter();
+        let services = slice_or_empty(&self.services).iter();
+        let tenants = slice_or_empty(&self.tenants).iter();
         Names {
-            classes: services.clone().map(|s| s.name.clone()).collect(),
-            give_up: services.map(|service| time(service.give_up)).collect(),
+            classes: services
+                .clone()
+                .map(|service| service.name.clone())
+                .collect(),
+            give_up: services
+                .map(|service| micros_or_zero(service.give_up))
+                .collect(),
             tenants: tenants.map(|tenant| tenant.name.clone()).collect(),
-            kinds: list(&self.kinds).to_vec(),
-            zones: list(&self.zones).to_vec(),
-            reports_cost: domain.and_then(|d| d.tells_cost).unwrap_or_default(),
+            kinds: slice_or_empty(&self.kinds).to_vec(),
+            zones: slice_or_empty(&self.zones).to_vec(),
+            reports_cost: domain
+                .and_then(|domain| domain.tells_cost)
+                .unwrap_or_default(),
         }
     }
 
     pub fn connections(&self) -> ConnectionSettings {
         let limits = self.limits.clone().unwrap_or_default();
         ConnectionSettings {
-            max_per_engine: self.connections_to_engine(),
+            max_per_engine: self.max_connections_to_engine(),
             max_total: usize::MAX,
             max_streams: limits.max_streams.unwrap_or(32).max(1) as usize,
             connect_timeout: millis_to_micros(limits.connect_timeout.unwrap_or(250.0)),
@@ -247,89 +258,96 @@
         }
     }
 
-    /// Connections that this dispatcher keeps to one engine at the most, so that all dispatchers together leave room in
-    /// the engine's table, whose size is told nowhere.
-    fn connections_to_engine(&self) -> usize {
+    /// The limit of connections from this dispatcher to one engine. All dispatchers together must leave room in the
+    /// connection table of the engine, whose size is not known.
+    fn max_connections_to_engine(&self) -> usize {
         let domain = self.domain.clone().unwrap_or_default();
-        let cores = list(&domain.size_cores).iter().copied().fold(0.0, f64::max);
+        let cores = slice_or_empty(&domain.size_cores)
+            .iter()
+            .copied()
+            .fold(0.0, f64::max);
         let dispatchers = f64::from(self.balancers.unwrap_or(1).max(1));
-        let part = (cores * CONNECTIONS_PER_CORE / dispatchers).ceil();
+        let connections = (cores * CONNECTIONS_PER_CORE / dispatchers).ceil();
         if cores > 0.0 {
-            (part as usize).clamp(FEWEST_CONNECTIONS, MOST_CONNECTIONS)
+            (connections as usize).clamp(MIN_CONNECTIONS_PER_ENGINE, MAX_CONNECTIONS_PER_ENGINE)
         } else {
-            MOST_CONNECTIONS
+            MAX_CONNECTIONS_PER_ENGINE
         }
     }
 
-    /// How many gateways there are, and the number of this one among them, where told.
+    /// The number of gateways, and the index of this one among them, where configured.
     pub fn gateway_count_and_index(&self) -> (Option<u32>, Option<u32>) {
         (self.balancers, self.me)
     }
 
-    /// The attempts allowed, where told.
+    /// The maximum number of attempts, where configured.
     pub fn max_attempts(&self) -> Option<u32> {
         self.limits.as_ref()?.max_attempts
     }
 
-    /// The longest that clients stay away on advice, where a front gives them any: zero where they are to have none.
+    /// The longest delay that a front advises clients to wait before a retry; zero where it gives no advice.
     pub fn max_retry_after(&self) -> Micros {
         let limits = self.limits.as_ref();
         if limits.and_then(|limits| limits.retry_after) == Some(false) {
             return Micros(0);
         }
-        millis_to_micros(limits.and_then(|l| l.max_retry_after).unwrap_or(1000.0))
+        millis_to_micros(
+            limits
+                .and_then(|limits| limits.max_retry_after)
+                .unwrap_or(1000.0),
+        )
     }
 
-    fn class(&self, index: usize, service: &Service, domain: &Domain) -> Class {
-        let (kinds, zones) = (list(&self.kinds), list(&self.zones));
-        let only_kinds = places(kinds, &service.kinds_allowed);
-        let only_zones = places(zones, &service.confined_to);
+    fn class(&self, index: usize, service: &ServiceSettings, domain: &DomainSettings) -> Class {
+        let (kinds, zones) = (slice_or_empty(&self.kinds), slice_or_empty(&self.zones));
+        let only_kinds = indexes_of(kinds, &service.kinds_allowed);
+        let only_zones = indexes_of(zones, &service.confined_to);
         Class {
             name: service.name.clone(),
             worth: service.worth.unwrap_or_default(),
             late_share: service.late_share.unwrap_or_default(),
-            on_time: time(service.on_time),
+            on_time: micros_or_zero(service.on_time),
             aim_stretch: service.aim_stretch.unwrap_or_default(),
-            give_up: time(service.give_up),
+            give_up: micros_or_zero(service.give_up),
             effect: service.effect(),
-            dedup_window: time(service.window),
-            threads: at(&domain.threads_by_class, index).unwrap_or(1.0),
-            holds_group: at(&domain.class_load, index).unwrap_or_default(),
-            waits_for_load: at(&domain.class_waits, index).unwrap_or_default(),
+            dedup_window: micros_or_zero(service.window),
+            threads: copy_at(&domain.threads_by_class, index).unwrap_or(1.0),
+            holds_group: copy_at(&domain.class_load, index).unwrap_or_default(),
+            waits_for_load: copy_at(&domain.class_waits, index).unwrap_or_default(),
             in_key_order: service.fifo_by_key.unwrap_or_default(),
             is_streamed: service.stream.unwrap_or_default(),
-            only_kinds: only_kinds.map(|places| places.into_iter().map(KindId).collect()),
-            only_zones: only_zones.map(|places| places.into_iter().map(ZoneId).collect()),
+            only_kinds: only_kinds.map(|indexes| indexes.into_iter().map(KindId).collect()),
+            only_zones: only_zones.map(|indexes| indexes.into_iter().map(ZoneId).collect()),
             retired: false,
         }
     }
 
-    /// The settings as the decision module takes them.
+    /// Converts to the settings of the decision module.
     pub fn settings(&self) -> Settings {
         let domain = self.domain.clone().unwrap_or_default();
         let rules = self.rules.clone().unwrap_or_default();
         let limits = self.limits.clone().unwrap_or_default();
         let telemetry = self.telemetry.clone().unwrap_or_default();
-        let services = list(&self.services).iter().enumerate();
+        let services = slice_or_empty(&self.services).iter().enumerate();
         let classes = services.map(|(index, service)| self.class(index, service, &domain));
-        let tenants = list(&self.tenants).iter().map(|tenant| Tenant {
+        let tenants = slice_or_empty(&self.tenants).iter().map(|tenant| Tenant {
             name: tenant.name.clone(),
             share: tenant.portion.unwrap_or_default(),
             requests_per_second: tenant.allowance_per_s.unwrap_or_default(),
         });
-        let kinds = (0..list(&self.kinds).len()).map(|index| Kind {
-            cores: at(&domain.size_cores, index).unwrap_or_default(),
-            memory_mb: at(&domain.size_mb, index).unwrap_or_default(),
+        let kinds = (0..slice_or_empty(&self.kinds).len()).map(|index| Kind {
+            cores: copy_at(&domain.size_cores, index).unwrap_or_default(),
+            memory_mb: copy_at(&domain.size_mb, index).unwrap_or_default(),
         });
-        let rationed = rules.extra_free.is_some() || rules.extra_per_request.is_some();
-        let advice = limits.retry_after.unwrap_or_default();
+        let has_attempt_budget = rules.extra_free.is_some() || rules.extra_per_request.is_some();
+        let advises_retry = limits.retry_after.unwrap_or_default();
         Settings {
             gateways: self.balancers.unwrap_or_default(),
             gateway_index: self.me,
             zone: self
                 .zone
                 .as_deref()
-                .and_then(|zone| index_of(list(&self.zones), zone))
+                .and_then(|zone| index_of(slice_or_empty(&self.zones), zone))
                 .map(ZoneId),
             classes: classes.collect(),
             tenants: tenants.collect(),
@@ -343,14 +361,14 @@
                 Some("pull") => LoadReportMode::InProbes,
                 _ => LoadReportMode::None,
             },
-            drain_grace: time(rules.drain_grace),
+            drain_grace: micros_or_zero(rules.drain_grace),
             start_capacity: rules.start_capacity.unwrap_or_default(),
-            warm_after: time(rules.warm_after),
+            warm_after: micros_or_zero(rules.warm_after),
             overload_multiple: rules.fall_multiple.unwrap_or_default(),
-            overload_window: time(rules.overload_for),
-            key_quiet_period: time(rules.key_quiet),
-            attempt_budget: rationed.then_some(AttemptBudget {
-                window: time(rules.look_back),
+            overload_window: micros_or_zero(rules.overload_for),
+            key_quiet_period: micros_or_zero(rules.key_quiet),
+            attempt_budget: has_attempt_budget.then_some(AttemptBudget {
+                window: micros_or_zero(rules.look_back),
                 free_attempts: rules.extra_free.unwrap_or_default(),
                 extra_per_request: rules.extra_per_request.unwrap_or_default(),
             }),
@@ -358,15 +376,18 @@
             may_cancel: limits.cancel.unwrap_or_default(),
             second_copies: limits.second_copies.unwrap_or_default(),
             may_probe: limits.probes.unwrap_or_default(),
-            probe_cost: self.prices.and_then(|p| p.probe).unwrap_or_default(),
+            probe_cost: self
+                .prices
+                .and_then(|prices| prices.probe)
+                .unwrap_or_default(),
             takes_grants: domain.takes_grants.unwrap_or_default(),
             takes_priorities: domain.priorities.unwrap_or_default(),
             queues_for_memory: domain.on_shortage.as_deref() == Some("wait"),
             max_grant_share: domain.max_grant_share.unwrap_or_default(),
-            note_interval: time(domain.progress),
-            max_retry_after: time(limits.max_retry_after.filter(|_| advice)),
-            answer_slack: time(rules.answer_slack),
-            tick: time(self.tick),
+            note_interval: micros_or_zero(domain.progress),
+            max_retry_after: micros_or_zero(limits.max_retry_after.filter(|_| advises_retry)),
+            answer_slack: micros_or_zero(rules.answer_slack),
+            tick: micros_or_zero(self.tick),
         }
     }
 }
