--- a/dispatcher/tests/scenarios/edge_cases.rs
+++ b/dispatcher/tests/scenarios/edge_cases.rs
@@ -47,7 +47,7 @@
 fn what_a_short_read_leaves_in_a_socket_is_read() {
     let faults = Faults::none();
     let mut harness = with_faults(&["e1", "log"], &faults);
-    harness.run_script("log expect asked 1");
+    harness.run_script("log expect subscribed 1");
     faults.always(Call::Recv, Fault::Short);
     harness.run_script(
         "log send 2 up e1 @e1
@@ -98,7 +98,7 @@
          c1 expect row a|b|c
          c1 expect complete 1
          log close
-         log expect asked 1",
+         log expect subscribed 1",
     );
     assert!(faults.injected(Call::SetSockOpt) > 0);
 }
@@ -146,7 +146,7 @@
 fn interrupted_calls_lose_no_request() {
     let faults = Faults::none();
     let mut harness = with_faults(&["e1", "log"], &faults);
-    harness.run_script("log expect asked 1");
+    harness.run_script("log expect subscribed 1");
     for call in [Call::Accept, Call::Connect, Call::Recv, Call::Send] {
         faults.each(2, call, Fault::Error(EINTR));
     }
--- a/dispatcher/tests/scenarios/engine_actor.rs
+++ b/dispatcher/tests/scenarios/engine_actor.rs
@@ -34,7 +34,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let endpoint = listener.local_addr().expect("an address").to_string();
     let (engine, role) = peer_channels();
-    tokio::spawn(engines::resp(listener, role));
+    tokio::spawn(engines::run_resp_engine(listener, role));
     before(engine, endpoint, 3)
 }
 
@@ -364,7 +364,7 @@
         // The actor has heard all of it before the table has room.
         bench.has_heard().await;
         drop(first);
-        tokio::spawn(engines::resp(listener, role));
+        tokio::spawn(engines::run_resp_engine(listener, role));
         bench.hears("fetch 2").await;
         bench.gives_up(1).await;
         bench.says("2 OK 1 a|b|c");
@@ -440,7 +440,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let endpoint = listener.local_addr().expect("an address").to_string();
             let (engine, role) = peer_channels();
-            tokio::spawn(engines::resp(listener, role));
+            tokio::spawn(engines::run_resp_engine(listener, role));
             benches.push(among(engine, endpoint, 3, 1, slots.clone()));
         }
         let [first, second] = &mut benches[..] else {
--- a/dispatcher/tests/scenarios/flight_client.rs
+++ b/dispatcher/tests/scenarios/flight_client.rs
@@ -1,5 +1,5 @@
-//! A Flight SQL client: `send CLASS ID [LIMIT]` asks for a result, `send update CLASS ID` runs an update,
-//! `send cancel` calls the last one off, `send again` redeems its ticket once more; `close` goes away.
+//! A scripted Flight SQL client. `send CLASS ID [LIMIT]` runs a query, `send update CLASS ID` runs an update, `send cancel`
+//! cancels the last query, `send again` fetches its ticket a second time, and `close` drops the running fetch.
 
 use crate::harness::PeerTask;
 use crate::pg_client::statement;
@@ -19,38 +19,41 @@
 
 type Client = FlightServiceClient<Channel>;
 
-pub async fn run(address: String, mut role: PeerTask) {
+pub async fn run(address: String, mut peer_task: PeerTask) {
     let channel = Channel::from_shared(format!("http://{address}")).expect("an address");
     let client = FlightServiceClient::new(channel.connect().await.expect("connects"));
-    let (mut info, mut call) = (None, None);
-    while let Some(words) = role.commands.recv().await {
-        let (client, heard) = (client.clone(), role.events.clone());
-        match words.as_str() {
-            // Dropping the call is how a client goes away in the middle of a stream.
-            "close" => call.take().iter().for_each(tokio::task::JoinHandle::abort),
-            "cancel" => cancel(client, info.clone().expect("asked before")).await,
+    let (mut last_info, mut running_fetch) = (None, None);
+    while let Some(command) = peer_task.commands.recv().await {
+        let (client, events) = (client.clone(), peer_task.events.clone());
+        match command.as_str() {
+            // The server sees the dropped call as a client that disconnects in the middle of a stream.
+            "close" => running_fetch
+                .take()
+                .iter()
+                .for_each(tokio::task::JoinHandle::abort),
+            "cancel" => cancel_query(client, last_info.clone().expect("an earlier query")).await,
             "again" => {
-                call = Some(tokio::spawn(get(
+                running_fetch = Some(tokio::spawn(fetch_results(
                     client,
-                    info.clone().expect("asked before"),
-                    heard,
+                    last_info.clone().expect("an earlier query"),
+                    events,
                 )))
             }
-            words => match words.strip_prefix("update ") {
-                Some(words) => drop(tokio::spawn(update(client, statement(words), heard))),
-                None => match ask(client.clone(), statement(words)).await {
-                    Ok(given) => {
-                        info = Some(given.clone());
-                        call = Some(tokio::spawn(get(client, given, heard)));
+            request => match request.strip_prefix("update ") {
+                Some(request) => drop(tokio::spawn(run_update(client, statement(request), events))),
+                None => match get_flight_info(client.clone(), statement(request)).await {
+                    Ok(new_info) => {
+                        last_info = Some(new_info.clone());
+                        running_fetch = Some(tokio::spawn(fetch_results(client, new_info, events)));
                     }
-                    Err(status) => drop(heard.send(error(&status))),
+                    Err(status) => drop(events.send(error_event(&status))),
                 },
             },
         }
     }
 }
 
-async fn ask(mut client: Client, query: String) -> Result<FlightInfo, Status> {
+async fn get_flight_info(mut client: Client, query: String) -> Result<FlightInfo, Status> {
     let command = CommandStatementQuery {
         query,
         transaction_id: None,
@@ -59,11 +62,15 @@
     Ok(client.get_flight_info(descriptor).await?.into_inner())
 }
 
-async fn get(mut client: Client, info: FlightInfo, heard: UnboundedSender<String>) {
-    let ticket = info.endpoint[0].ticket.clone().expect("a ticket");
+async fn fetch_results(
+    mut client: Client,
+    flight_info: FlightInfo,
+    events: UnboundedSender<String>,
+) {
+    let ticket = flight_info.endpoint[0].ticket.clone().expect("a ticket");
     let answer = match client.do_get(ticket).await {
         Ok(answer) => answer.into_inner(),
-        Err(status) => return drop(heard.send(error(&status))),
+        Err(status) => return drop(events.send(error_event(&status))),
     };
     let mut stream = FlightRecordBatchStream::new_from_flight_data(answer.map_err(Into::into));
     let mut rows = 0;
@@ -73,16 +80,16 @@
                 for row in 0..batch.num_rows() {
                     let cell = |column: usize| batch.column(column).as_string::<i32>().value(row);
                     rows += 1;
-                    let _ = heard.send(format!("row {}|{}|{}", cell(0), cell(1), cell(2)));
+                    let _ = events.send(format!("row {}|{}|{}", cell(0), cell(1), cell(2)));
                 }
             }
-            Err(why) => return drop(heard.send(error(&Status::from(why)))),
+            Err(error) => return drop(events.send(error_event(&Status::from(error)))),
         }
     }
-    let _ = heard.send(format!("complete {rows}"));
+    let _ = events.send(format!("complete {rows}"));
 }
 
-async fn update(mut client: Client, query: String, heard: UnboundedSender<String>) {
+async fn run_update(mut client: Client, query: String, events: UnboundedSender<String>) {
     let command = CommandStatementUpdate {
         query,
         transaction_id: None,
@@ -90,36 +97,38 @@
     let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
     let data = FlightData::new().with_descriptor(descriptor);
     let answer = client.do_put(futures::stream::iter([data])).await;
-    let told = match answer {
+    let update_result = match answer {
         Ok(answer) => answer.into_inner().message().await,
         Err(status) => Err(status),
     };
-    let _ = heard.send(match told {
+    let _ = events.send(match update_result {
         Ok(result) => {
             let metadata = result.expect("a result").app_metadata;
             let result = DoPutUpdateResult::decode(metadata).expect("decodes");
             format!("complete {}", result.record_count)
         }
-        Err(status) => error(&status),
+        Err(status) => error_event(&status),
     });
 }
 
-async fn cancel(mut client: Client, info: FlightInfo) {
-    let request = CancelFlightInfoRequest { info: Some(info) };
+async fn cancel_query(mut client: Client, flight_info: FlightInfo) {
+    let request = CancelFlightInfoRequest {
+        info: Some(flight_info),
+    };
     let action = Action::new("CancelFlightInfo", request.encode_to_vec());
     client.do_action(action).await.expect("is cancelled");
 }
 
-fn error(status: &Status) -> String {
-    let retry = status
+fn error_event(status: &Status) -> String {
+    let retry_delay = status
         .get_details_retry_info()
-        .and_then(|info| info.retry_delay);
-    let retry = retry.map_or(String::new(), |delay| {
+        .and_then(|retry_info| retry_info.retry_delay);
+    let retry_text = retry_delay.map_or(String::new(), |delay| {
         format!(" retry in {} ms", delay.as_millis())
     });
     let code = match status.code() {
         Code::ResourceExhausted => "53300".to_string(),
         code => format!("{code:?}"),
     };
-    format!("error {code}{retry} {}", status.message())
+    format!("error {code}{retry_text} {}", status.message())
 }
--- a/dispatcher/tests/scenarios/flight_engine.rs
+++ b/dispatcher/tests/scenarios/flight_engine.rs
@@ -1,9 +1,9 @@
-//! A scripted engine that speaks Flight SQL, with the words of the one that speaks RESP.
+//! A scripted engine that speaks Flight SQL, with the same commands as the RESP engine.
 //!
-//! A statement is polled: the engine tells `fetch`, answers the first poll at once with no progress, and the
-//! next ones with what it is told to say. `abort ID` is heard when a call is dropped or cancelled.
+//! The first poll of a statement gives the event `fetch` and is answered at once without progress; each later poll is
+//! answered with the next reply of the script. A call that is dropped or cancelled gives the event `abort ID`.
 
-use crate::engines::rows;
+use crate::engines::tab_separated_rows;
 use crate::harness::PeerTask;
 use arrow_flight::encode::FlightDataEncoderBuilder;
 use arrow_flight::flight_service_server::{FlightService, FlightServiceServer};
@@ -26,42 +26,42 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::{Request, Response, Status, Streaming};
 
-/// Both ends of what is said of a request.
-type Said = (UnboundedSender<String>, Lines);
-type Lines = Arc<tokio::sync::Mutex<UnboundedReceiver<String>>>;
+/// Both ends of the queue of replies to a request.
+type ReplyChannel = (UnboundedSender<String>, ReplyReceiver);
+type ReplyReceiver = Arc<tokio::sync::Mutex<UnboundedReceiver<String>>>;
 
 #[derive(Clone)]
 struct Engine {
-    heard: UnboundedSender<String>,
-    /// What is said of each request, by its name.
-    said: Arc<Mutex<HashMap<String, Said>>>,
+    events: UnboundedSender<String>,
+    /// The queued replies by request id.
+    replies: Arc<Mutex<HashMap<String, ReplyChannel>>>,
 }
 
-/// Tells of a call that ends before its time.
-struct Call {
-    id: String,
-    heard: UnboundedSender<String>,
-    whole: bool,
+/// Reports a call that is dropped before it is complete.
+struct TrackedCall {
+    request_id: String,
+    events: UnboundedSender<String>,
+    is_complete: bool,
 }
 
-impl Call {
-    fn done(mut self) {
-        self.whole = true;
+impl TrackedCall {
+    fn complete(mut self) {
+        self.is_complete = true;
     }
 }
 
-impl Drop for Call {
+impl Drop for TrackedCall {
     fn drop(&mut self) {
-        if !self.whole {
-            let _ = self.heard.send(format!("abort {}", self.id));
+        if !self.is_complete {
+            let _ = self.events.send(format!("abort {}", self.request_id));
         }
     }
 }
 
-/// A runtime of the engine's own: with it, all its connections end at once.
-struct Machine(Option<Runtime>);
+/// The runtime of one engine; its shutdown closes all connections of the engine.
+struct EngineRuntime(Option<Runtime>);
 
-impl Drop for Machine {
+impl Drop for EngineRuntime {
     fn drop(&mut self) {
         if let Some(runtime) = self.0.take() {
             runtime.shutdown_background();
@@ -69,62 +69,63 @@
     }
 }
 
-pub async fn serve(listener: TcpListener, mut role: PeerTask) {
+pub async fn run_flight_engine(listener: TcpListener, mut peer_task: PeerTask) {
     let engine = Engine {
-        heard: role.events.clone(),
-        said: Arc::default(),
+        events: peer_task.events.clone(),
+        replies: Arc::default(),
     };
     let service = FlightServiceServer::new(engine.clone());
     let listener = listener.into_std().expect("a listener");
-    let machine = tokio::runtime::Builder::new_multi_thread()
+    let engine_runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()
         .expect("a runtime");
-    machine.spawn(async move {
+    engine_runtime.spawn(async move {
         let listener = TcpListener::from_std(listener).expect("a listener");
         let server = tonic::transport::Server::builder().add_service(service);
         server
             .serve_with_incoming(TcpListenerStream::new(listener))
             .await
     });
-    let mut machine = Machine(Some(machine));
-    while let Some(words) = role.commands.recv().await {
-        if words == "close" {
+    let mut engine_runtime = EngineRuntime(Some(engine_runtime));
+    while let Some(command) = peer_task.commands.recv().await {
+        if command == "close" {
             break;
         }
-        let id = words.split(' ').next().unwrap_or_default().to_string();
-        let _ = engine.lines(&id).0.send(words);
+        let request_id = command.split(' ').next().unwrap_or_default().to_string();
+        let _ = engine.reply_channel(&request_id).0.send(command);
     }
-    let gone = machine.0.take().expect("taken only here");
-    // Waits until all that ran on it has ended.
-    let ended = tokio::task::spawn_blocking(|| gone.shutdown_timeout(Duration::from_secs(30)));
-    ended.await.expect("ends");
-    let _ = role.events.send("closed".to_string());
+    let runtime = engine_runtime.0.take().expect("taken only here");
+    // Waits until all tasks of the runtime have ended.
+    let shutdown =
+        tokio::task::spawn_blocking(|| runtime.shutdown_timeout(Duration::from_secs(30)));
+    shutdown.await.expect("the runtime ends");
+    let _ = peer_task.events.send("closed".to_string());
 }
 
 impl Engine {
-    fn lines(&self, id: &str) -> Said {
-        let mut said = self.said.lock().expect("nothing panics here");
-        let (say, lines) = said.entry(id.to_string()).or_insert_with(|| {
-            let (say, lines) = unbounded_channel();
-            (say, Arc::new(tokio::sync::Mutex::new(lines)))
+    fn reply_channel(&self, request_id: &str) -> ReplyChannel {
+        let mut replies = self.replies.lock().expect("nothing panics here");
+        let (reply_sender, receiver) = replies.entry(request_id.to_string()).or_insert_with(|| {
+            let (reply_sender, receiver) = unbounded_channel();
+            (reply_sender, Arc::new(tokio::sync::Mutex::new(receiver)))
         });
-        (say.clone(), lines.clone())
+        (reply_sender.clone(), receiver.clone())
     }
 
-    /// What is said next of a request: its words behind the name.
-    async fn next(&self, id: &str) -> Vec<String> {
-        let lines = self.lines(id).1;
-        let line = lines.lock().await.recv().await.unwrap_or_default();
+    /// Waits for the next reply to a request; returns its words after the id.
+    async fn next_reply(&self, request_id: &str) -> Vec<String> {
+        let receiver = self.reply_channel(request_id).1;
+        let line = receiver.lock().await.recv().await.unwrap_or_default();
         line.split(' ').skip(1).map(str::to_string).collect()
     }
 
-    fn call(&self, id: &str) -> Call {
-        Call {
-            id: id.to_string(),
-            heard: self.heard.clone(),
-            whole: false,
+    fn track_call(&self, request_id: &str) -> TrackedCall {
+        TrackedCall {
+            request_id: request_id.to_string(),
+            events: self.events.clone(),
+            is_complete: false,
         }
     }
 }
@@ -137,17 +138,17 @@
         .to_string()
 }
 
-fn id<T>(request: &Request<T>) -> String {
+fn request_id<T>(request: &Request<T>) -> String {
     metadata(request, "txn").trim_start_matches('0').to_string()
 }
 
-/// The statement of a first poll; a later one names no command.
-fn query(descriptor: &FlightDescriptor) -> Option<String> {
+/// The statement of a first poll; the descriptor of a later poll has no command.
+fn statement(descriptor: &FlightDescriptor) -> Option<String> {
     let any = Any::decode(&*descriptor.cmd).ok()?;
     Some(any.unpack::<CommandStatementQuery>().ok()??.query)
 }
 
-fn refused(word: &str) -> Status {
+fn error_status(word: &str) -> Status {
     let (code, not_run) = match word {
         "BUSY" => (tonic::Code::ResourceExhausted, true),
         "VOID" => (tonic::Code::FailedPrecondition, true),
@@ -162,18 +163,18 @@
     status
 }
 
-fn batch(cells: &str) -> Result<arrow_array::RecordBatch, arrow_flight::error::FlightError> {
+fn page_batch(cells: &str) -> Result<arrow_array::RecordBatch, arrow_flight::error::FlightError> {
     let page = Page {
-        rows: rows(cells).into(),
+        rows: tab_separated_rows(cells).into(),
         is_last: false,
     };
     Ok(arrow::page_to_batch(&page)?)
 }
 
-type Answer<T> = Result<Response<T>, Status>;
+type FlightResult<T> = Result<Response<T>, Status>;
 
-fn none<T>() -> Answer<T> {
-    Err(Status::unimplemented("no part of any scenario"))
+fn unused_method<T>() -> FlightResult<T> {
+    Err(Status::unimplemented("not used by any scenario"))
 }
 
 #[tonic::async_trait]
@@ -186,24 +187,24 @@
     type DoActionStream = BoxStream<'static, Result<arrow_flight::Result, Status>>;
     type ListActionsStream = BoxStream<'static, Result<ActionType, Status>>;
 
-    async fn poll_flight_info(&self, request: Request<FlightDescriptor>) -> Answer<PollInfo> {
-        let id = id(&request);
+    async fn poll_flight_info(&self, request: Request<FlightDescriptor>) -> FlightResult<PollInfo> {
+        let request_id = request_id(&request);
         let descriptor = request.get_ref().clone();
         let mut poll = PollInfo {
-            flight_descriptor: Some(FlightDescriptor::new_path(vec![id.clone()])),
+            flight_descriptor: Some(FlightDescriptor::new_path(vec![request_id.clone()])),
             ..PollInfo::default()
         };
-        if let Some(query) = query(&descriptor) {
-            let (kind, rank) = (metadata(&request, "kind"), metadata(&request, "rank"));
+        if let Some(statement) = statement(&descriptor) {
+            let (kind, priority) = (metadata(&request, "kind"), metadata(&request, "rank"));
             let ms = metadata(&request, "ms");
-            let _ = self.heard.send(format!(
-                "fetch {id} kind={kind},ms={ms},rank={rank} {query}"
+            let _ = self.events.send(format!(
+                "fetch {request_id} kind={kind},ms={ms},rank={priority} {statement}"
             ));
             return Ok(Response::new(poll));
         }
-        let mut call = self.call(&id);
-        let words = self.next(&id).await;
-        call.whole = true;
+        let mut call = self.track_call(&request_id);
+        let words = self.next_reply(&request_id).await;
+        call.is_complete = true;
         match words.first().map(String::as_str) {
             Some("NOTE") => poll.progress = words.get(1).and_then(|share| share.parse().ok()),
             Some("OK") => {
@@ -212,31 +213,31 @@
                 poll.info = Some(FlightInfo::new().with_endpoint(endpoint));
                 poll.flight_descriptor = None;
             }
-            word => return Err(refused(word.unwrap_or_default())),
+            word => return Err(error_status(word.unwrap_or_default())),
         }
         Ok(Response::new(poll))
     }
 
-    async fn do_get(&self, request: Request<Ticket>) -> Answer<Self::DoGetStream> {
-        let id = id(&request);
+    async fn do_get(&self, request: Request<Ticket>) -> FlightResult<Self::DoGetStream> {
+        let request_id = request_id(&request);
         let ticket = String::from_utf8(request.get_ref().ticket.to_vec()).expect("text");
         let words: Vec<&str> = ticket.split(' ').collect();
         let parts: usize = words[1].parse().expect("a count");
-        let first = batch(words[2]);
+        let first = page_batch(words[2]);
         let later = stream::unfold(
-            (self.clone(), self.call(&id), 1),
+            (self.clone(), self.track_call(&request_id), 1),
             move |(engine, mut call, page)| async move {
                 if page >= parts {
-                    call.done();
+                    call.complete();
                     return None;
                 }
-                let _ = call.heard.send(format!("more {} {page}", call.id));
-                let words = engine.next(&call.id).await;
+                let _ = call.events.send(format!("more {} {page}", call.request_id));
+                let words = engine.next_reply(&call.request_id).await;
                 let batch = match words.first().map(String::as_str) {
-                    Some("ROWS") => batch(&words[2]),
+                    Some("ROWS") => page_batch(&words[2]),
                     word => {
-                        call.whole = true;
-                        Err(refused(word.unwrap_or_default()).into())
+                        call.is_complete = true;
+                        Err(error_status(word.unwrap_or_default()).into())
                     }
                 };
                 Some((batch, (engine, call, page + 1)))
@@ -249,41 +250,41 @@
         Ok(Response::new(data.map_err(Status::from).boxed()))
     }
 
-    async fn do_action(&self, request: Request<Action>) -> Answer<Self::DoActionStream> {
+    async fn do_action(&self, request: Request<Action>) -> FlightResult<Self::DoActionStream> {
         let action = request.into_inner();
         let body = String::from_utf8_lossy(&action.body).to_string();
-        let _ = self.heard.send(match action.r#type.as_str() {
+        let _ = self.events.send(match action.r#type.as_str() {
             ABORT_ACTION => format!("abort {}", body.trim_start_matches('0')),
             other => format!("action {other}"),
         });
         Ok(Response::new(stream::empty().boxed()))
     }
 
-    async fn get_flight_info(&self, _: Request<FlightDescriptor>) -> Answer<FlightInfo> {
-        none()
+    async fn get_flight_info(&self, _: Request<FlightDescriptor>) -> FlightResult<FlightInfo> {
+        unused_method()
     }
     async fn handshake(
         &self,
         _: Request<Streaming<HandshakeRequest>>,
-    ) -> Answer<Self::HandshakeStream> {
-        none()
+    ) -> FlightResult<Self::HandshakeStream> {
+        unused_method()
     }
-    async fn list_flights(&self, _: Request<Criteria>) -> Answer<Self::ListFlightsStream> {
-        none()
+    async fn list_flights(&self, _: Request<Criteria>) -> FlightResult<Self::ListFlightsStream> {
+        unused_method()
     }
-    async fn get_schema(&self, _: Request<FlightDescriptor>) -> Answer<SchemaResult> {
-        none()
+    async fn get_schema(&self, _: Request<FlightDescriptor>) -> FlightResult<SchemaResult> {
+        unused_method()
     }
-    async fn do_put(&self, _: Request<Streaming<FlightData>>) -> Answer<Self::DoPutStream> {
-        none()
+    async fn do_put(&self, _: Request<Streaming<FlightData>>) -> FlightResult<Self::DoPutStream> {
+        unused_method()
     }
     async fn do_exchange(
         &self,
         _: Request<Streaming<FlightData>>,
-    ) -> Answer<Self::DoExchangeStream> {
-        none()
+    ) -> FlightResult<Self::DoExchangeStream> {
+        unused_method()
     }
-    async fn list_actions(&self, _: Request<Empty>) -> Answer<Self::ListActionsStream> {
-        none()
+    async fn list_actions(&self, _: Request<Empty>) -> FlightResult<Self::ListActionsStream> {
+        unused_method()
     }
 }
--- a/dispatcher/tests/scenarios/harness.rs
+++ b/dispatcher/tests/scenarios/harness.rs
@@ -1,15 +1,20 @@
-//! The one helper of all scenarios, and their language.
+//! Test harness: starts the program on ephemeral loopback ports between scripted peers and runs scripts against it.
 //!
-//! A line is `PEER VERB WORDS`. `send` makes a peer say something; `expect` waits until what the peer
-//! hears next begins with the words; `close` ends a peer; `wait` waits for words in the program's log.
-//! What a peer hears is queued for it, so nothing depends on how fast anything is. Peers are made by
-//! their names: `c1` a PostgreSQL client, `f1` a Flight SQL client, `e1` an engine that speaks RESP,
-//! `g1` one that speaks Flight SQL, `m1` one that
-//! takes connections and says nothing, `d1` and `s1` change logs that are down or silent, `op` an operator at the door (`send INFO WORD` hears the figures whose
-//! names begin so), `adm` the administration, `log` the change log, `tcp` bare bytes (`tf` and `ta` to
-//! the Flight SQL front and the administration, `to` to the door); `app` is the
-//! program: `send reload LOG`, `send half` and `send put TEXT => TEXT` replace its file, or a text in it, and tell it,
-//! `close` ends it in order.
+//! A script line is `PEER VERB ARGUMENTS`. `send` gives a peer a command, `expect` waits for the peer's next event and
+//! checks its prefix, `close` ends a peer, and `wait` waits for a text in the program's log. Events are queued for each
+//! peer, so a script does not depend on timing.
+//!
+//! The name of a peer selects its kind:
+//! - `c1`: a PostgreSQL client; `f1`: a Flight SQL client
+//! - `e1`: an engine that speaks RESP; `g1`: an engine that speaks Flight SQL; `m1`: an engine that accepts
+//!   connections and never replies
+//! - `log`: the change log; `d1`: a change log that is down; `s1`: a change log that accepts connections and sends nothing
+//! - `op`: a client of the control socket (`send INFO WORD` reports the metrics whose names begin with WORD)
+//! - `adm`: a client of the administration front
+//! - `tcp`, `tf`, `ta`, `to`: raw bytes to the PostgreSQL front, the Flight SQL front, the administration front and the
+//!   control socket
+//! - `app`: the program. `send reload LOG`, `send truncated` and `send replace TEXT => TEXT` rewrite the platform's file
+//!   and send SIGHUP; `close` sends SIGTERM; `expect STATUS` waits for the exit status
 
 use crate::faults::Faults;
 use crate::{engines, flight_client, flight_engine, pg_client};
@@ -23,16 +28,16 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// No verdict hangs on this: it only ends a scenario that would wait for ever.
-const HANGS: Duration = Duration::from_secs(60);
+/// Ends a scenario that would otherwise wait forever; no assertion depends on its length.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A peer's two ends: what it is to say, and what it has heard.
+/// The test's ends of a peer's channels.
 pub struct Peer {
     pub commands: mpsc::UnboundedSender<String>,
     pub events: mpsc::UnboundedReceiver<String>,
 }
 
-/// A peer's task has the other ends.
+/// The ends of the channels that the task of the peer uses.
 pub struct PeerTask {
     pub commands: mpsc::UnboundedReceiver<String>,
     pub events: mpsc::UnboundedSender<String>,
@@ -55,26 +60,26 @@
 
 pub struct Harness {
     runtime: Runtime,
-    app: Child,
-    log: mpsc::UnboundedReceiver<String>,
+    program: Child,
+    log_lines: mpsc::UnboundedReceiver<String>,
     peers: HashMap<String, Peer>,
-    /// Where the program listens, by the kind of client.
-    addresses: HashMap<&'static str, String>,
-    endpoints: HashMap<String, String>,
-    folder: PathBuf,
-    /// The platform's file, without the change log and its end.
-    config: String,
+    /// Listen addresses of the program by the first letter of the client's kind.
+    listen_addresses: HashMap<&'static str, String>,
+    engine_endpoints: HashMap<String, String>,
+    directory: PathBuf,
+    /// The platform's configuration file without the `changelog` key and the closing brace.
+    platform_config: String,
 }
 
 /// How the program is started.
 pub struct Options<'a> {
     pub workers: usize,
-    /// The settings in the platform's file.
+    /// The `settings` object of the platform's configuration file.
     pub settings: &'a str,
-    /// Where clients are to connect.
+    /// The listen address for PostgreSQL clients.
     pub listen: &'a str,
     pub faults: Option<&'a Faults>,
-    /// The start of every engine by its own clock, as the list tells it.
+    /// `boot_ms` of every engine in the list: its start time by its own clock.
     pub boot_ms: u64,
 }
 
@@ -90,7 +95,7 @@
     }
 }
 
-/// Descriptors of the program.
+/// Limit on the file descriptors of the program, in its configuration and by `ulimit`.
 pub const MAX_DESCRIPTORS: usize = 128;
 
 pub const SETTINGS: &str = r#"{"balancers": 1, "kinds": ["std"], "zones": ["a"], "zone": "a", "tick": 5.0,
@@ -105,12 +110,11 @@
     {"name": "journal-load", "worth": 12.0, "on_time": 300.0, "give_up": 60000.0, "effect": "once"}],
   "tenants": [{"name": "acme", "portion": 1.0}]}"#;
 
-/// An engine as the change log lists it.
 fn target_json(name: &str, endpoint: &str, state: &str) -> String {
     target_json_with_boot(name, endpoint, state, 0)
 }
 
-/// The same, with its start by its own clock.
+/// A target of the engine list in the format of the change log.
 fn target_json_with_boot(name: &str, endpoint: &str, state: &str, boot_ms: u64) -> String {
     let uid = name
         .bytes()
@@ -121,12 +125,11 @@
 }
 
 impl Harness {
-    /// Starts the program before these engines; `changelog` plays the change log too.
+    /// Starts the program with one worker and these engines and change logs.
     pub fn new(engines: &[&str]) -> Harness {
         Harness::with_workers(engines, 1)
     }
 
-    /// The same with the program on so many workers.
     pub fn with_workers(engines: &[&str], workers: usize) -> Harness {
         let options = Options {
             workers,
@@ -135,14 +138,14 @@
         Harness::with_options(engines, &options)
     }
 
-    /// The same with the program started in this way.
+    /// Starts the program and waits until it serves.
     pub fn with_options(engines: &[&str], options: &Options) -> Harness {
         let mut harness = Harness::start(engines, options);
         harness.wait_until_serving();
         harness
     }
 
-    /// Starts the program, and does not wait until it serves.
+    /// Starts the program without waiting until it serves.
     pub fn start(engines: &[&str], options: &Options) -> Harness {
         let Options {
             workers,
@@ -157,9 +160,9 @@
             .build()
             .expect("a runtime");
         let (mut peers, mut targets, mut changelog) = (HashMap::new(), Vec::new(), None);
-        let mut endpoints = HashMap::new();
+        let mut engine_endpoints = HashMap::new();
         for name in engines {
-            let (peer, role) = peer_channels();
+            let (peer, peer_task) = peer_channels();
             let listener = runtime
                 .block_on(TcpListener::bind("127.0.0.1:0"))
                 .expect("a port");
@@ -170,57 +173,58 @@
             };
             match &name[..1] {
                 "e" => {
-                    runtime.spawn(engines::resp(listener, role));
+                    runtime.spawn(engines::run_resp_engine(listener, peer_task));
                     targets.push(target_json_with_boot(name, &endpoint, "up", *boot_ms));
                 }
                 "g" => {
-                    runtime.spawn(flight_engine::serve(listener, role));
+                    runtime.spawn(flight_engine::run_flight_engine(listener, peer_task));
                     targets.push(target_json_with_boot(name, &endpoint, "up", *boot_ms));
                 }
                 "m" => {
-                    runtime.spawn(engines::mute(listener, role));
+                    runtime.spawn(engines::run_unresponsive_engine(listener, peer_task));
                     targets.push(target_json_with_boot(name, &endpoint, "up", *boot_ms));
                 }
                 "d" | "s" => {
-                    // A change log that is down, or one that takes connections and never says anything.
-                    let kept = (&name[..1] == "s").then_some(listener);
+                    // Without a listener the change log is down; a listener that is never read accepts
+                    // connections into its backlog and sends nothing.
+                    let open_listener = (&name[..1] == "s").then_some(listener);
                     runtime.spawn(async move {
-                        let _kept = (kept, role);
+                        let _open = (open_listener, peer_task);
                         std::future::pending::<()>().await;
                     });
                     changelog.get_or_insert(address);
                 }
                 _ => {
-                    runtime.spawn(engines::changelog(listener, role));
-                    // Others than the first are for a reload.
+                    runtime.spawn(engines::run_change_log(listener, peer_task));
+                    // The program starts with the first change log; a script can reload to the others.
                     changelog.get_or_insert(address);
                 }
             }
-            endpoints.insert(name.to_string(), endpoint);
+            engine_endpoints.insert(name.to_string(), endpoint);
             peers.insert(name.to_string(), peer);
         }
-        let folder = create_temp_dir();
-        let known = format!(
+        let directory = create_temp_dir();
+        let engine_list_event = format!(
             r#"{{"seq":1,"fleet":{{"rev":1,"all":true,"targets":[{}]}}}}"#,
             targets.join(",")
         );
-        let config = format!(
+        let platform_config = format!(
             r#"{{"name":"n0","listen":"{listen}","control":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{{"sockets":{MAX_DESCRIPTORS}}},
-               "known":{{"seq":1,"results":[{known}]}},"settings":{settings}"#
+               "known":{{"seq":1,"results":[{engine_list_event}]}},"settings":{settings}"#
         );
-        let own = format!(
+        let program_config = format!(
             r#"{{"flight": {{"listen": "127.0.0.1:0"}}, "admin": {{"listen": "127.0.0.1:0"}}, "workers": {workers}}}"#
         );
-        write_config(&folder, &config, changelog.as_deref());
-        std::fs::write(folder.join("own.json"), own).expect("writes");
-        let _inside = runtime.enter();
-        // It gets no more descriptors than it is told of.
-        let limited = format!("ulimit -n {MAX_DESCRIPTORS} && exec \"$0\" \"$@\"");
-        let mut app = Command::new("sh")
-            .args(["-c", &limited, env!("CARGO_BIN_EXE_sedgebeam")])
+        write_config_file(&directory, &platform_config, changelog.as_deref());
+        std::fs::write(directory.join("own.json"), program_config).expect("writes");
+        let _runtime_guard = runtime.enter();
+        // The kernel enforces the limit that the configuration states.
+        let shell_command = format!("ulimit -n {MAX_DESCRIPTORS} && exec \"$0\" \"$@\"");
+        let mut program = Command::new("sh")
+            .args(["-c", &shell_command, env!("CARGO_BIN_EXE_sedgebeam")])
             .args(["serve", "--config"])
-            .arg(folder.join("own.json"))
-            .env("PROXY_CONFIG", folder.join("config.json"))
+            .arg(directory.join("own.json"))
+            .env("PROXY_CONFIG", directory.join("config.json"))
             .env_remove("PROXY_LISTEN")
             .env_remove("PROXY_NAME")
             .env("SEDGEBEAM_LOG", "info")
@@ -229,57 +233,56 @@
             .kill_on_drop(true)
             .spawn()
             .expect("the program starts");
-        let (told, log) = mpsc::unbounded_channel();
-        let mut lines = BufReader::new(app.stderr.take().expect("piped")).lines();
+        let (log_sender, log_lines) = mpsc::unbounded_channel();
+        let mut lines = BufReader::new(program.stderr.take().expect("piped")).lines();
         runtime.spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                let _ = told.send(line);
+                let _ = log_sender.send(line);
             }
         });
-        drop(_inside);
+        drop(_runtime_guard);
         Harness {
             runtime,
-            app,
-            log,
+            program,
+            log_lines,
             peers,
-            addresses: HashMap::new(),
-            endpoints,
-            folder,
-            config,
+            listen_addresses: HashMap::new(),
+            engine_endpoints,
+            directory,
+            platform_config,
         }
     }
 
-    /// Waits until the program serves.
+    /// Reads the listen addresses from the log, which the program prints once it serves.
     pub fn wait_until_serving(&mut self) {
-        for (kind, words) in [
+        for (kind, text) in [
             ("o", "takes calls of operators on "),
             ("f", "serves Flight SQL clients on "),
             ("a", "is administered on "),
             ("c", "serves PostgreSQL clients on "),
         ] {
-            let address = self.wait_for_log(words);
-            self.addresses.insert(kind, address);
+            let address = self.wait_for_log(text);
+            self.listen_addresses.insert(kind, address);
         }
     }
 
-    /// Waits for a line of the log that holds the words; what stands behind them.
-    pub fn wait_for_log(&mut self, words: &str) -> String {
-        let mut last = String::new();
+    /// Waits for a log line that contains the text and returns the rest of the line.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
+        let mut last_line = String::new();
         loop {
             let line = self
                 .runtime
-                .block_on(async { timeout(HANGS, self.log.recv()).await });
-            let line = line.unwrap_or_else(|_| panic!("the log never said {words:?}"));
-            let ended = || panic!("the log ended before {words:?}, with {last:?}");
-            let line = line.unwrap_or_else(ended);
-            if let Some((_, rest)) = line.split_once(words) {
+                .block_on(async { timeout(HANG_TIMEOUT, self.log_lines.recv()).await });
+            let line = line.unwrap_or_else(|_| panic!("the log has no line with {text:?}"));
+            let log_ended = || panic!("the log ended before {text:?}, with {last_line:?}");
+            let line = line.unwrap_or_else(log_ended);
+            if let Some((_, rest)) = line.split_once(text) {
                 return rest.trim().to_string();
             }
-            last = line;
+            last_line = line;
         }
     }
 
-    /// Plays the lines of a scenario, in order.
     pub fn run_script(&mut self, scenario: &str) {
         for line in scenario
             .lines()
@@ -288,199 +291,226 @@
         {
             let mut parts = line.splitn(3, ' ');
             println!("{line}");
-            let (who, verb) = (parts.next().unwrap_or(""), parts.next().unwrap_or(""));
-            let words = parts.next().unwrap_or("");
-            match (who, verb) {
+            let (peer_name, verb) = (parts.next().unwrap_or(""), parts.next().unwrap_or(""));
+            let arguments = parts.next().unwrap_or("");
+            match (peer_name, verb) {
                 ("app", "wait") => {
-                    self.wait_for_log(words);
+                    self.wait_for_log(arguments);
                 }
                 ("app", "close") => self.signal("-TERM"),
-                ("app", "send") => self.reload_config(words),
-                ("app", "expect") => self.expect_exit_status(words),
-                (_, "send") => self.send_command(who, words),
-                (_, "expect") => self.expect_event(who, words, line),
-                (_, "close") => self.send_command(who, "close"),
-                _ => panic!("no such line: {line}"),
+                ("app", "send") => self.reload_config(arguments),
+                ("app", "expect") => self.expect_exit_status(arguments),
+                (_, "send") => self.send_command(peer_name, arguments),
+                (_, "expect") => self.expect_event(peer_name, arguments, line),
+                (_, "close") => self.send_command(peer_name, "close"),
+                _ => panic!("invalid script line: {line}"),
             }
         }
     }
 
-    fn send_command(&mut self, who: &str, words: &str) {
-        if !self.peers.contains_key(who) {
-            self.start_client(who);
+    fn send_command(&mut self, peer_name: &str, command: &str) {
+        if !self.peers.contains_key(peer_name) {
+            self.start_client(peer_name);
         }
-        let peer = &self.peers[who];
-        let words = self.resolve_endpoints(words);
+        let peer = &self.peers[peer_name];
+        let command = self.resolve_endpoints(command);
         peer.commands
-            .send(words)
-            .unwrap_or_else(|_| panic!("{who} has ended"));
+            .send(command)
+            .unwrap_or_else(|_| panic!("{peer_name} has ended"));
     }
 
-    /// The words, with the endpoint of an engine for `@NAME`.
-    fn resolve_endpoints(&self, words: &str) -> String {
-        let word = |word: &str| match word.strip_prefix('@') {
-            Some(name) => self.endpoints[name].clone(),
+    /// Replaces each `@NAME` by the endpoint of that engine.
+    fn resolve_endpoints(&self, command: &str) -> String {
+        let resolve = |word: &str| match word.strip_prefix('@') {
+            Some(name) => self.engine_endpoints[name].clone(),
             None => word.to_string(),
         };
-        words.split(' ').map(word).collect::<Vec<_>>().join(" ")
+        command
+            .split(' ')
+            .map(resolve)
+            .collect::<Vec<_>>()
+            .join(" ")
     }
 
-    fn start_client(&mut self, who: &str) {
-        let (peer, role) = peer_channels();
-        let address = |kind| self.addresses[kind].clone();
-        match &who[..1] {
-            "c" => drop(self.runtime.spawn(pg_client::run(address("c"), role))),
-            "f" => drop(self.runtime.spawn(flight_client::run(address("f"), role))),
-            "o" => drop(self.runtime.spawn(operator(address("o"), role))),
-            "a" => drop(self.runtime.spawn(administrator(address("a"), role))),
+    fn start_client(&mut self, peer_name: &str) {
+        let (peer, peer_task) = peer_channels();
+        let address = |kind| self.listen_addresses[kind].clone();
+        match &peer_name[..1] {
+            "c" => drop(self.runtime.spawn(pg_client::run(address("c"), peer_task))),
+            "f" => drop(
+                self.runtime
+                    .spawn(flight_client::run(address("f"), peer_task)),
+            ),
+            "o" => drop(
+                self.runtime
+                    .spawn(run_control_client(address("o"), peer_task)),
+            ),
+            "a" => drop(
+                self.runtime
+                    .spawn(run_admin_client(address("a"), peer_task)),
+            ),
             "t" => {
                 let kind = ["f", "a", "o"]
                     .into_iter()
-                    .find(|kind| who[1..].starts_with(kind));
-                drop(self.runtime.spawn(bare(address(kind.unwrap_or("c")), role)));
+                    .find(|kind| peer_name[1..].starts_with(kind));
+                drop(
+                    self.runtime
+                        .spawn(run_raw_client(address(kind.unwrap_or("c")), peer_task)),
+                );
             }
-            _ => panic!("no peer {who}"),
+            _ => panic!("unknown kind of peer: {peer_name}"),
         }
-        self.peers.insert(who.to_string(), peer);
+        self.peers.insert(peer_name.to_string(), peer);
     }
 
-    fn expect_event(&mut self, who: &str, words: &str, line: &str) {
-        if !self.peers.contains_key(who) {
-            self.start_client(who);
+    fn expect_event(&mut self, peer_name: &str, prefix: &str, line: &str) {
+        if !self.peers.contains_key(peer_name) {
+            self.start_client(peer_name);
         }
-        let heard = self.next_event(who);
-        assert!(heard.starts_with(words), "{line}: but heard {heard:?}");
+        let event = self.next_event(peer_name);
+        assert!(event.starts_with(prefix), "{line}: got {event:?}");
     }
 
-    /// What a peer hears next.
-    pub fn next_event(&mut self, who: &str) -> String {
-        let peer = self.peers.get_mut(who).expect("a peer");
-        let heard = self
+    /// Waits for the next event of a peer.
+    pub fn next_event(&mut self, peer_name: &str) -> String {
+        let peer = self.peers.get_mut(peer_name).expect("a peer");
+        let event = self
             .runtime
-            .block_on(async { timeout(HANGS, peer.events.recv()).await });
-        let heard = heard.unwrap_or_else(|_| panic!("{who} hears nothing more"));
-        heard.unwrap_or_else(|| panic!("{who} has ended"))
+            .block_on(async { timeout(HANG_TIMEOUT, peer.events.recv()).await });
+        let event = event.unwrap_or_else(|_| panic!("{peer_name} got no event in time"));
+        event.unwrap_or_else(|| panic!("{peer_name} has ended"))
     }
 
-    /// What any of these peers hears next, and which.
-    pub fn next_event_of(&mut self, who: &[&str]) -> (String, String) {
+    /// Waits for the next event of any of these peers; returns the peer's name and the event.
+    pub fn next_event_of(&mut self, peer_names: &[&str]) -> (String, String) {
         let peers = self.peers.iter_mut();
-        let peers = peers.filter(|(name, _)| who.contains(&name.as_str()));
+        let peers = peers.filter(|(name, _)| peer_names.contains(&name.as_str()));
         let next =
             peers.map(|(name, peer)| Box::pin(async { (name.clone(), peer.events.recv().await) }));
         let next = futures::future::select_all(next);
-        let heard = self.runtime.block_on(async { timeout(HANGS, next).await });
-        let ((name, heard), _, _) = heard.expect("something is heard");
-        (name, heard.expect("a peer that has not ended"))
+        let event = self
+            .runtime
+            .block_on(async { timeout(HANG_TIMEOUT, next).await });
+        let ((name, event), _, _) = event.expect("an event in time");
+        (name, event.expect("a peer that has not ended"))
     }
 
-    /// All that a peer has heard up to now and has not been expected.
-    pub fn take_pending_events(&mut self, who: &str) -> Vec<String> {
-        let peer = self.peers.get_mut(who).expect("a peer");
+    /// Takes all events of a peer that are queued and not consumed yet.
+    pub fn take_pending_events(&mut self, peer_name: &str) -> Vec<String> {
+        let peer = self.peers.get_mut(peer_name).expect("a peer");
         std::iter::from_fn(|| peer.events.try_recv().ok()).collect()
     }
 
-    /// Has the program read a file that names another change log, or one that is half written.
-    fn reload_config(&mut self, words: &str) {
-        match words.strip_prefix("reload ") {
-            Some(name) => write_config(&self.folder, &self.config, Some(&self.endpoints[name])),
-            None if words == "half" => {
-                let half = self.config[..self.config.len() / 2].to_string();
-                self.write_platform_config(&half);
+    /// Rewrites the platform's file as the command says and has the program reload it.
+    fn reload_config(&mut self, command: &str) {
+        match command.strip_prefix("reload ") {
+            Some(name) => write_config_file(
+                &self.directory,
+                &self.platform_config,
+                Some(&self.engine_endpoints[name]),
+            ),
+            None if command == "truncated" => {
+                let truncated = self.platform_config[..self.platform_config.len() / 2].to_string();
+                self.write_platform_config(&truncated);
             }
             None => {
-                let (old, new) = words["put ".len()..].split_once(" => ").expect("two texts");
-                assert!(self.config.contains(old), "{old} is in the file");
-                self.config = self.config.replace(old, new);
-                write_config(&self.folder, &self.config, None);
+                let (old, new) = command["replace ".len()..]
+                    .split_once(" => ")
+                    .expect("two texts");
+                assert!(self.platform_config.contains(old), "the file has no {old}");
+                self.platform_config = self.platform_config.replace(old, new);
+                write_config_file(&self.directory, &self.platform_config, None);
             }
         }
         self.signal("-HUP");
     }
 
-    /// Replaces the platform's file.
-    pub fn write_platform_config(&self, text: &str) {
-        std::fs::write(self.folder.join("config.json"), text).expect("writes");
+    pub fn write_platform_config(&self, config_text: &str) {
+        std::fs::write(self.directory.join("config.json"), config_text).expect("writes");
     }
 
-    /// Replaces the platform's file, tells the program, and waits for these words in its log.
-    pub fn write_config_and_reload(&mut self, text: &str, words: &str) {
-        self.write_platform_config(text);
+    /// Rewrites the platform's file, sends SIGHUP and waits for this text in the log.
+    pub fn write_config_and_reload(&mut self, config_text: &str, log_text: &str) {
+        self.write_platform_config(config_text);
         self.signal("-HUP");
-        self.wait_for_log(words);
+        self.wait_for_log(log_text);
     }
 
-    /// Where the program listens, by the kind of client.
+    /// The listen address for a kind of client: `c`, `f`, `a` or `o`.
     pub fn listen_address(&self, kind: &str) -> &str {
-        &self.addresses[kind]
+        &self.listen_addresses[kind]
     }
 
-    /// Descriptors that the program holds.
+    /// Number of file descriptors that the program has open.
     pub fn open_descriptors(&self) -> usize {
-        let id = self.app.id().expect("it runs");
-        let held = std::fs::read_dir(format!("/proc/{id}/fd"));
-        held.expect("they are listed").count()
+        let id = self.program.id().expect("the program runs");
+        let descriptors = std::fs::read_dir(format!("/proc/{id}/fd"));
+        descriptors.expect("a directory listing").count()
     }
 
-    /// The platform's file as it is without a change log.
+    /// The platform's configuration file without a change log.
     pub fn platform_config(&self) -> String {
-        format!("{}}}", self.config)
+        format!("{}}}", self.platform_config)
     }
 
     fn signal(&mut self, signal: &str) {
-        let id = self.app.id().expect("it runs").to_string();
+        let id = self.program.id().expect("the program runs").to_string();
         let kill = std::process::Command::new("kill")
             .args([signal, &id])
             .status();
         assert!(kill.expect("kill runs").success());
     }
 
-    fn expect_exit_status(&mut self, words: &str) {
+    fn expect_exit_status(&mut self, expected: &str) {
         let status = self
             .runtime
-            .block_on(async { timeout(HANGS, self.app.wait()).await });
+            .block_on(async { timeout(HANG_TIMEOUT, self.program.wait()).await });
         let status = status.expect("the program ends").expect("a status");
         assert_eq!(
             status.code().map(|code| code.to_string()).as_deref(),
-            Some(words)
+            Some(expected)
         );
     }
 }
 
 impl Drop for Harness {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-fn write_config(folder: &Path, config: &str, changelog: Option<&str>) {
-    let log = changelog.map_or(String::new(), |address| {
+fn write_config_file(directory: &Path, platform_config: &str, changelog: Option<&str>) {
+    let changelog_entry = changelog.map_or(String::new(), |address| {
         format!(r#","changelog":"{address}""#)
     });
-    std::fs::write(folder.join("config.json"), format!("{config}{log}}}")).expect("writes");
+    std::fs::write(
+        directory.join("config.json"),
+        format!("{platform_config}{changelog_entry}}}"),
+    )
+    .expect("writes");
 }
 
-/// A folder of this scenario's own.
+/// Creates a temporary directory that no other test uses.
 pub fn create_temp_dir() -> PathBuf {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let folder = std::env::temp_dir().join(format!("sedgebeam-{}-{number}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+    let directory = std::env::temp_dir().join(format!("sedgebeam-{}-{number}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    directory
 }
 
-/// An entry of the change log: `SEQ STATE NAME ENDPOINT`; with `whole` as state, the whole list.
+/// The change log event for `SEQ STATE NAME ENDPOINT`; the state `snapshot` makes it the complete list.
 pub fn change_event(seq: &str, state: &str, name: &str, endpoint: &str) -> String {
-    let all = state == "whole";
+    let all = state == "snapshot";
     let target = target_json(name, endpoint, if all { "up" } else { state });
     format!(r#"{{"seq":{seq},"fleet":{{"rev":{seq},"all":{all},"targets":[{target}]}}}}"#)
 }
 
-/// Administers: `send METHOD PATH [BODY]`; hears the status and the body.
-async fn administrator(address: String, mut role: PeerTask) {
-    while let Some(words) = role.commands.recv().await {
-        let mut parts = words.splitn(3, ' ');
+/// A client of the administration front: `send METHOD PATH [BODY]`; its event is the status and the body.
+async fn run_admin_client(address: String, mut peer_task: PeerTask) {
+    while let Some(command_line) = peer_task.commands.recv().await {
+        let mut parts = command_line.splitn(3, ' ');
         let (method, path) = (parts.next().unwrap_or(""), parts.next().unwrap_or(""));
         let body = parts.next().unwrap_or("");
         let mut stream = TcpStream::connect(&address).await.expect("connects");
@@ -493,35 +523,40 @@
         stream.read_to_string(&mut answer).await.expect("reads");
         let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
         let status = head.split(' ').nth(1).expect("a status");
-        let _ = role.events.send(format!("{status} {body}"));
+        let _ = peer_task.events.send(format!("{status} {body}"));
     }
 }
 
-/// Calls at the door, each on a connection of its own; hears the first line, and the figures asked for.
-async fn operator(address: String, mut role: PeerTask) {
-    while let Some(words) = role.commands.recv().await {
-        let (call, wanted) = words.split_once(' ').unwrap_or((&words, "-"));
-        // All that is told, but for one who asks only whether it is.
-        let wanted = if words == "INFO" { "" } else { wanted };
+/// A client of the control socket, with one connection per command. Its events are the first line of the answer and the
+/// metrics that were asked for.
+async fn run_control_client(address: String, mut peer_task: PeerTask) {
+    while let Some(command_line) = peer_task.commands.recv().await {
+        let (command, name_prefix) = command_line.split_once(' ').unwrap_or((&command_line, "-"));
+        // A bare INFO reports all lines; any other command without an argument only the first.
+        let name_prefix = if command_line == "INFO" {
+            ""
+        } else {
+            name_prefix
+        };
         let mut stream = TcpStream::connect(&address).await.expect("connects");
-        let line = format!("{call}\n");
+        let line = format!("{command}\n");
         stream.write_all(line.as_bytes()).await.expect("writes");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.expect("reads");
         let mut lines = answer.lines();
         let first = lines.next().unwrap_or("no answer");
-        let _ = role.events.send(first.to_string());
-        for line in lines.filter(|line| line.starts_with(wanted)) {
-            let _ = role.events.send(line.to_string());
+        let _ = peer_task.events.send(first.to_string());
+        for line in lines.filter(|line| line.starts_with(name_prefix)) {
+            let _ = peer_task.events.send(line.to_string());
         }
     }
 }
 
-/// Bytes as they are: `send` takes hexadecimal; what comes back is told in it.
-async fn bare(address: String, mut role: PeerTask) {
+/// A client that sends and receives raw bytes, written in hexadecimal.
+async fn run_raw_client(address: String, mut peer_task: PeerTask) {
     let stream = TcpStream::connect(address).await.expect("connects");
     let (mut read, mut write) = stream.into_split();
-    let heard = role.events.clone();
+    let events = peer_task.events.clone();
     tokio::spawn(async move {
         let mut bytes = [0; 4096];
         while let Ok(count) = read.read(&mut bytes).await
@@ -531,12 +566,12 @@
                 .iter()
                 .map(|byte| format!("{byte:02x}"))
                 .collect();
-            let _ = heard.send(hex);
+            let _ = events.send(hex);
         }
-        let _ = heard.send("closed".to_string());
+        let _ = events.send("closed".to_string());
     });
-    while let Some(words) = role.commands.recv().await {
-        let digits: Vec<u8> = words.bytes().filter(u8::is_ascii_hexdigit).collect();
+    while let Some(command_line) = peer_task.commands.recv().await {
+        let digits: Vec<u8> = command_line.bytes().filter(u8::is_ascii_hexdigit).collect();
         let pairs = digits
             .chunks(2)
             .map(|pair| std::str::from_utf8(pair).expect("ASCII"));
--- a/dispatcher/tests/scenarios/lifecycle.rs
+++ b/dispatcher/tests/scenarios/lifecycle.rs
@@ -5,12 +5,12 @@
 #[test]
 fn a_draining_engine_gets_nothing_new() {
     Harness::new(&["e1", "log"]).run_script(
-        "log expect asked 1
+        "log expect subscribed 1
          c1 send report 1
          e1 expect fetch 1
          log send 2 draining e1 @e1
          log close
-         log expect asked 2
+         log expect subscribed 2
          e1 send 1 OK 1 a|b|c
          c1 expect row a|b|c
          c1 expect complete 1
@@ -37,11 +37,11 @@
 #[test]
 fn a_new_engine_at_the_address_of_a_gone_one_is_another_engine() {
     Harness::new(&["e1", "log"]).run_script(
-        "log expect asked 1
+        "log expect subscribed 1
          log send 2 removed e1 @e1
          log send 3 up e2 @e1
          log close
-         log expect asked 3
+         log expect subscribed 3
          c1 send lookup 1
          e1 expect fetch 1
          e1 send 1 OK 1 a|b|c
@@ -53,15 +53,15 @@
 #[test]
 fn a_gap_in_the_change_log_asks_for_what_is_missing_and_then_for_the_whole_list() {
     Harness::new(&["e1", "log"]).run_script(
-        "log expect asked 1
+        "log expect subscribed 1
          log send 4 draining e1 @e1
          app wait asking for what is missing
          log close
-         log expect asked 1
+         log expect subscribed 1
          log send 4 draining e1 @e1
          app wait asking for the whole list
          log close
-         log expect asked 0",
+         log expect subscribed 0",
     );
 }
 
@@ -69,18 +69,18 @@
 fn a_new_configuration_moves_the_change_log_with_the_number_reached() {
     // Without its handler the signal ends the program, and the request that is under way is lost.
     Harness::new(&["e1", "log", "log2"]).run_script(
-        "log expect asked 1
+        "log expect subscribed 1
          log send 2 up e1 @e1
          c1 send report 1
          e1 expect fetch 1
          app send reload log2
-         log2 expect asked 2
+         log2 expect subscribed 2
          e1 send 1 OK 1 a|b|c
          c1 expect row a|b|c
          c1 expect complete 1
          log2 send 3 draining e1 @e1
          log2 close
-         log2 expect asked 3
+         log2 expect subscribed 3
          c1 send lookup 2
          c1 expect error 53300",
     );
@@ -89,14 +89,14 @@
 #[test]
 fn a_configuration_that_is_half_written_changes_nothing_until_it_is_whole() {
     Harness::new(&["e1", "log", "log2"]).run_script(
-        "log expect asked 1
-         app send half
+        "log expect subscribed 1
+         app send truncated
          app wait the running configuration is kept
          log send 2 up e1 @e1
          log close
-         log expect asked 2
+         log expect subscribed 2
          app send reload log2
-         log2 expect asked 2
+         log2 expect subscribed 2
          app close
          app expect 0",
     );
@@ -106,11 +106,11 @@
 fn an_event_told_again_is_no_news() {
     // The whole list of long ago must not bring back an engine that drains since.
     Harness::new(&["e1", "log"]).run_script(
-        "log expect asked 1
+        "log expect subscribed 1
          log send 2 draining e1 @e1
-         log send 1 whole e1 @e1
+         log send 1 snapshot e1 @e1
          log close
-         log expect asked 2
+         log expect subscribed 2
          c1 send lookup 2
          c1 expect error 53300",
     );
@@ -210,7 +210,7 @@
     harness.run_script("c1 send report 1");
     let (engine, other) = has_it(&mut harness);
     harness.run_script(&format!(
-        "{engine} send deaf
+        "{engine} send refuse
          {engine} close
          {other} expect fetch 1
          {other} send 1 OK 1 a|b|c
--- a/dispatcher/tests/scenarios/operation.rs
+++ b/dispatcher/tests/scenarios/operation.rs
@@ -256,7 +256,7 @@
          e1 expect fetch 1
          op send LAMEDUCK
          op expect 200
-         app send put "max_attempts": 3 => "max_attempts": 2
+         app send replace "max_attempts": 3 => "max_attempts": 2
          app wait read again and taken
          op send PING
          op expect 400
@@ -264,7 +264,7 @@
          op expect 200
          app close
          app wait last call
-         app send put "max_attempts": 2 => "max_attempts": 1
+         app send replace "max_attempts": 2 => "max_attempts": 1
          app wait read again and taken
          e1 send 1 ERR
          c1 expect error 53300
@@ -294,7 +294,7 @@
     Harness::new(&["e1"]).run_script(
         r#"c1 send report 1
          e1 expect fetch 1 kind=report
-         app send put "name": "report" => "name": "report-2"
+         app send replace "name": "report" => "name": "report-2"
          app wait read again and taken
          c2 send report-2 2
          e1 expect fetch 2 kind=report-2
@@ -313,9 +313,9 @@
          c3 expect complete 1
          c4 send journal-load-2 4
          c4 expect error 42601
-         app send put "effect": "once" => "effect": "once", "worth": 3.0
+         app send replace "effect": "once" => "effect": "once", "worth": 3.0
          app wait read again and taken
-         app send put "name": "lookup", "worth" => "name": "lookup", "value"
+         app send replace "name": "lookup", "worth" => "name": "lookup", "value"
          app wait the running configuration is kept (4 of 4): configuration: settings.services.0.worth
          c2 send lookup 5
          e1 expect fetch 5 kind=lookup
@@ -331,13 +331,13 @@
     Harness::new(&["e1"]).run_script(
         r#"c1 send lookup 1
          e1 expect fetch 1
-         app send put "max_attempts": 3 => "max_attempts": 1
+         app send replace "max_attempts": 3 => "max_attempts": 1
          app wait read again and taken
          e1 send 1 ERR
          c1 expect error 53300
          c1 send lookup 2
          e1 expect fetch 2
-         app send put "max_attempts": 1 => "max_attempts": 3
+         app send replace "max_attempts": 1 => "max_attempts": 3
          app wait read again and taken
          e1 send 2 ERR
          c1 expect error 53300
--- a/dispatcher/tests/scenarios/pg_client.rs
+++ b/dispatcher/tests/scenarios/pg_client.rs
@@ -1,16 +1,18 @@
-//! A client of the PostgreSQL protocol: `send CLASS ID [LIMIT [TEAM]]` asks, `send cancel` calls off.
+//! A scripted client of the PostgreSQL protocol. `send CLASS ID [LIMIT [TEAM]]` runs a query, `send text STATEMENT` sends
+//! a statement as it is, `send cancel` cancels the running query, and `send empty`, `send sync` and `send parse` send those
+//! messages.
 
 use crate::harness::PeerTask;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::net::tcp::OwnedReadHalf;
 
-/// The statement of a request, as both kinds of client write it.
-pub fn statement(words: &str) -> String {
-    if let Some(text) = words.strip_prefix("text ") {
-        return text.to_string();
+/// The statement of a request, with the comment that both fronts parse.
+pub fn statement(request: &str) -> String {
+    if let Some(statement) = request.strip_prefix("text ") {
+        return statement.to_string();
     }
-    let mut words = words.split(' ');
+    let mut words = request.split(' ');
     let (class, id) = (words.next().unwrap_or(""), words.next().unwrap_or("0"));
     let limit = words.next().unwrap_or("60000");
     let team = words.next().unwrap_or("acme");
@@ -24,10 +26,10 @@
     )
 }
 
-pub fn query(text: &str) -> Vec<u8> {
+pub fn query(statement: &str) -> Vec<u8> {
     let mut bytes = vec![b'Q'];
-    bytes.extend((text.len() as u32 + 5).to_be_bytes());
-    bytes.extend(text.as_bytes());
+    bytes.extend((statement.len() as u32 + 5).to_be_bytes());
+    bytes.extend(statement.as_bytes());
     bytes.push(0);
     bytes
 }
@@ -40,77 +42,82 @@
     bytes
 }
 
-pub async fn run(address: String, mut role: PeerTask) {
+pub async fn run(address: String, mut peer_task: PeerTask) {
     let stream = TcpStream::connect(&address).await.expect("connects");
-    let (mut read, mut write) = stream.into_split();
-    // The first query is written right behind the start-up message, as the page allows.
-    let first = role.commands.recv().await.unwrap_or_default();
+    let (mut reader, mut writer) = stream.into_split();
+    // The first command is written right after the startup message, which the protocol allows.
+    let first_command = peer_task.commands.recv().await.unwrap_or_default();
     let mut bytes = startup();
-    bytes.extend(said(&first));
-    write.write_all(&bytes).await.expect("writes");
-    let key = welcome(&mut read).await;
-    let heard = role.events.clone();
+    bytes.extend(encode_command(&first_command));
+    writer.write_all(&bytes).await.expect("writes");
+    let cancel_key = read_until_ready(&mut reader).await;
+    let events = peer_task.events.clone();
     tokio::spawn(async move {
-        while let Some((kind, body)) = message(&mut read).await {
-            if let Some(word) = told(kind, &body) {
-                let _ = heard.send(word);
+        while let Some((kind, body)) = read_message(&mut reader).await {
+            if let Some(event) = message_event(kind, &body) {
+                let _ = events.send(event);
             }
         }
-        let _ = heard.send("closed".to_string());
+        let _ = events.send("closed".to_string());
     });
-    while let Some(words) = role.commands.recv().await {
-        match words.as_str() {
+    while let Some(command) = peer_task.commands.recv().await {
+        match command.as_str() {
             "close" => return,
             "cancel" => {
-                let mut other = TcpStream::connect(&address).await.expect("connects");
-                let bytes = sedgebeam_lab::wire::cancel(&key);
-                other.write_all(&bytes).await.expect("writes");
+                let mut cancel_connection = TcpStream::connect(&address).await.expect("connects");
+                let bytes = sedgebeam_lab::wire::cancel(&cancel_key);
+                cancel_connection.write_all(&bytes).await.expect("writes");
             }
-            words => write.write_all(&said(words)).await.expect("writes"),
+            command => writer
+                .write_all(&encode_command(command))
+                .await
+                .expect("writes"),
         }
     }
 }
 
-fn said(words: &str) -> Vec<u8> {
-    match words {
+fn encode_command(command: &str) -> Vec<u8> {
+    match command {
         "empty" => query(""),
         "sync" => vec![b'S', 0, 0, 0, 4],
         "parse" => vec![b'P', 0, 0, 0, 4],
-        words => query(&statement(words)),
+        request => query(&statement(request)),
     }
 }
 
-async fn message(read: &mut OwnedReadHalf) -> Option<(u8, Vec<u8>)> {
-    let kind = read.read_u8().await.ok()?;
-    let length = read.read_u32().await.ok()?;
+async fn read_message(reader: &mut OwnedReadHalf) -> Option<(u8, Vec<u8>)> {
+    let kind = reader.read_u8().await.ok()?;
+    let length = reader.read_u32().await.ok()?;
     let mut body = vec![0; length as usize - 4];
-    read.read_exact(&mut body).await.ok()?;
+    reader.read_exact(&mut body).await.ok()?;
     Some((kind, body))
 }
 
-/// Reads up to the first ready; the session's key.
-async fn welcome(read: &mut OwnedReadHalf) -> Vec<u8> {
-    let mut key = Vec::new();
-    while let Some((kind, body)) = message(read).await {
+/// Reads up to the first ReadyForQuery; returns the body of BackendKeyData.
+async fn read_until_ready(reader: &mut OwnedReadHalf) -> Vec<u8> {
+    let mut cancel_key = Vec::new();
+    while let Some((kind, body)) = read_message(reader).await {
         match kind {
-            b'K' => key = body,
+            b'K' => cancel_key = body,
             b'Z' => break,
             _ => {}
         }
     }
-    key
+    cancel_key
 }
 
-fn told(kind: u8, body: &[u8]) -> Option<String> {
+fn message_event(kind: u8, body: &[u8]) -> Option<String> {
     Some(match kind {
-        b'D' => format!("row {}", cells(body)),
-        b'C' => format!("complete {}", text(&body[7..])),
+        b'D' => format!("row {}", data_row_cells(body)),
+        b'C' => format!("complete {}", trimmed_text(&body[7..])),
         b'I' => "empty".to_string(),
         b'E' => {
             let fields: Vec<&[u8]> = body.split(|byte| *byte == 0).collect();
-            let field = |mark: u8| {
-                let found = fields.iter().find(|field| field.first() == Some(&mark));
-                found.map_or(String::new(), |field| text(&field[1..]))
+            let field = |field_type: u8| {
+                let found = fields
+                    .iter()
+                    .find(|field| field.first() == Some(&field_type));
+                found.map_or(String::new(), |field| trimmed_text(&field[1..]))
             };
             format!("error {} {} | {}", field(b'C'), field(b'M'), field(b'H'))
         }
@@ -118,19 +125,19 @@
     })
 }
 
-fn text(bytes: &[u8]) -> String {
+fn trimmed_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes)
         .trim_end_matches('\0')
         .to_string()
 }
 
-fn cells(mut body: &[u8]) -> String {
-    let mut cells = Vec::new();
+fn data_row_cells(mut body: &[u8]) -> String {
+    let mut row_cells = Vec::new();
     body = &body[2..];
     while let Some((length, rest)) = body.split_first_chunk::<4>() {
         let length = u32::from_be_bytes(*length) as usize;
-        cells.push(text(&rest[..length]));
+        row_cells.push(trimmed_text(&rest[..length]));
         body = &rest[length..];
     }
-    cells.join("|")
+    row_cells.join("|")
 }
--- a/dispatcher/tests/scenarios/wire.rs
+++ b/dispatcher/tests/scenarios/wire.rs
@@ -135,7 +135,7 @@
          e1 send 1 OK 1 a|b|c
          c1 expect row a|b|c
          c1 expect complete 1
-         e1 send deaf
+         e1 send refuse
          e1 send close
          app wait closed by the engine
          c1 send journal-load 2 700
@@ -166,7 +166,7 @@
     for client in ["c1", "f1"] {
         Harness::new(&["m1"]).run_script(&format!(
             "{client} send journal-load 1
-             m1 expect taken
+             m1 expect accepted
              {client} expect error"
         ));
     }
@@ -199,7 +199,7 @@
 #[test]
 fn idle_clients_of_every_kind_leave_descriptors_for_all_else() {
     let mut harness = Harness::new(&["e1", "e2", "log", "log2"]);
-    harness.run_script("log expect asked 1");
+    harness.run_script("log expect subscribed 1");
     // What is set apart for the process itself is no less than it holds.
     let parts = Descriptors::of(MAX_DESCRIPTORS, 1, true, true).expect("enough for all");
     assert!(
@@ -219,7 +219,7 @@
     harness.run_script(
         "log close
          app send reload log2
-         log2 expect asked 1
+         log2 expect subscribed 1
          op send INFO WORD
          op expect 200
          log2 send 2 draining e2 @e2
