--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -1,5 +1,5 @@
-//! Ends of connections that cross what their client says, on real sockets: the front alone, before a broker that the
-//! test plays.
+//! Connections that the PostgreSQL front closes while their client sends a query, on real sockets. The test takes the
+//! place of the broker.
 
 use crate::pg_client::{query, startup, statement};
 use sedgebeam_core::{ClassId, Micros, RequestId, TableGroupId};
@@ -18,185 +18,216 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// No verdict hangs on this: it only ends a test that would wait for ever.
-const HANGS: Duration = Duration::from_secs(60);
+/// Ends a test that would otherwise wait forever; no assertion depends on its length.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-struct Front {
-    serving: pg::SessionContext,
+struct FrontFixture {
+    session_context: pg::SessionContext,
     broker: mpsc::Receiver<BrokerMessage>,
-    places: SessionSlots,
-    orders: watch::Sender<Orders>,
+    session_slots: SessionSlots,
+    drain_state_sender: watch::Sender<Orders>,
 }
 
-async fn front(places: usize) -> Front {
+async fn new_fixture(max_sessions: usize) -> FrontFixture {
     let facts: Facts = miniserde::json::from_str(crate::harness::SETTINGS).expect("settings");
-    let tuning = Tuning {
+    let runtime_settings = Tuning {
         settings: facts.settings(),
         names: facts.names(),
         most_open: 100,
     };
-    let desk = RequestRouter::new(1, 1, Figures::default(), tuning);
-    let (mailbox, broker) = mpsc::channel(64);
-    desk.open_shard(0, mailbox).await.expect("a broker");
+    let router = RequestRouter::new(1, 1, Figures::default(), runtime_settings);
+    let (broker_sender, broker) = mpsc::channel(64);
+    router.open_shard(0, broker_sender).await.expect("a broker");
     let mut drain = Drain::new(false);
     drain.prepared();
-    let mut front = Front {
-        serving: pg::SessionContext {
-            front_context: FrontContext { router: desk },
+    let mut fixture = FrontFixture {
+        session_context: pg::SessionContext {
+            front_context: FrontContext { router },
             max_message_bytes: 16 * 1024,
             lingering_closes: Arc::new(Semaphore::new(4)),
         },
         broker,
-        places: SessionSlots::new(places),
-        orders: watch::channel(drain.orders(Duration::ZERO)).0,
+        session_slots: SessionSlots::new(max_sessions),
+        drain_state_sender: watch::channel(drain.orders(Duration::ZERO)).0,
     };
-    // The settings and the list.
+    // The first two messages are the settings and the engine list.
     for _ in 0..2 {
-        front.broker.recv().await.expect("is told");
+        fixture.broker.recv().await.expect("a message");
     }
-    front
+    fixture
 }
 
-impl Front {
-    /// Serves a connection on which the client has said this, once all of it is there to be read.
-    async fn serve(&self, said: &[u8]) -> TcpStream {
-        let (client, server) = pair(said).await;
-        let (place, _) = self.places.acquire().expect("a place");
-        let leave = DrainWatcher::new(self.orders.subscribe(), Instant::now()).new_connection(0.5);
-        let serving = self.serving.clone();
-        tokio::spawn(pg::serve(server, serving, SessionKey(7), leave, place));
+impl FrontFixture {
+    /// Serves a connection once all bytes that its client has sent can be read.
+    async fn serve(&self, client_bytes: &[u8]) -> TcpStream {
+        let (client, server) = connected_pair(client_bytes).await;
+        let (session_slot, _) = self.session_slots.acquire().expect("a free slot");
+        let connection_drain =
+            DrainWatcher::new(self.drain_state_sender.subscribe(), Instant::now())
+                .new_connection(0.5);
+        let session_context = self.session_context.clone();
+        tokio::spawn(pg::serve(
+            server,
+            session_context,
+            SessionKey(7),
+            connection_drain,
+            session_slot,
+        ));
         client
     }
 
-    async fn told(&mut self) -> BrokerMessage {
-        self.broker.recv().await.expect("the broker is told")
+    async fn next_broker_message(&mut self) -> BrokerMessage {
+        self.broker.recv().await.expect("a message to the broker")
     }
 }
 
-/// Both ends of a connection on which the first has said this and the other can read it.
-async fn pair(said: &[u8]) -> (TcpStream, TcpStream) {
+/// Both ends of a connection on which the client has sent these bytes and the server can read them.
+async fn connected_pair(client_bytes: &[u8]) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let mut client = TcpStream::connect(address).await.expect("connects");
     let (server, _) = listener.accept().await.expect("accepts");
-    client.write_all(said).await.expect("writes");
-    let mut there = vec![0; said.len()];
-    while server.peek(&mut there).await.expect("reads") < said.len() {}
+    client.write_all(client_bytes).await.expect("writes");
+    let mut peeked = vec![0; client_bytes.len()];
+    while server.peek(&mut peeked).await.expect("reads") < client_bytes.len() {}
     (client, server)
 }
 
-/// All that a client is told, to the end in order of its connection.
-async fn heard(mut client: TcpStream) -> String {
-    let mut heard = Vec::new();
-    client.read_to_end(&mut heard).await.expect("no reset");
-    String::from_utf8_lossy(&heard).into_owned()
+/// Reads all that a client receives until the server closes the connection; a reset fails the test.
+async fn read_to_close(mut client: TcpStream) -> String {
+    let mut received = Vec::new();
+    client.read_to_end(&mut received).await.expect("no reset");
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-fn inside<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let played = async { timeout(HANGS, test()).await };
-    let played = runtime.expect("a runtime").block_on(played);
-    played.expect("something that is waited for never comes");
+    let timed_test = async { timeout(HANG_TIMEOUT, test()).await };
+    let result = runtime.expect("a runtime").block_on(timed_test);
+    result.expect("the test ends in time");
 }
 
-/// The query has come and has not been read when the session has to give its place up.
+/// The query has arrived and has not been read when the session is evicted.
 #[test]
-fn a_query_that_crosses_the_loss_of_its_place_is_refused() {
-    inside(|| async {
-        let mut front = front(1).await;
-        let mut said = startup();
-        said.extend(query(&statement("lookup 1")));
-        let client = front.serve(&said).await;
-        // Before the session's task has run at all.
-        let (newcomer, gave_way) = front.places.acquire().expect("the stranger gives way");
-        assert!(gave_way && newcomer.set_state(SessionState::Busy));
-        let heard = heard(client).await;
-        assert!(heard.contains("53300"), "{heard}");
-        assert!(front.broker.try_recv().is_err(), "it was sent on");
+fn a_query_that_crosses_the_eviction_of_its_session_is_refused() {
+    run_test(|| async {
+        let mut fixture = new_fixture(1).await;
+        let mut client_bytes = startup();
+        client_bytes.extend(query(&statement("lookup 1")));
+        let client = fixture.serve(&client_bytes).await;
+        // The task of the session has not run yet.
+        let (new_slot, evicted) = fixture
+            .session_slots
+            .acquire()
+            .expect("the slot of an unproven session");
+        assert!(evicted && new_slot.set_state(SessionState::Busy));
+        let received = read_to_close(client).await;
+        assert!(received.contains("53300"), "{received}");
+        assert!(
+            fixture.broker.try_recv().is_err(),
+            "the query reached the broker"
+        );
     });
 }
 
-/// The same where as many connections as may are being closed without a place already.
+/// An eviction while the maximum number of lingering closes is in use.
 #[test]
-fn a_query_that_crosses_the_loss_of_its_place_is_refused_though_nobody_may_stay_to_hear_it() {
-    inside(|| async {
-        let mut front = front(1).await;
-        front.serving.lingering_closes = Arc::new(Semaphore::new(0));
-        let mut said = startup();
-        said.extend(query(&statement("lookup 1")));
-        let client = front.serve(&said).await;
-        assert!(front.places.acquire().expect("the stranger gives way").1);
-        let heard = heard(client).await;
-        assert!(heard.contains("53300"), "{heard}");
-        assert!(front.broker.try_recv().is_err(), "it was sent on");
+fn a_query_that_crosses_an_eviction_is_refused_when_no_lingering_close_is_free() {
+    run_test(|| async {
+        let mut fixture = new_fixture(1).await;
+        fixture.session_context.lingering_closes = Arc::new(Semaphore::new(0));
+        let mut client_bytes = startup();
+        client_bytes.extend(query(&statement("lookup 1")));
+        let client = fixture.serve(&client_bytes).await;
+        assert!(
+            fixture
+                .session_slots
+                .acquire()
+                .expect("the slot of an unproven session")
+                .1
+        );
+        let received = read_to_close(client).await;
+        assert!(received.contains("53300"), "{received}");
+        assert!(
+            fixture.broker.try_recv().is_err(),
+            "the query reached the broker"
+        );
     });
 }
 
-/// Its first query may be on its way when a session has to go: it is told why, and not only closed.
+/// The first query may be in transit when a session is evicted, so the client gets an error and not only a close.
 #[test]
-fn a_session_that_has_asked_nothing_is_told_why_it_ends() {
-    inside(|| async {
-        let front = front(1).await;
-        let mut client = front.serve(&startup()).await;
-        let mut welcome = [0; 1024];
-        assert!(client.read(&mut welcome).await.expect("reads") > 0);
-        let (newcomer, _) = front.places.acquire().expect("the stranger gives way");
-        assert!(newcomer.set_state(SessionState::Busy));
-        let heard = heard(client).await;
-        assert!(heard.contains("53300"), "{heard}");
+fn a_session_that_is_evicted_before_its_first_query_gets_an_error() {
+    run_test(|| async {
+        let fixture = new_fixture(1).await;
+        let mut client = fixture.serve(&startup()).await;
+        let mut startup_response = [0; 1024];
+        assert!(client.read(&mut startup_response).await.expect("reads") > 0);
+        let (new_slot, _) = fixture
+            .session_slots
+            .acquire()
+            .expect("the slot of an unproven session");
+        assert!(new_slot.set_state(SessionState::Busy));
+        let received = read_to_close(client).await;
+        assert!(received.contains("53300"), "{received}");
     });
 }
 
-/// What the client has said meanwhile is unread when the session ends: a plain close would be a reset.
+/// Bytes that the client has sent meanwhile are unread when the session ends, so a plain close would reset the connection.
 #[test]
-fn a_session_that_ends_over_unread_bytes_ends_in_order() {
-    inside(|| async {
-        let front = front(1).await;
-        let mut said = startup();
-        (0..7).for_each(|_| said.extend(query("SELECT 1")));
-        let mut client = front.serve(&said).await;
-        let (mut heard, mut part) = (Vec::new(), [0; 1024]);
-        let errors = |heard: &[u8]| String::from_utf8_lossy(heard).matches("42601").count();
-        while errors(&heard) < 6 {
-            let count = client.read(&mut part).await.expect("reads");
+fn a_session_that_ends_with_unread_bytes_is_closed_without_a_reset() {
+    run_test(|| async {
+        let fixture = new_fixture(1).await;
+        let mut client_bytes = startup();
+        (0..7).for_each(|_| client_bytes.extend(query("SELECT 1")));
+        let mut client = fixture.serve(&client_bytes).await;
+        let (mut received, mut buffer) = (Vec::new(), [0; 1024]);
+        let errors = |received: &[u8]| String::from_utf8_lossy(received).matches("42601").count();
+        while errors(&received) < 6 {
+            let count = client.read(&mut buffer).await.expect("reads");
             assert!(count > 0, "closed too early");
-            heard.extend(&part[..count]);
+            received.extend(&buffer[..count]);
         }
-        // It has the seventh already, and reads nothing more before it closes.
+        // The server has the seventh query already and reads nothing more before it closes.
         client.write_all(&query("SELECT 1")).await.expect("writes");
-        client.read_to_end(&mut heard).await.expect("no reset");
-        assert_eq!(errors(&heard), 7);
+        client.read_to_end(&mut received).await.expect("no reset");
+        assert_eq!(errors(&received), 7);
     });
 }
 
-/// A newcomer that finds no place, and nobody more may stay to hear why.
+/// A new connection finds no free slot while the maximum number of lingering closes is in use.
 #[test]
-fn a_newcomer_is_refused_in_order_though_nobody_may_stay_to_hear_it() {
-    inside(|| async {
-        let mut front = front(1).await;
-        front.serving.lingering_closes = Arc::new(Semaphore::new(0));
-        let mut said = startup();
-        said.extend(query(&statement("lookup 1")));
-        let (client, server) = pair(&said).await;
-        pg::reject_connection(server, &front.serving, pg::RejectReason::NoFreeSlot).await;
-        let heard = heard(client).await;
-        assert!(heard.contains("53300"), "{heard}");
+fn a_new_connection_is_rejected_without_a_reset_when_no_lingering_close_is_free() {
+    run_test(|| async {
+        let mut fixture = new_fixture(1).await;
+        fixture.session_context.lingering_closes = Arc::new(Semaphore::new(0));
+        let mut client_bytes = startup();
+        client_bytes.extend(query(&statement("lookup 1")));
+        let (client, server) = connected_pair(&client_bytes).await;
+        pg::reject_connection(
+            server,
+            &fixture.session_context,
+            pg::RejectReason::NoFreeSlot,
+        )
+        .await;
+        let received = read_to_close(client).await;
+        assert!(received.contains("53300"), "{received}");
     });
 }
 
 #[test]
-fn a_cancel_finds_its_request_though_all_places_are_taken() {
-    inside(|| async {
-        let mut front = front(1).await;
-        let cancelled = CancellationToken::new();
-        let desk = front.serving.front_context.router.clone();
+fn a_cancel_reaches_its_request_while_all_session_slots_are_in_use() {
+    run_test(|| async {
+        let mut fixture = new_fixture(1).await;
+        let cancel_token = CancellationToken::new();
+        let router = fixture.session_context.front_context.router.clone();
         let request = NewRequest {
             id: RequestId(5),
             class: ClassId(1),
             tenant: None,
-            deadline: Instant::now() + HANGS,
+            deadline: Instant::now() + HANG_TIMEOUT,
             work: Micros(0),
             memory_mb: 0.0,
             group: TableGroupId(0),
@@ -205,24 +236,28 @@
             idempotency_token: None,
             order_key: None,
             session: Some(SessionKey(7)),
-            cancel_token: cancelled.clone(),
+            cancel_token: cancel_token.clone(),
         };
-        let pending = desk.submit(request).await;
-        let BrokerMessage::Submit(_, reply) = front.told().await else {
+        let pending_answer = router.submit(request).await;
+        let BrokerMessage::Submit(_, reply) = fixture.next_broker_message().await else {
             panic!("no request")
         };
-        let said = sedgebeam_lab::wire::cancel(&7u64.to_be_bytes());
-        let (client, server) = pair(&said).await;
-        let away = pg::reject_connection(server, &front.serving, pg::RejectReason::NoFreeSlot);
-        let (_, heard) = tokio::join!(away, heard(client));
-        assert!(heard.contains("53300"), "{heard}");
-        // Nothing is sent from then on, before the broker has heard of it.
-        assert!(cancelled.is_cancelled());
+        let client_bytes = sedgebeam_lab::wire::cancel(&7u64.to_be_bytes());
+        let (client, server) = connected_pair(&client_bytes).await;
+        let rejection = pg::reject_connection(
+            server,
+            &fixture.session_context,
+            pg::RejectReason::NoFreeSlot,
+        );
+        let (_, received) = tokio::join!(rejection, read_to_close(client));
+        assert!(received.contains("53300"), "{received}");
+        // The token stops the request before the broker has received the message.
+        assert!(cancel_token.is_cancelled());
         assert!(matches!(
-            front.told().await,
+            fixture.next_broker_message().await,
             BrokerMessage::ClientLeft(RequestId(5))
         ));
         drop(reply);
-        assert!(matches!(pending.await, Answer::Refused { .. }));
+        assert!(matches!(pending_answer.await, Answer::Refused { .. }));
     });
 }
--- a/dispatcher/tests/scenarios/engine_actor.rs
+++ b/dispatcher/tests/scenarios/engine_actor.rs
@@ -1,4 +1,4 @@
-//! An engine's actor by itself, before the scripted engines.
+//! The actor of one engine, without a broker, against scripted engines.
 
 use crate::engines;
 use crate::harness::{Peer, peer_channels};
@@ -18,42 +18,48 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Longer than any test lasts.
-const LONG: Duration = Duration::from_secs(600);
+/// Longer than any test runs.
+const LONGER_THAN_ANY_TEST: Duration = Duration::from_secs(600);
 
-struct Bench {
+struct ActorFixture {
     engine: Peer,
     actor: EngineSender,
     reports: mpsc::Receiver<BrokerMessage>,
-    /// Of the next attempt: whether it is given up, and by when it has to begin.
-    cancelled: CancellationToken,
+    /// The cancel token and the start limit of the next attempt.
+    cancel_token: CancellationToken,
     starts_by: Instant,
 }
 
-async fn bench() -> Bench {
+async fn new_fixture() -> ActorFixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let endpoint = listener.local_addr().expect("an address").to_string();
-    let (engine, role) = peer_channels();
-    tokio::spawn(engines::run_resp_engine(listener, role));
-    before(engine, endpoint, 3)
+    let (engine, peer_task) = peer_channels();
+    tokio::spawn(engines::run_resp_engine(listener, peer_task));
+    fixture_for_endpoint(engine, endpoint, 3)
 }
 
-/// An actor before the engine at this endpoint, with so many connections at the most.
-fn before(engine: Peer, endpoint: String, most: usize) -> Bench {
-    among(engine, endpoint, most, 64, ConnectionSlots::default())
+/// An actor for the engine at this endpoint, with its limit on connections.
+fn fixture_for_endpoint(engine: Peer, endpoint: String, max_connections: usize) -> ActorFixture {
+    fixture_with_shared_slots(
+        engine,
+        endpoint,
+        max_connections,
+        64,
+        ConnectionSlots::default(),
+    )
 }
 
-/// The same where so many are left to all engines together.
-fn among(
+/// An actor with a limit on the connections to all engines together, and the slots that it shares with other actors.
+fn fixture_with_shared_slots(
     engine: Peer,
     endpoint: String,
-    most: usize,
-    in_all: usize,
+    max_connections: usize,
+    max_total_connections: usize,
     slots: ConnectionSlots,
-) -> Bench {
+) -> ActorFixture {
     let connections = Connections {
-        most,
-        in_all,
+        most: max_connections,
+        in_all: max_total_connections,
         max_streams: 2,
         connect_timeout: Micros::from_millis(5000),
         idle: Micros::from_millis(30_000),
@@ -65,23 +71,25 @@
         endpoint,
         ..Target::default()
     };
-    let wires = NetworkTransport {
+    let engine_transport = NetworkTransport {
         connections: watch::channel(connections).1,
         metrics: Figures::default(),
         slots,
     };
-    let actor = wires.start(&target, EngineReporter::new(EngineId(1), broker));
-    Bench {
+    let actor = engine_transport.start(&target, EngineReporter::new(EngineId(1), broker));
+    ActorFixture {
         engine,
         actor,
         reports,
-        cancelled: CancellationToken::new(),
-        starts_by: Instant::now() + LONG,
+        cancel_token: CancellationToken::new(),
+        starts_by: Instant::now() + LONGER_THAN_ANY_TEST,
     }
 }
 
-/// The next report, but for those that an actor has nothing to do.
-async fn next_but_rests(reports: &mut mpsc::Receiver<BrokerMessage>) -> Option<BrokerMessage> {
+/// Waits for the next report other than `Idle`.
+async fn next_report_except_idle(
+    reports: &mut mpsc::Receiver<BrokerMessage>,
+) -> Option<BrokerMessage> {
     loop {
         let report = reports.recv().await;
         if !matches!(
@@ -93,16 +101,17 @@
     }
 }
 
-impl Bench {
-    async fn ask(&self, message: EngineCommand) {
-        self.actor.send(message).await.expect("an actor");
+impl ActorFixture {
+    async fn send_command(&self, command: EngineCommand) {
+        self.actor.send(command).await.expect("an actor");
     }
 
-    async fn send(&self, id: u64, number: u32) {
-        self.send_statement(id, number, "SELECT".into()).await;
+    async fn send_attempt(&self, id: u64, number: u32) {
+        self.send_attempt_with_statement(id, number, "SELECT".into())
+            .await;
     }
 
-    async fn send_statement(&self, id: u64, number: u32, statement: Bytes) {
+    async fn send_attempt_with_statement(&self, id: u64, number: u32, statement: Bytes) {
         let attempt = Attempt {
             request: RequestId(id),
             number: AttemptNo(number),
@@ -113,146 +122,148 @@
             statement,
             idempotency_token: None,
             order_key: None,
-            cancel_token: self.cancelled.child_token(),
+            cancel_token: self.cancel_token.child_token(),
             starts_by: self.starts_by,
         };
-        self.ask(EngineCommand::Send(attempt)).await;
+        self.send_command(EngineCommand::Send(attempt)).await;
     }
 
-    /// Waits until the actor has heard all that it was asked.
-    async fn has_heard(&self) {
+    /// Waits until the actor has received all commands.
+    async fn wait_until_commands_received(&self) {
         while self.actor.capacity() < self.actor.max_capacity() {
             tokio::task::yield_now().await;
         }
     }
 
-    async fn hears(&mut self, words: &str) {
-        let heard = self.engine.events.recv().await.expect("words");
-        assert!(heard.starts_with(words), "{words}: but heard {heard:?}");
+    async fn expect_engine_receives(&mut self, prefix: &str) {
+        let command = self.engine.events.recv().await.expect("a command");
+        assert!(command.starts_with(prefix), "{prefix}: got {command:?}");
     }
 
-    fn says(&self, words: &str) {
+    fn send_engine_reply(&self, reply: &str) {
         self.engine
             .commands
-            .send(words.to_string())
+            .send(reply.to_string())
             .expect("an engine");
     }
 
-    /// The next report is that the attempt at this request ended so.
-    async fn ends(&mut self, id: u64, end: AttemptResult) {
-        match self.report().await {
-            EngineReport::AttemptEnded(request, _, ended) => {
-                assert_eq!((request.0, ended), (id, end))
+    /// Expects that the next report is the end of the attempt at this request with this result.
+    async fn expect_attempt_ended(&mut self, id: u64, expected: AttemptResult) {
+        match self.next_report().await {
+            EngineReport::AttemptEnded(request, _, result) => {
+                assert_eq!((request.0, result), (id, expected))
             }
-            other => panic!("no end: {other:?}"),
+            other => panic!("the attempt has not ended: {other:?}"),
         }
     }
 
-    /// The next report is that the first attempt at this request is given up.
-    async fn gives_up(&mut self, id: u64) {
-        match self.report().await {
+    /// Expects that the next report confirms the abort of the first attempt at this request.
+    async fn expect_abort_confirmed(&mut self, id: u64) {
+        match self.next_report().await {
             EngineReport::AbortConfirmed(request, AttemptNo(0)) => assert_eq!(request.0, id),
-            other => panic!("not given up: {other:?}"),
+            other => panic!("no confirmation of an abort: {other:?}"),
         }
     }
 
-    async fn report(&mut self) -> EngineReport {
-        match next_but_rests(&mut self.reports).await {
+    async fn next_report(&mut self) -> EngineReport {
+        match next_report_except_idle(&mut self.reports).await {
             Some(BrokerMessage::EngineReport(EngineId(1), report)) => report,
             other => panic!("no report: {other:?}"),
         }
     }
 }
 
-fn inside<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    // No verdict hangs on this: it only ends a test that would wait for ever.
-    let played = async { tokio::time::timeout(Duration::from_secs(60), test()).await };
-    let played = runtime.expect("a runtime").block_on(played);
-    played.expect("something that is waited for never comes");
+    // Ends a test that would otherwise wait forever; no assertion depends on its length.
+    let timed_test = async { tokio::time::timeout(Duration::from_secs(60), test()).await };
+    let result = runtime.expect("a runtime").block_on(timed_test);
+    result.expect("the test ends in time");
 }
 
 #[test]
-fn a_probe_brings_the_load_report_or_that_the_engine_is_down() {
-    inside(|| async {
-        let mut bench = bench().await;
-        bench.ask(EngineCommand::Probe).await;
-        bench.hears("stats p1").await;
-        bench.says("p1 raw *4\\r\\n$2\\r\\np1\\r\\n$2\\r\\nUP\\r\\n$15\\r\\ngauges=util:0.5\\r\\n$0\\r\\n\\r\\n");
-        let EngineReport::Probed(ProbeResult::Up(Some(load))) = bench.report().await else {
+fn a_probe_reports_the_load_or_that_the_engine_is_down() {
+    run_test(|| async {
+        let mut fixture = new_fixture().await;
+        fixture.send_command(EngineCommand::Probe).await;
+        fixture.expect_engine_receives("stats p1").await;
+        fixture.send_engine_reply("p1 raw *4\\r\\n$2\\r\\np1\\r\\n$2\\r\\nUP\\r\\n$15\\r\\ngauges=util:0.5\\r\\n$0\\r\\n\\r\\n");
+        let EngineReport::Probed(ProbeResult::Up(Some(load))) = fixture.next_report().await else {
             panic!("no load report")
         };
         assert_eq!(load.busy_cores_share, Some(0.5));
-        bench.ask(EngineCommand::Probe).await;
-        bench.hears("stats p2").await;
-        bench.says("p2 raw *3\\r\\n$2\\r\\np2\\r\\n$4\\r\\nDOWN\\r\\n$1\\r\\n-\\r\\n");
+        fixture.send_command(EngineCommand::Probe).await;
+        fixture.expect_engine_receives("stats p2").await;
+        fixture
+            .send_engine_reply("p2 raw *3\\r\\n$2\\r\\np2\\r\\n$4\\r\\nDOWN\\r\\n$1\\r\\n-\\r\\n");
         assert!(matches!(
-            bench.report().await,
+            fixture.next_report().await,
             EngineReport::Probed(ProbeResult::Down)
         ));
-        // One that is not answered ends as silent.
-        bench.ask(EngineCommand::Probe).await;
+        // A probe without an answer times out.
+        fixture.send_command(EngineCommand::Probe).await;
         assert!(matches!(
-            bench.report().await,
+            fixture.next_report().await,
             EngineReport::Probed(ProbeResult::TimedOut)
         ));
     });
 }
 
 #[test]
-fn a_late_answer_is_not_taken_for_one_to_a_later_attempt() {
-    inside(|| async {
-        let mut bench = bench().await;
-        bench.send(1, 0).await;
-        bench.hears("fetch 1").await;
-        bench
-            .ask(EngineCommand::Abort(RequestId(1), AttemptNo(0)))
+fn a_late_answer_is_not_attributed_to_a_later_attempt() {
+    run_test(|| async {
+        let mut fixture = new_fixture().await;
+        fixture.send_attempt(1, 0).await;
+        fixture.expect_engine_receives("fetch 1").await;
+        fixture
+            .send_command(EngineCommand::Abort(RequestId(1), AttemptNo(0)))
             .await;
-        bench.hears("abort 1").await;
-        bench.gives_up(1).await;
-        // The answer crosses the abort on the old connection, while the request is out again on a new one.
-        bench.send(1, 1).await;
-        bench.hears("fetch 1").await;
+        fixture.expect_engine_receives("abort 1").await;
+        fixture.expect_abort_confirmed(1).await;
+        // The answer to the aborted attempt arrives on the old connection while the next attempt is in flight on a new one.
+        fixture.send_attempt(1, 1).await;
+        fixture.expect_engine_receives("fetch 1").await;
         let id = "$16\\r\\n0000000000000001";
-        bench.says(&format!(
+        fixture.send_engine_reply(&format!(
             "old raw *4\\r\\n{id}\\r\\n$2\\r\\nOK\\r\\n$7\\r\\nparts=1\\r\\n$0\\r\\n\\r\\n"
         ));
-        bench.hears("done 1").await;
-        bench.says("1 OK 1 new|new|new");
+        fixture.expect_engine_receives("done 1").await;
+        fixture.send_engine_reply("1 OK 1 new|new|new");
         let EngineReport::AttemptEnded(RequestId(1), AttemptNo(1), AttemptResult::Ok { page, .. }) =
-            bench.report().await
+            fixture.next_report().await
         else {
-            panic!("no good end")
+            panic!("the attempt did not succeed")
         };
         assert_eq!(&page.rows[..], b"new\tnew\tnew\n");
     });
 }
 
 #[test]
-fn each_attempt_has_its_connection_while_there_may_be_more_and_ends_with_it() {
-    inside(|| async {
-        let mut bench = bench().await;
+fn each_attempt_below_the_limit_has_its_own_connection_and_ends_with_it() {
+    run_test(|| async {
+        let mut fixture = new_fixture().await;
         for id in 1..=3 {
-            bench.send(id, 0).await;
-            bench.hears(&format!("fetch {id}")).await;
+            fixture.send_attempt(id, 0).await;
+            fixture.expect_engine_receives(&format!("fetch {id}")).await;
         }
-        // Nonsense on the connection of the third ends that one only.
-        bench.says("3 raw nonsense\\r\\n");
-        bench.ends(3, AttemptResult::Reset).await;
-        bench.says("1 BUSY");
-        bench.ends(1, AttemptResult::Busy).await;
-        bench.says("2 VOID");
-        bench.ends(2, AttemptResult::NotRun).await;
+        // A malformed answer on the third connection ends the third attempt only.
+        fixture.send_engine_reply("3 raw nonsense\\r\\n");
+        fixture.expect_attempt_ended(3, AttemptResult::Reset).await;
+        fixture.send_engine_reply("1 BUSY");
+        fixture.expect_attempt_ended(1, AttemptResult::Busy).await;
+        fixture.send_engine_reply("2 VOID");
+        fixture.expect_attempt_ended(2, AttemptResult::NotRun).await;
     });
 }
 
 #[test]
-fn a_spoilt_answer_ends_its_connection_though_that_stays_open() {
+fn a_malformed_answer_resets_its_attempt_though_the_engine_keeps_the_connection_open() {
     let id = "*4\\r\\n$16\\r\\n0000000000000001\\r\\n$2\\r\\nOK\\r\\n";
-    let spoilt = [
-        // Rows of another shape; a length that does not fit; one that stops short; a page that never comes.
+    let malformed_answers = [
+        // Rows with the wrong number of cells, a page count out of bounds, lengths that are wrong or out of bounds, an
+        // answer that stops early, and a page that never arrives.
         "OK 1 a|b".to_string(),
         "OK 1 a|b|c;d|e".to_string(),
         "OK 99 a|b|c".to_string(),
@@ -261,30 +272,32 @@
         format!("raw {id}$7\\r\\n"),
         "OK 2 a|b|c".to_string(),
     ];
-    for spoilt in spoilt {
-        inside(|| async {
-            let mut bench = bench().await;
-            bench.send(1, 0).await;
-            bench.hears("fetch 1").await;
-            bench.says(&format!("1 {spoilt}"));
-            bench.ends(1, AttemptResult::Reset).await;
+    for answer in malformed_answers {
+        run_test(|| async {
+            let mut fixture = new_fixture().await;
+            fixture.send_attempt(1, 0).await;
+            fixture.expect_engine_receives("fetch 1").await;
+            fixture.send_engine_reply(&format!("1 {answer}"));
+            fixture.expect_attempt_ended(1, AttemptResult::Reset).await;
         });
     }
 }
 
 #[test]
-fn a_second_copy_and_an_unknown_name_ahead_do_no_harm() {
-    inside(|| async {
-        let mut bench = bench().await;
-        bench.send(1, 0).await;
-        bench.hears("fetch 1").await;
-        bench.says("9 OK 1 no|no|no");
-        bench.says("8 WHAT");
-        bench.says("old raw *3\\r\\n$4\\r\\nzzzz\\r\\n$3\\r\\nERR\\r\\n$1\\r\\n-\\r\\n");
-        bench.says("1 OK 2 a|b|c");
-        bench.hears("more 1 1").await;
-        bench.says("1 OK 2 a|b|c");
-        bench.says("1 ROWS 1 d|e|f");
+fn duplicate_answers_and_answers_to_unknown_requests_are_ignored() {
+    run_test(|| async {
+        let mut fixture = new_fixture().await;
+        fixture.send_attempt(1, 0).await;
+        fixture.expect_engine_receives("fetch 1").await;
+        fixture.send_engine_reply("9 OK 1 no|no|no");
+        fixture.send_engine_reply("8 WHAT");
+        fixture.send_engine_reply(
+            "old raw *3\\r\\n$4\\r\\nzzzz\\r\\n$3\\r\\nERR\\r\\n$1\\r\\n-\\r\\n",
+        );
+        fixture.send_engine_reply("1 OK 2 a|b|c");
+        fixture.expect_engine_receives("more 1 1").await;
+        fixture.send_engine_reply("1 OK 2 a|b|c");
+        fixture.send_engine_reply("1 ROWS 1 d|e|f");
         let rows = Bytes::from_static(b"a\tb\tc\nd\te\tf\n");
         let page = Page {
             rows,
@@ -292,178 +305,191 @@
         };
         let work = Some(Micros::from_millis(80));
         let load = None;
-        bench.ends(1, AttemptResult::Ok { page, work, load }).await;
-        // A copy of its refusal must not be taken for the answer to the next attempt.
-        bench.send(2, 0).await;
-        bench.hears("done 1").await;
-        bench.hears("fetch 2").await;
-        bench.says("2 BUSY");
-        bench.ends(2, AttemptResult::Busy).await;
-        bench.send(2, 1).await;
-        bench.hears("fetch 2").await;
-        bench.says("old BUSY");
+        fixture
+            .expect_attempt_ended(1, AttemptResult::Ok { page, work, load })
+            .await;
+        // A duplicate of the rejection of an attempt must not be attributed to the next attempt.
+        fixture.send_attempt(2, 0).await;
+        fixture.expect_engine_receives("done 1").await;
+        fixture.expect_engine_receives("fetch 2").await;
+        fixture.send_engine_reply("2 BUSY");
+        fixture.expect_attempt_ended(2, AttemptResult::Busy).await;
+        fixture.send_attempt(2, 1).await;
+        fixture.expect_engine_receives("fetch 2").await;
+        fixture.send_engine_reply("old BUSY");
         let id = "$16\\r\\n0000000000000002";
-        bench.says(&format!(
+        fixture.send_engine_reply(&format!(
             "old raw *3\\r\\n{id}\\r\\n$4\\r\\nBUSY\\r\\n$1\\r\\n-\\r\\n"
         ));
-        bench.ask(EngineCommand::Probe).await;
-        bench.hears("stats p1").await;
-        bench.says("2 VOID");
-        bench.ends(2, AttemptResult::NotRun).await;
+        fixture.send_command(EngineCommand::Probe).await;
+        fixture.expect_engine_receives("stats p1").await;
+        fixture.send_engine_reply("2 VOID");
+        fixture.expect_attempt_ended(2, AttemptResult::NotRun).await;
     });
 }
 
 #[test]
-fn what_has_been_written_is_never_said_to_be_unwritten_when_its_engine_drains() {
-    // At some of these moments the connection has just come up and written it, and the actor not heard so.
-    for moment in 0..200 {
-        inside(|| async {
-            let mut bench = bench().await;
-            bench.send(1, 0).await;
-            for _ in 0..moment % 20 {
+fn a_written_attempt_is_never_returned_as_unsent_when_its_engine_drains() {
+    // The drain starts at different points: at some, the connection has just opened and written the attempt, and the actor
+    // has not been told yet.
+    for yields in 0..200 {
+        run_test(|| async {
+            let mut fixture = new_fixture().await;
+            fixture.send_attempt(1, 0).await;
+            for _ in 0..yields % 20 {
                 tokio::task::yield_now().await;
             }
-            bench.ask(EngineCommand::ReturnUnsent).await;
-            bench.ask(EngineCommand::Probe).await;
-            let heard = bench.engine.events.recv().await.expect("words");
-            if heard.starts_with("stats") {
+            fixture.send_command(EngineCommand::ReturnUnsent).await;
+            fixture.send_command(EngineCommand::Probe).await;
+            let command = fixture.engine.events.recv().await.expect("a command");
+            if command.starts_with("stats") {
                 return;
             }
-            assert!(heard.starts_with("fetch 1"), "{heard}");
-            bench.says("1 VOID");
-            bench.ends(1, AttemptResult::NotRun).await;
+            assert!(command.starts_with("fetch 1"), "{command}");
+            fixture.send_engine_reply("1 VOID");
+            fixture.expect_attempt_ended(1, AttemptResult::NotRun).await;
         });
     }
 }
 
-/// A connection that comes up late must not bring what was given up while it was awaited: another attempt may have
-/// answered the request by then.
+/// An attempt that is aborted while its connection opens must not be written later: another attempt may have answered the
+/// request by then.
 #[test]
-fn what_is_given_up_while_its_connection_comes_up_is_never_written() {
-    inside(|| async {
+fn an_attempt_aborted_while_its_connection_opens_is_never_written() {
+    run_test(|| async {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket
             .bind("127.0.0.1:0".parse().expect("an address"))
             .expect("a port");
         let listener = socket.listen(0).expect("listens");
         let endpoint = listener.local_addr().expect("an address").to_string();
-        // Those that are not accepted fill the engine's table: what comes then waits.
-        let mut first = Vec::new();
+        // Connections that are not accepted fill the listen backlog, so that the next connection attempt waits.
+        let mut backlog_connections = Vec::new();
         while let Ok(Ok(stream)) =
             tokio::time::timeout(Duration::from_millis(200), TcpStream::connect(&endpoint)).await
         {
-            first.push(stream);
+            backlog_connections.push(stream);
         }
-        let (engine, role) = peer_channels();
-        let mut bench = before(engine, endpoint, 1);
-        bench.send(1, 0).await;
-        bench.send(2, 0).await;
-        bench
-            .ask(EngineCommand::Abort(RequestId(1), AttemptNo(0)))
+        let (engine, peer_task) = peer_channels();
+        let mut fixture = fixture_for_endpoint(engine, endpoint, 1);
+        fixture.send_attempt(1, 0).await;
+        fixture.send_attempt(2, 0).await;
+        fixture
+            .send_command(EngineCommand::Abort(RequestId(1), AttemptNo(0)))
             .await;
-        // The actor has heard all of it before the table has room.
-        bench.has_heard().await;
-        drop(first);
-        tokio::spawn(engines::run_resp_engine(listener, role));
-        bench.hears("fetch 2").await;
-        bench.gives_up(1).await;
-        bench.says("2 OK 1 a|b|c");
+        // The actor has received all commands before the backlog has space.
+        fixture.wait_until_commands_received().await;
+        drop(backlog_connections);
+        tokio::spawn(engines::run_resp_engine(listener, peer_task));
+        fixture.expect_engine_receives("fetch 2").await;
+        fixture.expect_abort_confirmed(1).await;
+        fixture.send_engine_reply("2 OK 1 a|b|c");
         assert!(matches!(
-            bench.report().await,
+            fixture.next_report().await,
             EngineReport::AttemptEnded(RequestId(2), _, AttemptResult::Ok { .. })
         ));
     });
 }
 
-/// What waits behind a write that the engine does not take must not go out once it may not begin any more: it was given
-/// up, its client has gone, its engine drains, or its time is over.
+/// An attempt that is queued behind a blocked write must not be written once it may not start any more: it was aborted, its
+/// client has disconnected, its engine drains, or its start limit has passed.
 #[test]
-fn what_may_not_begin_any_more_is_not_written_when_its_engine_reads_again() {
-    for how in ["abort 2", "gone", "drains", "late"] {
-        inside(|| async {
+fn an_attempt_that_may_not_start_any_more_is_not_written_when_its_engine_reads_again() {
+    for cause in ["aborted", "client left", "engine drains", "too late"] {
+        run_test(|| async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let endpoint = listener.local_addr().expect("an address").to_string();
-            let mut bench = before(peer_channels().0, endpoint, 1);
-            // More than the buffers between the two hold.
-            bench
-                .send_statement(1, 0, vec![b'x'; 32 << 20].into())
+            let mut fixture = fixture_for_endpoint(peer_channels().0, endpoint, 1);
+            // More than the socket buffers of both sides can take.
+            fixture
+                .send_attempt_with_statement(1, 0, vec![b'x'; 32 << 20].into())
                 .await;
             let (mut engine, _) = listener.accept().await.expect("accepts");
-            engine.readable().await.expect("it is being written");
-            bench.cancelled = CancellationToken::new();
-            if how == "late" {
-                bench.starts_by = Instant::now();
+            engine.readable().await.expect("the write has begun");
+            fixture.cancel_token = CancellationToken::new();
+            if cause == "too late" {
+                fixture.starts_by = Instant::now();
             }
-            bench.send(2, 0).await;
-            bench.has_heard().await;
+            fixture.send_attempt(2, 0).await;
+            fixture.wait_until_commands_received().await;
             let number = AttemptNo(0);
-            match how {
-                "abort 2" => bench.ask(EngineCommand::Abort(RequestId(2), number)).await,
-                "gone" => bench.cancelled.cancel(),
-                "drains" => bench.ask(EngineCommand::ReturnUnsent).await,
+            match cause {
+                "aborted" => {
+                    fixture
+                        .send_command(EngineCommand::Abort(RequestId(2), number))
+                        .await
+                }
+                "client left" => fixture.cancel_token.cancel(),
+                "engine drains" => fixture.send_command(EngineCommand::ReturnUnsent).await,
                 _ => {}
             }
-            // Something behind it, to know when it would have come.
-            bench
-                .ask(EngineCommand::Reprioritize(RequestId(1), number, 3))
+            // A command that is written after the attempt shows when the attempt would have been written.
+            fixture
+                .send_command(EngineCommand::Reprioritize(RequestId(1), number, 3))
                 .await;
-            bench.has_heard().await;
-            let (mut came, mut part) = (Vec::new(), vec![0; 1 << 20]);
-            let told = |came: &[u8], word: &str| {
-                let last = &came[came.len().saturating_sub(1 << 10)..];
-                String::from_utf8_lossy(last).contains(word)
+            fixture.wait_until_commands_received().await;
+            let (mut received, mut buffer) = (Vec::new(), vec![0; 1 << 20]);
+            let tail_contains = |received: &[u8], text: &str| {
+                let tail = &received[received.len().saturating_sub(1 << 10)..];
+                String::from_utf8_lossy(tail).contains(text)
             };
-            while !told(&came, "renice") {
-                let count = engine.read(&mut part).await.expect("reads");
-                assert!(count > 0, "{how}: the connection ended");
-                came.extend(&part[..count]);
+            while !tail_contains(&received, "renice") {
+                let count = engine.read(&mut buffer).await.expect("reads");
+                assert!(count > 0, "{cause}: the connection ended");
+                received.extend(&buffer[..count]);
             }
             assert!(
-                !told(&came, "fetch\r\n$16\r\n0000000000000002"),
-                "{how}: it was written"
+                !tail_contains(&received, "fetch\r\n$16\r\n0000000000000002"),
+                "{cause}: the attempt was written"
             );
-            if how != "abort 2" {
-                bench.ends(2, AttemptResult::NotRun).await;
+            if cause != "aborted" {
+                fixture.expect_attempt_ended(2, AttemptResult::NotRun).await;
             }
         });
     }
 }
 
-/// Connections to all engines together are bounded, whatever each may have; an idle one goes for another's sake, and
-/// that there was no room is no fault of an engine.
+/// The limit on connections to all engines together holds besides the limit of each engine. An idle connection is closed
+/// when another engine needs its slot, and an attempt that gets no slot ends as not run, which is no failure of its engine.
 #[test]
-fn an_idle_connection_gives_its_slot_to_another_engine() {
-    inside(|| async {
+fn an_idle_connection_is_closed_to_free_its_slot_for_another_engine() {
+    run_test(|| async {
         let slots = ConnectionSlots::default();
-        let mut benches = Vec::new();
+        let mut fixtures = Vec::new();
         for _ in 0..2 {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let endpoint = listener.local_addr().expect("an address").to_string();
-            let (engine, role) = peer_channels();
-            tokio::spawn(engines::run_resp_engine(listener, role));
-            benches.push(among(engine, endpoint, 3, 1, slots.clone()));
+            let (engine, peer_task) = peer_channels();
+            tokio::spawn(engines::run_resp_engine(listener, peer_task));
+            fixtures.push(fixture_with_shared_slots(
+                engine,
+                endpoint,
+                3,
+                1,
+                slots.clone(),
+            ));
         }
-        let [first, second] = &mut benches[..] else {
-            panic!("two")
+        let [first, second] = &mut fixtures[..] else {
+            panic!("two fixtures")
         };
-        first.send(1, 0).await;
-        first.hears("fetch 1").await;
-        second.send(2, 0).await;
-        second.ends(2, AttemptResult::NotRun).await;
-        first.says("1 BUSY");
-        first.ends(1, AttemptResult::Busy).await;
-        // It is idle now: what was refused its place wants it, and then has it.
+        first.send_attempt(1, 0).await;
+        first.expect_engine_receives("fetch 1").await;
+        second.send_attempt(2, 0).await;
+        second.expect_attempt_ended(2, AttemptResult::NotRun).await;
+        first.send_engine_reply("1 BUSY");
+        first.expect_attempt_ended(1, AttemptResult::Busy).await;
+        // The connection is idle now: an attempt at the second engine that gets no slot asks for it, and a later one gets it.
         let mut id = 3;
         loop {
-            second.send(id, 0).await;
+            second.send_attempt(id, 0).await;
             tokio::select! {
-                heard = second.engine.events.recv() => {
-                    assert!(heard.expect("words").starts_with(&format!("fetch {id}")));
+                command = second.engine.events.recv() => {
+                    assert!(command.expect("a command").starts_with(&format!("fetch {id}")));
                     return;
                 }
-                report = next_but_rests(&mut second.reports) => {
-                    let void = EngineReport::AttemptEnded(RequestId(id), AttemptNo(0), AttemptResult::NotRun);
-                    assert_eq!(format!("{report:?}"), format!("{:?}", Some(BrokerMessage::EngineReport(EngineId(1), void))));
+                report = next_report_except_idle(&mut second.reports) => {
+                    let not_run = EngineReport::AttemptEnded(RequestId(id), AttemptNo(0), AttemptResult::NotRun);
+                    assert_eq!(format!("{report:?}"), format!("{:?}", Some(BrokerMessage::EngineReport(EngineId(1), not_run))));
                 }
             }
             id += 1;
@@ -472,13 +498,13 @@
 }
 
 #[test]
-fn a_flight_engine_is_not_asked_for_what_may_not_begin_when_its_connection_is_up() {
-    inside(|| async {
+fn a_flight_attempt_past_its_start_limit_is_not_sent_once_its_connection_is_open() {
+    run_test(|| async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let mut bench = before(peer_channels().0, format!("grpc://{address}"), 1);
-        bench.starts_by = Instant::now();
-        bench.send(1, 0).await;
-        bench.ends(1, AttemptResult::NotRun).await;
+        let mut fixture = fixture_for_endpoint(peer_channels().0, format!("grpc://{address}"), 1);
+        fixture.starts_by = Instant::now();
+        fixture.send_attempt(1, 0).await;
+        fixture.expect_attempt_ended(1, AttemptResult::NotRun).await;
     });
 }
