--- a/dispatcher/tests/scenarios/edge_cases.rs
+++ b/dispatcher/tests/scenarios/edge_cases.rs
@@ -1,4 +1,4 @@
-//! Clauses at their extremes: each request has its one answer whatever the system, the clocks and the ends of the process do.
+//! Edge cases: each request gets exactly one answer under injected system call failures, clock steps and shutdown.
 
 use crate::faults::{Call, Fault, Faults};
 use crate::harness::{Harness, Options, SETTINGS};
@@ -6,12 +6,12 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Settings under which clients wait far longer than the platform does before it kills a process.
-fn patient() -> String {
+/// Settings whose requests may take far longer than the platform waits before it kills a process.
+fn settings_with_long_limits() -> String {
     SETTINGS.replace("\"give_up\": 60000.0", "\"give_up\": 600000.0")
 }
 
-/// The program before these engines, with system calls that may be faulty.
+/// Starts the program with these engines and with injected faults in its system calls.
 fn with_faults(engines: &[&str], faults: &Faults) -> Harness {
     let options = Options {
         faults: Some(faults),
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn what_hangs_at_an_engine_is_answered_before_the_earliest_kill() {
-    let settings = patient();
+fn requests_stalled_at_an_engine_are_answered_before_the_platform_kills_the_process() {
+    let settings = settings_with_long_limits();
     let options = Options {
         settings: &settings,
         ..Options::default()
@@ -42,9 +42,9 @@
     );
 }
 
-/// Every read gives one byte, and the rest lies in the socket though nothing more comes.
+/// Every read returns one byte, and the rest stays in the socket buffer while no further data arrives.
 #[test]
-fn what_a_short_read_leaves_in_a_socket_is_read() {
+fn the_rest_after_a_short_read_is_read() {
     let faults = Faults::none();
     let mut harness = with_faults(&["e1", "log"], &faults);
     harness.run_script("log expect subscribed 1");
@@ -64,30 +64,31 @@
     assert!(faults.injected(Call::Recv) > 100);
 }
 
-/// More commands at once than a session keeps, and every read gives one byte of them: each is answered before the close.
+/// A client pipelines more commands than a session buffers, and every read returns one byte: each command is answered
+/// before the close.
 #[test]
-fn each_of_too_many_commands_sent_ahead_is_answered_though_reads_are_short() {
+fn each_of_too_many_pipelined_commands_is_answered_with_short_reads() {
     const COMMANDS: usize = 80;
     let faults = Faults::none();
     let harness = with_faults(&["e1"], &faults);
-    let mut said = startup();
+    let mut client_bytes = startup();
     for number in 1..=COMMANDS {
-        said.extend(query(&statement(&format!("lookup {number}"))));
+        client_bytes.extend(query(&statement(&format!("lookup {number}"))));
     }
     faults.always(Call::Recv, Fault::Short);
     let mut client = TcpStream::connect(harness.listen_address("c")).expect("connects");
-    client.write_all(&said).expect("writes");
-    let mut heard = Vec::new();
-    client.read_to_end(&mut heard).expect("no reset");
-    let heard = String::from_utf8_lossy(&heard);
-    assert_eq!(heard.matches("SERROR").count(), COMMANDS);
+    client.write_all(&client_bytes).expect("writes");
+    let mut received = Vec::new();
+    client.read_to_end(&mut received).expect("no reset");
+    let received = String::from_utf8_lossy(&received);
+    assert_eq!(received.matches("SERROR").count(), COMMANDS);
 }
 
-/// A lack of buffers, as the system tells of it.
+/// No buffer space available.
 const ENOBUFS: i32 = 105;
 
 #[test]
-fn an_option_that_can_not_be_set_drops_no_connection() {
+fn a_failed_setsockopt_drops_no_connection() {
     let faults = Faults::none();
     let mut harness = with_faults(&["e1", "log"], &faults);
     faults.always(Call::SetSockOpt, Fault::Error(ENOBUFS));
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn listeners_that_can_not_be_had_at_first_are_tried_for_again() {
+fn listeners_that_fail_to_open_are_retried() {
     for call in [Call::Socket, Call::SetSockOpt, Call::Bind, Call::Listen] {
         let faults = Faults::none();
         faults.times(6, call, Fault::Error(ENOBUFS));
@@ -119,27 +120,30 @@
     }
 }
 
-/// Too many files are open in the system.
+/// Too many open files in the system.
 const ENFILE: i32 = 23;
 
-/// It can't be accepted until accepting is over; its request has been written long before.
+/// A connection that can't be accepted before the listener closes, although its request was sent long before.
 #[test]
-fn a_connection_in_the_queue_when_accepting_ends_is_told() {
+fn a_connection_in_the_backlog_when_accepting_ends_gets_an_error() {
     let faults = Faults::none();
     let mut harness = with_faults(&["e1"], &faults);
     faults.always(Call::Accept, Fault::Error(ENFILE));
-    let mut said = startup();
-    said.extend(query(&statement("lookup 1")));
-    let said: String = said.iter().map(|byte| format!("{byte:02x}")).collect();
-    // An error, before anything else.
+    let mut client_bytes = startup();
+    client_bytes.extend(query(&statement("lookup 1")));
+    let client_bytes: String = client_bytes
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
+    // The first message must be an ErrorResponse: type `E`, 45 in hexadecimal.
     harness.run_script(&format!(
-        "t1 send {said}\napp close\napp wait accepting is over"
+        "t1 send {client_bytes}\napp close\napp wait accepting is over"
     ));
     faults.end(Call::Accept);
     harness.run_script("t1 expect 45\nt1 expect closed\napp expect 0");
 }
 
-/// A call that a signal interrupted.
+/// The call was interrupted by a signal.
 const EINTR: i32 = 4;
 
 #[test]
@@ -167,8 +171,8 @@
 }
 
 #[test]
-fn accepts_that_fail_for_a_moment_lose_no_client() {
-    /// A connection was aborted before it was accepted.
+fn transient_accept_failures_lose_no_client() {
+    /// The connection was aborted before it was accepted.
     const ECONNABORTED: i32 = 103;
     for error in [ENFILE, ECONNABORTED, ENOBUFS] {
         let faults = Faults::none();
@@ -184,9 +188,9 @@
     }
 }
 
-/// A lack on this side is waited for; what may be the engine's trouble may have the request refused, and never lost.
+/// A local shortage is waited out. An error that may be the engine's can refuse the request, but never loses it.
 #[test]
-fn connects_that_fail_for_a_moment_lose_no_request() {
+fn transient_connect_failures_lose_no_request() {
     const EADDRNOTAVAIL: i32 = 99;
     const ENETUNREACH: i32 = 101;
     for (call, error) in [
@@ -198,14 +202,14 @@
         let mut harness = with_faults(&["e1"], &faults);
         faults.times(2, call, Fault::Error(error));
         harness.run_script("c1 send journal-load 1");
-        let (who, heard) = harness.next_event_of(&["c1", "e1"]);
-        if who == "e1" {
-            assert!(heard.starts_with("fetch 1"), "{heard}");
+        let (peer_name, event) = harness.next_event_of(&["c1", "e1"]);
+        if peer_name == "e1" {
+            assert!(event.starts_with("fetch 1"), "{event}");
             harness.run_script("e1 send 1 OK 1 a|b|c\nc1 expect row a|b|c");
         } else {
             assert!(
-                error == ENETUNREACH && heard.starts_with("error 53300"),
-                "{heard}"
+                error == ENETUNREACH && event.starts_with("error 53300"),
+                "{event}"
             );
         }
         assert!(faults.injected(call) > 0, "{call:?} {error}");
@@ -213,29 +217,29 @@
 }
 
 #[test]
-fn a_connection_that_times_out_may_have_run_what_was_written() {
+fn a_load_on_a_connection_that_times_out_may_have_run_and_is_not_sent_again() {
     const ETIMEDOUT: i32 = 110;
     const EHOSTUNREACH: i32 = 113;
     for error in [ETIMEDOUT, EHOSTUNREACH] {
         let faults = Faults::none();
         let mut harness = with_faults(&["e1", "e2"], &faults);
         harness.run_script("c1 send journal-load 1");
-        let (engine, heard) = harness.next_event_of(&["e1", "e2"]);
-        assert!(heard.starts_with("fetch 1"), "{heard}");
+        let (engine, event) = harness.next_event_of(&["e1", "e2"]);
+        assert!(event.starts_with("fetch 1"), "{event}");
         faults.times(1, Call::Recv, Fault::Error(error));
-        // What is read next is the engine's word, and the read fails.
+        // The next read is of the engine's reply, and it fails.
         harness.run_script(&format!("{engine} send 1 NOTE\nc1 expect error 58000"));
         assert_eq!(faults.injected(Call::Recv), 1);
         for engine in ["e1", "e2"] {
-            let again = harness.take_pending_events(engine);
-            let again = again.iter().filter(|heard| heard.starts_with("fetch"));
-            assert_eq!(again.count(), 0, "{engine}");
+            let events = harness.take_pending_events(engine);
+            let fetches = events.iter().filter(|event| event.starts_with("fetch"));
+            assert_eq!(fetches.count(), 0, "{engine}");
         }
     }
 }
 
 #[test]
-fn a_wall_clock_that_is_stepped_moves_no_deadline() {
+fn a_step_of_the_wall_clock_moves_no_deadline() {
     const HOUR: i32 = 3600;
     let faults = Faults::none();
     let mut harness = with_faults(&["e1"], &faults);
@@ -260,9 +264,9 @@
 }
 
 #[test]
-fn a_request_with_hardly_any_time_left_is_answered() {
+fn a_request_with_a_limit_of_one_millisecond_is_answered() {
     let mut harness = Harness::new(&["e1"]);
-    // Its engine may drop it without a word.
+    // The engine may drop the request without a reply.
     for (id, class) in [(1, "lookup"), (2, "report"), (3, "journal-load")] {
         harness.run_script(&format!("c{id} send {class} {id} 1\nc{id} expect error 5"));
     }
--- a/dispatcher/tests/scenarios/fronts.rs
+++ b/dispatcher/tests/scenarios/fronts.rs
@@ -1,15 +1,16 @@
-//! Both fronts, and engines of both kinds: the same requests get the same answers.
+//! Both fronts and both engine protocols: the same requests get the same answers.
 
 use crate::harness::Harness;
 
-/// Plays a scenario once for every front before every kind of engine, with one worker and with several: `C`
-/// is the client, `E` the engine.
-fn everywhere(scenario: &str) {
+/// Runs a script for every front and every engine protocol, with one worker and with three. In the script `C` is the client
+/// and `E` the engine.
+fn run_for_all_fronts_and_engines(script: &str) {
     let peers = [("c1", "e1"), ("c1", "g1"), ("f1", "e1"), ("f1", "g1")];
-    let all = [1, 3].map(|workers| peers.map(|(client, engine)| (workers, client, engine)));
-    for (workers, client, engine) in all.concat() {
-        println!("{client} before {engine}, {workers} workers");
-        let lines = scenario
+    let combinations =
+        [1, 3].map(|workers| peers.map(|(client, engine)| (workers, client, engine)));
+    for (workers, client, engine) in combinations.concat() {
+        println!("{client} and {engine}, {workers} workers");
+        let lines = script
             .lines()
             .map(str::trim)
             .map(|line| match line.split_at(1) {
@@ -19,15 +20,15 @@
             });
         let mut harness = Harness::with_workers(&[engine], workers);
         harness.run_script(&lines.collect::<String>());
-        let more = harness.take_pending_events(engine);
-        let again = more.iter().any(|heard| heard.starts_with("fetch"));
-        assert!(!again, "sent once more: {more:?}");
+        let extra_events = harness.take_pending_events(engine);
+        let sent_again = extra_events.iter().any(|event| event.starts_with("fetch"));
+        assert!(!sent_again, "sent again: {extra_events:?}");
     }
 }
 
 #[test]
-fn a_result_of_pages_arrives_whole_and_in_order() {
-    everywhere(
+fn a_result_of_several_pages_arrives_complete_and_in_order() {
+    run_for_all_fronts_and_engines(
         "C send report 1
          E expect fetch 1 kind=report,ms=
          E send 1 OK 2 a|b|c;d|e|f
@@ -41,21 +42,21 @@
 }
 
 #[test]
-fn the_statement_goes_on_unchanged_without_its_comment() {
+fn the_engine_gets_the_statement_unchanged_without_its_comment() {
     for (client, engine) in [("c1", "e1"), ("f1", "g1")] {
         let mut harness = Harness::new(&[engine]);
         harness.run_script(&format!("{client} send lookup 1"));
-        let fetch = harness.next_event(engine);
-        let (head, statement) = fetch.split_at("fetch 1 kind=lookup,ms=".len());
-        assert_eq!(head, "fetch 1 kind=lookup,ms=");
+        let fetch_event = harness.next_event(engine);
+        let (start, statement) = fetch_event.split_at("fetch 1 kind=lookup,ms=".len());
+        assert_eq!(start, "fetch 1 kind=lookup,ms=");
         let (_, statement) = statement.split_once(' ').expect("a statement");
         assert_eq!(statement, "SELECT * FROM sales_1.orders");
     }
 }
 
 #[test]
-fn a_load_turned_away_unseen_is_sent_again() {
-    everywhere(
+fn a_load_that_a_busy_engine_rejects_is_sent_again() {
+    run_for_all_fronts_and_engines(
         "C send journal-load 1
          E expect fetch 1
          E send 1 BUSY
@@ -67,8 +68,8 @@
 }
 
 #[test]
-fn a_load_that_failed_is_not_sent_again_on_either_front() {
-    everywhere(
+fn a_failed_load_is_not_sent_again_on_either_front() {
+    run_for_all_fronts_and_engines(
         "C send journal-load 1
          E expect fetch 1
          E send 1 ERR
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn what_names_no_tenant_or_an_open_request_is_an_error_and_goes_to_no_engine() {
+fn an_unknown_tenant_or_the_id_of_an_open_request_is_an_error_and_reaches_no_engine() {
     for (client, other) in [("c1", "c2"), ("f1", "f2")] {
         let mut harness = Harness::new(&["e1"]);
         harness.run_script(&format!(
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_result_cut_short_ends_in_an_error() {
+fn a_result_with_a_missing_page_ends_in_an_error() {
     for client in ["c1", "f1"] {
         Harness::new(&["g1"]).run_script(&format!(
             "{client} send report 1
@@ -120,14 +121,14 @@
 }
 
 #[test]
-fn a_report_whose_page_is_lost_or_spoilt_is_run_again_and_passed_on_once() {
-    for (client, lost) in [("c1", "ERR"), ("f1", "ERR"), ("c1", "ROWS 7 x|y|z")] {
+fn a_report_whose_page_is_lost_or_malformed_is_run_again_and_returned_once() {
+    for (client, broken_page) in [("c1", "ERR"), ("f1", "ERR"), ("c1", "ROWS 7 x|y|z")] {
         Harness::new(&["e1"]).run_script(&format!(
             "{client} send report 1
              e1 expect fetch 1
              e1 send 1 OK 2 a|b|c
              e1 expect more 1 1
-             e1 send 1 {lost}
+             e1 send 1 {broken_page}
              e1 expect fetch 1
              e1 send 1 OK 1 d|e|f
              {client} expect row d|e|f
@@ -137,41 +138,48 @@
 }
 
 #[test]
-fn a_refusal_tells_when_to_come_back() {
-    // No engine is listed: the module gives the report up after its patience, and that is told at once.
+fn a_refusal_contains_the_time_to_retry_after() {
+    // No engine is listed: the gateway gives up the report after the `on_time` of its class and refuses it right then.
     let mut harness = Harness::new(&[]);
     for (client, id) in [("c1", 1), ("f1", 2)] {
         harness.run_script(&format!("{client} send report {id}"));
-        let heard = harness.next_event(client);
-        assert!(heard.starts_with("error 53300"), "{heard}");
-        let told: &[&str] = match client {
+        let event = harness.next_event(client);
+        assert!(event.starts_with("error 53300"), "{event}");
+        let expected_texts: &[&str] = match client {
             "c1" => &["later=1000 ", "try again in 1000 ms"],
             _ => &["retry in 1000 ms"],
         };
-        assert!(told.iter().all(|told| heard.contains(told)), "{heard}");
+        assert!(
+            expected_texts
+                .iter()
+                .all(|expected| event.contains(expected)),
+            "{event}"
+        );
     }
 }
 
 #[test]
-fn a_deadline_frees_the_engine_and_fails_a_load_that_may_have_run() {
-    everywhere(
+fn a_deadline_aborts_the_attempt_and_fails_a_load_that_may_have_run() {
+    run_for_all_fronts_and_engines(
         "C send journal-load 1 400
          E expect fetch 1
          E expect abort 1
          C expect error",
     );
-    for (client, engine, failed) in [("c1", "e1", "error 58000"), ("f1", "g1", "error Aborted")] {
+    for (client, engine, expected_error) in
+        [("c1", "e1", "error 58000"), ("f1", "g1", "error Aborted")]
+    {
         Harness::new(&[engine]).run_script(&format!(
             "{client} send journal-load 1 400
              {engine} expect fetch 1
-             {client} expect {failed}"
+             {client} expect {expected_error}"
         ));
     }
 }
 
 #[test]
-fn a_client_that_goes_away_frees_the_engine() {
-    everywhere(
+fn a_client_that_disconnects_aborts_its_attempt() {
+    run_for_all_fronts_and_engines(
         "C send report 1
          E expect fetch 1
          C close
@@ -180,15 +188,15 @@
 }
 
 #[test]
-fn a_cancel_in_the_middle_of_a_stream_frees_the_engine() {
-    for away in ["close", "cancel"] {
+fn a_cancel_in_the_middle_of_a_stream_releases_the_engine() {
+    for end_command in ["close", "cancel"] {
         Harness::new(&["g1"]).run_script(&format!(
             "f1 send report 1
              g1 expect fetch 1
              g1 send 1 OK 3 a|b|c
              f1 expect row a|b|c
              g1 expect more 1 1
-             f1 send {away}
+             f1 send {end_command}
              g1 expect abort 1"
         ));
         Harness::new(&["e1"]).run_script(&format!(
@@ -197,7 +205,7 @@
              e1 send 1 OK 3 a|b|c
              e1 expect more 1 1
              e1 expect more 1 2
-             f1 send {away}
+             f1 send {end_command}
              e1 expect done 1"
         ));
     }
@@ -228,63 +236,67 @@
     );
 }
 
-/// What a client got, and how often each load was fetched, before a fleet that speaks both protocols.
+/// Runs 24 requests against a fleet with both protocols. Returns the number of rows that the client got and how often each
+/// request was fetched apart from rejections.
 fn mixed_fleet(client: &str) -> (usize, Vec<usize>) {
     let engines = ["e1", "g1", "e2", "g2"];
     let (mut harness, mut rows, mut fetches) = (Harness::new(&engines), 0, vec![0; 24]);
-    let mut kinds = std::collections::HashSet::new();
+    let mut protocols = std::collections::HashSet::new();
     for id in 0..24 {
         let class = ["lookup", "report", "journal-load"][id % 3];
         harness.run_script(&format!("{client} send {class} {}", id + 1));
-        // The first engine turns it away; the next one serves it.
-        for word in ["BUSY", "OK 1 a|b|c;d|e|f"] {
-            let (engine, heard) = loop {
-                let (engine, heard) = harness.next_event_of(&engines);
-                if heard.starts_with("fetch") {
-                    break (engine, heard);
+        // The first engine rejects the request; the next one serves it.
+        for reply in ["BUSY", "OK 1 a|b|c;d|e|f"] {
+            let (engine, event) = loop {
+                let (engine, event) = harness.next_event_of(&engines);
+                if event.starts_with("fetch") {
+                    break (engine, event);
                 }
             };
             assert!(
-                heard.starts_with(&format!("fetch {} kind={class}", id + 1)),
-                "{heard}"
+                event.starts_with(&format!("fetch {} kind={class}", id + 1)),
+                "{event}"
             );
-            fetches[id] += usize::from(word != "BUSY");
-            kinds.insert(engine[..1].to_string());
-            harness.run_script(&format!("{engine} send {} {word}", id + 1));
+            fetches[id] += usize::from(reply != "BUSY");
+            protocols.insert(engine[..1].to_string());
+            harness.run_script(&format!("{engine} send {} {reply}", id + 1));
         }
         while !harness.next_event(client).starts_with("complete") {
             rows += 1;
         }
     }
-    assert_eq!(kinds.len(), 2, "both kinds of engine had a part");
+    assert_eq!(protocols.len(), 2, "engines of both protocols got requests");
     for engine in engines {
-        let more = harness.take_pending_events(engine);
+        let extra_events = harness.take_pending_events(engine);
         assert!(
-            more.iter().all(|heard| !heard.starts_with("fetch")),
-            "{more:?}"
+            extra_events.iter().all(|event| !event.starts_with("fetch")),
+            "{extra_events:?}"
         );
     }
     (rows, fetches)
 }
 
 #[test]
-fn both_fronts_get_equal_answers_from_a_mixed_fleet_and_no_load_runs_twice() {
+fn both_fronts_get_the_same_answers_from_a_mixed_fleet_and_no_load_runs_twice() {
     let (pg, flight) = (mixed_fleet("c1"), mixed_fleet("f1"));
     assert_eq!(pg, flight);
     assert_eq!(pg, (48, vec![1; 24]));
 }
 
-/// Engines drop a repeat by the word that the client gave with its request: without it a keyed class runs twice.
+/// Engines detect a repeated attempt by the idempotency token of the client: without it a keyed class would run twice.
 #[test]
-fn the_word_by_which_engines_know_a_repeat_goes_on_with_every_attempt() {
+fn the_idempotency_token_is_sent_with_every_attempt() {
     for client in ["c1", "f1"] {
         let mut harness = Harness::new(&["e1"]);
-        let text = "verb=lookup,txn=0000000000000001,limit=60000,item=rel-7,unique=673ec3bd-5";
-        harness.run_script(&format!("{client} send text /* {text} */ SELECT 1"));
+        let comment = "verb=lookup,txn=0000000000000001,limit=60000,item=rel-7,unique=673ec3bd-5";
+        harness.run_script(&format!("{client} send text /* {comment} */ SELECT 1"));
         for _ in 0..2 {
-            let fetch = harness.next_event("e1");
-            let fields = fetch.split(' ').nth(2).expect("fields");
-            assert!(fields.ends_with(",token=673ec3bd-5,obj=rel-7"), "{fetch}");
+            let fetch_event = harness.next_event("e1");
+            let fields = fetch_event.split(' ').nth(2).expect("fields");
+            assert!(
+                fields.ends_with(",token=673ec3bd-5,obj=rel-7"),
+                "{fetch_event}"
+            );
             harness.run_script("e1 send 1 BUSY");
         }
         harness.run_script(&format!(
--- a/dispatcher/tests/scenarios/harness.rs
+++ b/dispatcher/tests/scenarios/harness.rs
@@ -283,8 +283,8 @@
         }
     }
 
-    pub fn run_script(&mut self, scenario: &str) {
-        for line in scenario
+    pub fn run_script(&mut self, script: &str) {
+        for line in script
             .lines()
             .map(str::trim)
             .filter(|line| !line.is_empty())
--- a/dispatcher/tests/scenarios/lifecycle.rs
+++ b/dispatcher/tests/scenarios/lifecycle.rs
@@ -1,9 +1,9 @@
-//! Drains, ends and restarts.
+//! Drains, shutdown, engine restarts, changes of the configuration, and the administration front.
 
 use crate::harness::Harness;
 
 #[test]
-fn a_draining_engine_gets_nothing_new() {
+fn a_draining_engine_gets_no_new_requests() {
     Harness::new(&["e1", "log"]).run_script(
         "log expect subscribed 1
          c1 send report 1
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_was_taken_is_answered_before_the_program_ends() {
+fn requests_in_flight_are_answered_before_the_program_ends() {
     Harness::new(&["e1"]).run_script(
         "c1 send lookup 1
          e1 expect fetch 1
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_new_engine_at_the_address_of_a_gone_one_is_another_engine() {
+fn a_new_engine_at_the_address_of_a_removed_one_is_another_engine() {
     Harness::new(&["e1", "log"]).run_script(
         "log expect subscribed 1
          log send 2 removed e1 @e1
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_gap_in_the_change_log_asks_for_what_is_missing_and_then_for_the_whole_list() {
+fn a_gap_in_the_change_log_requests_the_missing_changes_and_then_the_complete_list() {
     Harness::new(&["e1", "log"]).run_script(
         "log expect subscribed 1
          log send 4 draining e1 @e1
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_change_log_with_the_number_reached() {
-    // Without its handler the signal ends the program, and the request that is under way is lost.
+fn a_reload_moves_to_another_change_log_at_the_current_sequence_number() {
+    // Without a handler SIGHUP ends the program, and the request in flight is lost.
     Harness::new(&["e1", "log", "log2"]).run_script(
         "log expect subscribed 1
          log send 2 up e1 @e1
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_configuration_that_is_half_written_changes_nothing_until_it_is_whole() {
+fn a_partly_written_configuration_changes_nothing_until_it_is_complete() {
     Harness::new(&["e1", "log", "log2"]).run_script(
         "log expect subscribed 1
          app send truncated
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn an_event_told_again_is_no_news() {
-    // The whole list of long ago must not bring back an engine that drains since.
+fn a_repeated_change_log_event_is_ignored() {
+    // An outdated complete list must not undo the drain of an engine.
     Harness::new(&["e1", "log"]).run_script(
         "log expect subscribed 1
          log send 2 draining e1 @e1
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_engine_drained_by_the_administration_gets_nothing_new_on_either_front() {
+fn an_engine_drained_by_the_administration_gets_no_new_requests_from_either_front() {
     for client in ["c1", "f1"] {
         Harness::new(&["e1", "g1"]).run_script(&format!(
             "adm send POST /engines/s-00006531/drain
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn the_administration_tells_and_sets_what_it_names() {
+fn the_administration_reports_and_changes_tenants_and_engines() {
     Harness::new(&["e1"]).run_script(
         r#"adm send GET /tenants
            adm expect 200 [{"name":"acme","portion":1
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn the_administration_says_what_it_cannot_do() {
+fn the_administration_rejects_invalid_requests() {
     Harness::new(&["e1"]).run_script(
         r#"adm send GET /nothing
            adm expect 404
@@ -184,19 +184,19 @@
     );
 }
 
-/// The engine that has the request, and the other one.
-fn has_it(harness: &mut Harness) -> (String, String) {
-    let (engine, heard) = harness.next_event_of(&["e1", "e2"]);
-    assert!(heard.starts_with("fetch 1"), "{heard}");
+/// The engine that received the request, and the other one.
+fn engine_with_request(harness: &mut Harness) -> (String, String) {
+    let (engine, event) = harness.next_event_of(&["e1", "e2"]);
+    assert!(event.starts_with("fetch 1"), "{event}");
     let other = if engine == "e1" { "e2" } else { "e1" };
     (engine, other.to_string())
 }
 
 #[test]
-fn a_load_whose_engine_dies_fails_and_goes_to_no_other() {
+fn a_load_whose_engine_dies_fails_and_is_not_sent_to_another_engine() {
     let mut harness = Harness::new(&["e1", "e2"]);
     harness.run_script("c1 send journal-load 1");
-    let (engine, other) = has_it(&mut harness);
+    let (engine, other) = engine_with_request(&mut harness);
     harness.run_script(&format!("{engine} close\nc1 expect error 58000"));
     assert!(
         harness.take_pending_events(&other).is_empty(),
@@ -205,10 +205,10 @@
 }
 
 #[test]
-fn a_report_whose_engine_dies_goes_to_another() {
+fn a_report_whose_engine_dies_is_sent_to_another_engine() {
     let mut harness = Harness::new(&["e1", "e2"]);
     harness.run_script("c1 send report 1");
-    let (engine, other) = has_it(&mut harness);
+    let (engine, other) = engine_with_request(&mut harness);
     harness.run_script(&format!(
         "{engine} send refuse
          {engine} close
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_result_whose_engine_dies_in_the_middle_ends_in_an_error() {
+fn a_result_whose_engine_dies_between_pages_ends_in_an_error() {
     for client in ["c1", "f1"] {
         Harness::new(&["e1"]).run_script(&format!(
             "{client} send journal-load 1
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_start_does_not_wait_for_discovery_and_its_end_neither() {
+fn neither_startup_nor_shutdown_waits_for_the_change_log() {
     for log in ["d1", "s1"] {
         Harness::new(&["e1", log]).run_script(
             "c1 send empty
--- a/dispatcher/tests/scenarios/main.rs
+++ b/dispatcher/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Scenarios: the program itself, started on ephemeral ports of the loopback, between scripted peers.
+//! Scenario tests: the program runs on ephemeral loopback ports between scripted clients, engines and change logs.
 
 mod closes;
 mod command_line;
--- a/dispatcher/tests/scenarios/operation.rs
+++ b/dispatcher/tests/scenarios/operation.rs
@@ -1,4 +1,4 @@
-//! Daily operation: the door, the figures, the drain.
+//! Operation: the control socket, the metrics, the drain, and reloads of the settings.
 
 use crate::harness::Harness;
 use crate::pg_client;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[test]
-fn the_door_answers_calls_and_turns_down_what_is_none() {
+fn the_control_socket_answers_commands_and_rejects_unknown_ones() {
     Harness::new(&["e1"]).run_script(
         "op send PING
          op expect 200
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn a_call_may_come_in_pieces_and_callers_who_finish_none_hold_up_nobody() {
+fn a_command_may_arrive_in_parts_and_incomplete_commands_block_no_other_caller() {
     let mut harness = Harness::new(&["e1"]);
-    // 40 who say half a word; the door has 16 places.
+    // 40 clients send an incomplete command; the control socket serves 16 connections at once.
     for caller in 0..39 {
         harness.run_script(&format!("to{caller} send 50 49"));
     }
@@ -45,13 +45,13 @@
          to39 expect closed
          to0 expect closed",
     );
-    // A line without end is no call: 300 bytes.
+    // 300 bytes without a line end are not a command.
     harness.run_script(&format!("tox send {}", "41".repeat(300)));
     assert!(harness.next_event("tox").starts_with("343030"), "400");
 }
 
 #[test]
-fn a_lame_duck_is_not_ready_answers_what_it_has_and_lets_its_clients_go() {
+fn a_lame_duck_is_not_ready_answers_its_requests_and_closes_its_connections() {
     Harness::new(&["e1"]).run_script(
         "c1 send lookup 1
          e1 expect fetch 1
@@ -90,38 +90,40 @@
     );
 }
 
-/// What the door tells, by figure.
-fn figures(harness: &mut Harness) -> BTreeMap<String, i64> {
+/// Reads all metrics from the control socket, by name.
+fn read_metrics(harness: &mut Harness) -> BTreeMap<String, i64> {
     harness.run_script("op send INFO");
-    let mut told = BTreeMap::new();
+    let mut metrics = BTreeMap::new();
     loop {
         let line = harness.next_event("op");
         let value = line
             .rsplit_once(' ')
             .map(|(name, value)| (name, value.parse()));
         match value {
-            _ if line == "EOF" => return told,
-            Some((name, Ok(value))) => drop(told.insert(name.to_string(), value)),
+            _ if line == "EOF" => return metrics,
+            Some((name, Ok(value))) => drop(metrics.insert(name.to_string(), value)),
             _ => {}
         }
     }
 }
 
-/// The figure of requests of a class that ended so, or `left`, in short.
-fn short(name: &str) -> String {
+/// Shortens the name of a metric: `CLASS DISPOSITION` or `CLASS left` for counts of requests, and no prefix for the others.
+fn short_metric_name(name: &str) -> String {
     let words = name.split(['{', '"', '}']).collect::<Vec<_>>();
     match words[..] {
-        ["dispatcher_results_total", _, class, _, how, ..] => format!("{class} {how}"),
+        ["dispatcher_results_total", _, class, _, disposition, ..] => {
+            format!("{class} {disposition}")
+        }
         ["dispatcher_left_total", _, class, ..] => format!("{class} left"),
         _ => name.trim_start_matches("dispatcher_").to_string(),
     }
 }
 
 #[test]
-fn each_way_in_which_a_request_ends_is_counted_once() {
-    // What is played, and what it adds to the figures.
-    let ways: [(&str, &[(&str, i64)]); 15] = [
-        // The deadline of one that is not sent again: nothing is known yet of how long it should take.
+fn each_outcome_of_a_request_is_counted_once() {
+    // Scripts and the increases of the metrics that each causes.
+    let cases: [(&str, &[(&str, i64)]); 15] = [
+        // A deadline without a second attempt, because the usual service time is not known yet.
         (
             "c1 send lookup 8 300\ne1 expect fetch 8\ne1 expect abort 8\nc1 expect error 53300",
             &[("lookup declined", 1), ("forwards_total", 1)],
@@ -134,7 +136,7 @@
             "f1 send lookup 2\ne1 expect fetch 2\ne1 send 2 OK 1 a|b|c\nf1 expect row\nf1 expect complete",
             &[("lookup succeeded", 1), ("forwards_total", 1)],
         ),
-        // Turned away by the engine, and sent again.
+        // Rejected by the engine and sent again.
         (
             "c1 send lookup 3\ne1 expect fetch 3\ne1 send 3 BUSY\ne1 expect fetch 3\ne1 send 3 OK 1 a|b|c
              c1 expect row\nc1 expect complete",
@@ -160,7 +162,7 @@
             "c1 send journal-load 9 300\ne1 expect fetch 9\ne1 expect abort 9\nc1 expect error 58000",
             &[("journal-load aborted", 1), ("forwards_total", 1)],
         ),
-        // Under way, and a second one of its name.
+        // A request in flight and a second one with the same id.
         (
             "c1 send report 10\ne1 expect fetch 10\nc3 send report 10\nc3 expect error 42710",
             &[("report aborted", 1), ("forwards_total", 1), ("outstanding", 1)],
@@ -173,9 +175,9 @@
             "c4 send report 11 9000 nobody\nc4 expect error 42704",
             &[("report aborted", 1)],
         ),
-        // Not a request of any class.
+        // A request of an unknown class.
         ("c5 send raport 12\nc5 expect error 42601\nc1 send empty\nc1 expect empty", &[]),
-        // Its engine dies before the result is whole.
+        // The engine dies before the result is complete.
         (
             "c1 send journal-load 13\ne1 expect fetch 13\ne1 send 13 OK 2 a|b|c\ne1 expect more 13 1
              e1 close\nc1 expect error 58000",
@@ -187,27 +189,32 @@
         ),
     ];
     let mut harness = Harness::new(&["e1"]);
-    let mut before = figures(&mut harness);
+    let mut before = read_metrics(&mut harness);
     assert!(
-        before.keys().any(|name| short(name) == "report declined"),
-        "from the start"
+        before
+            .keys()
+            .any(|name| short_metric_name(name) == "report declined"),
+        "all classes are listed from the start"
     );
-    for (way, adds) in ways {
-        harness.run_script(way);
-        let now = figures(&mut harness);
-        let grown = now.iter().filter_map(|(name, value)| {
-            let grown = value - before.get(name).copied().unwrap_or_default();
-            (grown != 0).then(|| (short(name), grown))
+    for (script, expected_increases) in cases {
+        harness.run_script(script);
+        let after = read_metrics(&mut harness);
+        let increases = after.iter().filter_map(|(name, value)| {
+            let increase = value - before.get(name).copied().unwrap_or_default();
+            (increase != 0).then(|| (short_metric_name(name), increase))
         });
-        let adds = adds.iter().map(|(name, value)| (name.to_string(), *value));
-        let (grown, adds): (BTreeMap<_, _>, BTreeMap<_, _>) = (grown.collect(), adds.collect());
-        assert_eq!(grown, adds, "{way}");
-        before = now;
+        let expected_increases = expected_increases
+            .iter()
+            .map(|(name, value)| (name.to_string(), *value));
+        let (increases, expected_increases): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            (increases.collect(), expected_increases.collect());
+        assert_eq!(increases, expected_increases, "{script}");
+        before = after;
     }
 }
 
 #[test]
-fn a_result_that_is_cut_off_while_its_client_reads_it_is_counted_as_aborted() {
+fn a_result_that_breaks_off_while_its_client_reads_it_is_counted_as_aborted() {
     let mut harness = Harness::new(&["g1"]);
     harness.run_script(
         "f1 send report 1
@@ -216,16 +223,19 @@
          f1 expect row
          g1 expect more 1 1",
     );
-    assert_eq!(figures(&mut harness)["dispatcher_outstanding"], 1);
+    assert_eq!(read_metrics(&mut harness)["dispatcher_outstanding"], 1);
     harness.run_script("g1 send 1 ERR\nf1 expect error");
-    let told = figures(&mut harness);
+    let metrics = read_metrics(&mut harness);
     let aborted = r#"dispatcher_results_total{service="report",disposition="aborted"}"#;
-    assert_eq!((told[aborted], told["dispatcher_outstanding"]), (1, 0));
-    assert_eq!(told["dispatcher_forwards_total"], 1);
+    assert_eq!(
+        (metrics[aborted], metrics["dispatcher_outstanding"]),
+        (1, 0)
+    );
+    assert_eq!(metrics["dispatcher_forwards_total"], 1);
 }
 
 #[test]
-fn the_figures_of_several_workers_add_up() {
+fn the_metrics_of_several_workers_add_up() {
     let mut harness = Harness::with_workers(&["e1", "e2"], 4);
     for id in 1..=24 {
         harness.run_script(&format!("c{id} send lookup {id}"));
@@ -236,21 +246,24 @@
             ));
         }
     }
-    let told = figures(&mut harness);
+    let metrics = read_metrics(&mut harness);
     let succeeded = r#"dispatcher_results_total{service="lookup",disposition="succeeded"}"#;
-    assert_eq!((told[succeeded], told["dispatcher_outstanding"]), (16, 8));
+    assert_eq!(
+        (metrics[succeeded], metrics["dispatcher_outstanding"]),
+        (16, 8)
+    );
     assert_eq!(
         (
-            told["dispatcher_forwards_total"],
-            told["dispatcher_discovered"]
+            metrics["dispatcher_forwards_total"],
+            metrics["dispatcher_discovered"]
         ),
         (24, 2)
     );
 }
 
-/// SIGHUP in each state: a lame duck takes new settings, and so does a dispatcher that ends.
+/// SIGHUP applies new settings in each state: as a lame duck, after a rejoin, and during shutdown.
 #[test]
-fn settings_are_taken_in_every_state_of_the_drain() {
+fn settings_are_applied_in_every_state_of_the_drain() {
     Harness::new(&["e1"]).run_script(
         r#"c1 send report 1
          e1 expect fetch 1
@@ -273,24 +286,24 @@
 }
 
 #[test]
-fn a_file_that_becomes_whole_while_it_is_read_again_counts_once_as_taken() {
+fn a_file_that_becomes_complete_between_read_attempts_counts_once_as_applied() {
     let mut harness = Harness::new(&["e1"]);
-    let whole = harness.platform_config();
-    let half = whole[..whole.len() / 2].to_string();
-    harness.write_config_and_reload(&half, "the running configuration is kept (1 of 4)");
-    // Nobody tells the program.
-    harness.write_platform_config(&whole);
+    let complete = harness.platform_config();
+    let truncated = complete[..complete.len() / 2].to_string();
+    harness.write_config_and_reload(&truncated, "the running configuration is kept (1 of 4)");
+    // Without another SIGHUP.
+    harness.write_platform_config(&complete);
     harness.run_script("app wait read again and taken");
-    let told = figures(&mut harness);
-    let count = |word: &str| told[&format!("dispatcher_sighup_{word}_total")];
+    let metrics = read_metrics(&mut harness);
+    let count = |word: &str| metrics[&format!("dispatcher_sighup_{word}_total")];
     assert_eq!((count("applied"), count("rejected")), (1, 0));
 }
 
-const TAKEN: &str = "read again and taken";
-const KEPT: &str = "the running configuration is kept (4 of 4)";
+const RELOAD_APPLIED: &str = "read again and taken";
+const RELOAD_REJECTED: &str = "the running configuration is kept (4 of 4)";
 
 #[test]
-fn classes_come_and_go_while_their_requests_are_under_way() {
+fn classes_are_added_and_removed_while_their_requests_are_in_flight() {
     Harness::new(&["e1"]).run_script(
         r#"c1 send report 1
          e1 expect fetch 1 kind=report
@@ -327,7 +340,7 @@
 }
 
 #[test]
-fn fewer_attempts_bind_what_is_under_way_and_more_do_not() {
+fn a_lower_attempt_limit_applies_to_requests_in_flight_and_a_higher_one_does_not() {
     Harness::new(&["e1"]).run_script(
         r#"c1 send lookup 1
          e1 expect fetch 1
@@ -348,31 +361,31 @@
     );
 }
 
-/// A settings text of some classes, the dearer ones under other names from time to time.
-fn retuned(config: &str, turn: u64) -> String {
-    let draw = splitmix64(turn);
-    let named = |name: &str, other: u64| format!(r#""name": "{name}-{}""#, other % 4);
+/// The configuration with class names, `max_attempts` and a worth that vary with the round.
+fn changed_config(config: &str, round: u64) -> String {
+    let random = splitmix64(round);
+    let renamed_class = |name: &str, other: u64| format!(r#""name": "{name}-{}""#, other % 4);
     config
-        .replace(r#""name": "report""#, &named("report", draw))
+        .replace(r#""name": "report""#, &renamed_class("report", random))
         .replace(
             r#""name": "journal-load""#,
-            &named("journal-load", draw >> 8),
+            &renamed_class("journal-load", random >> 8),
         )
         .replace(
             r#""max_attempts": 3"#,
-            &format!(r#""max_attempts": {}"#, 1 + (draw >> 16) % 3),
+            &format!(r#""max_attempts": {}"#, 1 + (random >> 16) % 3),
         )
         .replace(
             r#""worth": 1.0"#,
-            &format!(r#""worth": {}.0"#, 1 + (draw >> 24) % 5),
+            &format!(r#""worth": {}.0"#, 1 + (random >> 24) % 5),
         )
 }
 
-/// The same with something wrong in it.
-fn broken(config: &str, turn: u64) -> String {
-    let at = splitmix64(turn) as usize;
-    match turn % 4 {
-        0 => config[..at % config.len()].to_string(),
+/// The configuration with one of four errors.
+fn invalid_config(config: &str, round: u64) -> String {
+    let cut_at = splitmix64(round) as usize;
+    match round % 4 {
+        0 => config[..cut_at % config.len()].to_string(),
         1 => config.replace("give_up", "gives_up"),
         2 => config.replace(r#""max_attempts": "#, r#""max_attempts": -"#),
         _ => config.replace(r#""settings""#, r#""setting""#),
@@ -380,41 +393,44 @@
 }
 
 #[test]
-fn two_hundred_retunings_lose_no_request_and_are_counted_one_by_one() {
+fn two_hundred_reloads_lose_no_request_and_are_each_counted() {
     let mut harness = Harness::new(&["e1"]);
     let config = harness.platform_config();
     let (mut applied, mut rejected) = (0, 0);
     harness.run_script("c0 send lookup 999\ne1 expect fetch 999 kind=lookup");
-    for turn in 0..200u64 {
-        let text = retuned(&config, turn);
-        // What is under way while the file changes: a load of a class that the last file named.
-        let class = text
+    for round in 0..200u64 {
+        let config_text = changed_config(&config, round);
+        // A load of a class from the last file is in flight while the file changes.
+        let class = config_text
             .split(r#""name": "journal-load"#)
             .nth(1)
             .and_then(|rest| rest.split('"').next());
         let class = format!("journal-load{}", class.expect("a load"));
-        if turn % 10 == 9 {
-            harness.write_config_and_reload(&broken(&text, turn / 10), KEPT);
+        if round % 10 == 9 {
+            harness.write_config_and_reload(
+                &invalid_config(&config_text, round / 10),
+                RELOAD_REJECTED,
+            );
             rejected += 1;
             continue;
         }
-        harness.write_config_and_reload(&text, TAKEN);
+        harness.write_config_and_reload(&config_text, RELOAD_APPLIED);
         applied += 1;
-        let id = turn + 1000;
+        let id = round + 1000;
         harness.run_script(&format!(
             "c1 send {class} {id}
              e1 expect fetch {id} kind={class}"
         ));
-        harness.write_config_and_reload(&retuned(&config, turn + 7777), TAKEN);
+        harness.write_config_and_reload(&changed_config(&config, round + 7777), RELOAD_APPLIED);
         applied += 1;
-        let (answer, told) = match turn % 2 {
+        let (reply, client_script) = match round % 2 {
             0 => (format!("{id} ERR"), "c1 expect error 58000"),
             _ => (
                 format!("{id} OK 1 a|b|c"),
                 "c1 expect row a|b|c\nc1 expect complete 1",
             ),
         };
-        harness.run_script(&format!("e1 send {answer}\n{told}"));
+        harness.run_script(&format!("e1 send {reply}\n{client_script}"));
     }
     harness.run_script(&format!(
         "e1 send 999 OK 1 a|b|c
@@ -430,39 +446,39 @@
     ));
 }
 
-/// What a client says before it walks away, by the point at which it does.
-fn said_before_leaving(point: usize, id: usize) -> Vec<u8> {
-    let asked = pg_client::query(&pg_client::statement(&format!("report {id}")));
-    let whole = [pg_client::startup(), asked].concat();
+/// The bytes that a client sends before it disconnects, for each point of its first request.
+fn bytes_before_disconnect(point: usize, id: usize) -> Vec<u8> {
+    let query = pg_client::query(&pg_client::statement(&format!("report {id}")));
+    let complete = [pg_client::startup(), query].concat();
     let start = pg_client::startup().len();
     let length = match point {
         0 => 0,
         1 => start / 2,
         2 => start,
         3 => start + 7,
-        4 => whole.len() - 1,
-        _ => whole.len(),
+        4 => complete.len() - 1,
+        _ => complete.len(),
     };
-    whole[..length].to_vec()
+    complete[..length].to_vec()
 }
 
 #[test]
-fn clients_that_walk_away_at_any_point_leave_nothing_behind() {
+fn clients_that_disconnect_at_any_point_leave_no_request_or_descriptor_open() {
     let mut harness = Harness::new(&["e1"]);
     harness.run_script("c1 send lookup 1\ne1 expect fetch 1\ne1 send 1 OK 1 a|b|c\nc1 expect row\nc1 expect complete");
     let before = harness.open_descriptors();
-    let mut asked = 0;
+    let mut sent_queries = 0;
     for id in 0..210 {
         let point = id % 7;
         let mut client = TcpStream::connect(harness.listen_address("c")).expect("connects");
         client
-            .write_all(&said_before_leaving(point, id + 2))
+            .write_all(&bytes_before_disconnect(point, id + 2))
             .expect("writes");
         if point < 5 {
             continue;
         }
-        asked += 1;
-        // Of the last, half leave while their engine works on it, half before anyone has seen it.
+        sent_queries += 1;
+        // At point 6 the client disconnects while the engine runs its query, at point 5 right after sending it.
         let fetch = format!("fetch {}", id + 2);
         if point == 6 {
             while !harness.next_event("e1").starts_with(&fetch) {}
@@ -471,16 +487,17 @@
         let abort = format!("abort {}", id + 2);
         while point == 6 && !harness.next_event("e1").starts_with(&abort) {}
     }
-    let left = r#"dispatcher_left_total{service="report"}"#;
-    for turn in 0.. {
-        let told = figures(&mut harness);
+    let clients_left = r#"dispatcher_left_total{service="report"}"#;
+    for round in 0.. {
+        let metrics = read_metrics(&mut harness);
         assert!(
-            turn < 2000,
-            "{told:?}, {} of {before} descriptors",
+            round < 2000,
+            "{metrics:?}, {} of {before} descriptors",
             harness.open_descriptors()
         );
-        // Half of a query is no request; one that was taken and left at once may never have been read.
-        let ended = told["dispatcher_outstanding"] == 0 && told[left] >= asked / 2;
+        // An incomplete query is no request, and a query whose client disconnects at once may never be read.
+        let ended =
+            metrics["dispatcher_outstanding"] == 0 && metrics[clients_left] >= sent_queries / 2;
         if ended && harness.open_descriptors() <= before + 2 {
             break;
         }
--- a/dispatcher/tests/scenarios/wire.rs
+++ b/dispatcher/tests/scenarios/wire.rs
@@ -1,10 +1,10 @@
-//! What only one wire has: starts, cancels, what is malformed.
+//! Behaviour of a single protocol: startup, cancel requests, malformed input, idle connections.
 
 use crate::harness::{Harness, MAX_DESCRIPTORS};
 use sedgebeam::descriptors::Descriptors;
 
 #[test]
-fn an_empty_query_is_answered_at_the_start_of_a_session() {
+fn an_empty_query_in_a_new_session_is_answered() {
     Harness::new(&["e1"]).run_script("c1 send empty\nc1 expect empty");
 }
 
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn what_begins_and_never_ends_is_closed() {
-    // Half a start; a start and half a query; nothing at all; half a preface of HTTP/2; half a head.
+fn connections_that_never_complete_a_request_are_closed() {
+    // Half a startup message; a startup message and half a query; nothing; half an HTTP/2 preface; half an HTTP head.
     Harness::new(&["e1"]).run_script(
         "tcp1 send 0000000c 0003
          tcp2 send 00000009 00030000 00 51000000ff
@@ -53,26 +53,26 @@
     );
 }
 
-/// More than the sessions that the stage's descriptors allow.
-const CROWD: usize = 36;
+/// More sessions than the descriptors of the program allow.
+const CLIENTS_OVER_SESSION_LIMIT: usize = 36;
 
 #[test]
-fn strangers_by_the_hundred_give_way_to_clients_and_those_that_ask_nothing_more_do_too() {
-    // Each request has a name of its own: the broker hears of an end a tick after the client.
-    let served = |name| {
+fn sessions_without_a_request_are_evicted_first_and_then_those_idle_longest() {
+    // Each request has its own id, because the broker learns of the end of a request up to a tick after the client.
+    let served_lookup = |request_id| {
         format!(
-            "c0 send lookup {name}\ne1 expect fetch {name}\ne1 send {name} OK 1 a|b|c
+            "c0 send lookup {request_id}\ne1 expect fetch {request_id}\ne1 send {request_id} OK 1 a|b|c
              c0 expect row\nc0 expect complete"
         )
     };
     let mut harness = Harness::new(&["e1"]);
-    harness.run_script(&served(1));
-    for number in 1..=CROWD {
+    harness.run_script(&served_lookup(1));
+    for number in 1..=CLIENTS_OVER_SESSION_LIMIT {
         harness.run_script(&format!("c{number} send empty\nc{number} expect empty"));
     }
-    harness.run_script(&format!("c1 expect closed\n{}", served(3)));
-    // All of these ask once and keep their connection: the one that has been idle for longest goes.
-    for number in 1..=CROWD {
+    harness.run_script(&format!("c1 expect closed\n{}", served_lookup(3)));
+    // Each of these clients sends one request and keeps its connection, so the session idle longest is evicted.
+    for number in 1..=CLIENTS_OVER_SESSION_LIMIT {
         harness.run_script(&format!(
             "c10{number} send lookup 2{number}
              e1 expect fetch 2{number}
@@ -85,11 +85,11 @@
 }
 
 #[test]
-fn a_client_that_sends_the_same_useless_statement_again_and_again_is_closed() {
+fn a_client_that_keeps_sending_an_invalid_statement_is_closed() {
     let mut harness = Harness::new(&["e1"]);
-    let useless = "c1 send text SELECT 1\nc1 expect error 42601\n".repeat(6);
-    // A good one between begins the count anew.
-    harness.run_script(&useless);
+    let invalid_statements = "c1 send text SELECT 1\nc1 expect error 42601\n".repeat(6);
+    // A valid statement in between resets the count.
+    harness.run_script(&invalid_statements);
     harness.run_script(
         "c1 send lookup 1
          e1 expect fetch 1
@@ -97,12 +97,12 @@
          c1 expect row
          c1 expect complete",
     );
-    harness.run_script(&useless);
+    harness.run_script(&invalid_statements);
     harness.run_script("c1 send text SELECT 1\nc1 expect error 42601\nc1 expect closed");
 }
 
 #[test]
-fn a_cancel_request_on_its_own_connection_calls_the_query_off() {
+fn a_cancel_request_on_a_second_connection_cancels_the_query() {
     Harness::new(&["e1"]).run_script(
         "c1 send empty
          c1 expect empty
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_engine_that_answers_nonsense_is_cut_off_and_its_attempt_may_have_run() {
+fn a_malformed_answer_closes_the_connection_and_its_attempt_may_have_run() {
     Harness::new(&["e1"]).run_script(
         "c1 send journal-load 1
          e1 expect fetch 1
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_refused_connection_proves_that_nothing_ran() {
-    // The module may send the load again, and refuses it, which is harmless, once it gives it up.
+    // The gateway may send the load again. Once it gives up, it refuses the load, because nothing has run.
     Harness::new(&["e1"]).run_script(
         "c1 send lookup 1
          e1 expect fetch 1
@@ -144,14 +144,14 @@
 }
 
 #[test]
-fn a_flight_engine_that_is_gone_never_ran_what_is_sent_to_it() {
-    // Once before any connection, and once on one that has broken since.
-    for first in [
+fn a_flight_engine_that_has_stopped_never_ran_the_attempts_sent_to_it() {
+    // Once without an earlier connection, and once with a connection that has broken since.
+    for earlier_request in [
         "",
         "c1 send lookup 1\ng1 expect fetch 1\ng1 send 1 OK 1 a|b|c\nc1 expect row\nc1 expect complete",
     ] {
         let mut harness = Harness::new(&["g1"]);
-        harness.run_script(first);
+        harness.run_script(earlier_request);
         harness.run_script(
             "g1 close
              g1 expect closed
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_flight_engine_that_stays_open_and_says_nothing_is_let_go_before_the_deadline() {
+fn an_attempt_at_a_flight_engine_that_never_replies_ends_before_the_deadline() {
     for client in ["c1", "f1"] {
         Harness::new(&["m1"]).run_script(&format!(
             "{client} send journal-load 1
@@ -173,8 +173,9 @@
 }
 
 #[test]
-fn a_client_that_sends_ahead_is_watched_all_the_same() {
-    // It leaves behind what it has sent ahead; or sends ahead more than is held, which ends its session alone.
+fn the_disconnect_of_a_client_that_pipelines_is_noticed() {
+    // The first client disconnects with a pipelined query; the second pipelines more than the buffer of a session holds,
+    // which ends only its own session.
     Harness::new(&["e1"]).run_script(&format!(
         "c1 send report 1
          e1 expect fetch 1
@@ -195,15 +196,16 @@
     ));
 }
 
-/// Whatever idle clients, callers and strangers fill, the change log, the door, the engines and the files keep theirs.
+/// Idle clients of every kind fill only their own share of the descriptors: the change log, the control socket, the engines
+/// and the configuration files keep theirs.
 #[test]
-fn idle_clients_of_every_kind_leave_descriptors_for_all_else() {
+fn idle_clients_of_every_kind_leave_descriptors_for_all_other_uses() {
     let mut harness = Harness::new(&["e1", "e2", "log", "log2"]);
     harness.run_script("log expect subscribed 1");
-    // What is set apart for the process itself is no less than it holds.
-    let parts = Descriptors::of(MAX_DESCRIPTORS, 1, true, true).expect("enough for all");
+    // The share of the process itself covers the descriptors that it has open.
+    let descriptors = Descriptors::of(MAX_DESCRIPTORS, 1, true, true).expect("enough descriptors");
     assert!(
-        harness.open_descriptors() <= parts.own,
+        harness.open_descriptors() <= descriptors.own,
         "{}",
         harness.open_descriptors()
     );
@@ -212,10 +214,10 @@
             "to{number} send 50\ntf{number} send 50\nta{number} send 47"
         ));
     }
-    for number in 1..=CROWD {
+    for number in 1..=CLIENTS_OVER_SESSION_LIMIT {
         harness.run_script(&format!("c{number} send empty\nc{number} expect empty"));
     }
-    // Discovery is away, and back at another address; the file is read, the door answers, an engine is asked.
+    // The change log moves to another address, the file is reloaded, the control socket answers, and an engine gets a request.
     harness.run_script(
         "log close
          app send reload log2
