--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -1,4 +1,4 @@
-//! Several workers: what holds for one holds for all, and one that stands still or dies takes no other with it.
+//! Several workers: they act as one program, and a worker that stalls or dies does not affect the others.
 
 use crate::harness::{Harness, SETTINGS, create_temp_dir};
 use sedgebeam::config::{self, Config, Environment};
@@ -20,7 +20,7 @@
 use tokio_util::sync::CancellationToken;
 
 #[test]
-fn a_drain_reaches_every_worker_and_so_does_its_end() {
+fn the_start_and_the_end_of_a_drain_reach_every_worker() {
     let mut harness = Harness::with_workers(&["e1", "e2"], 4);
     harness.run_script(
         "adm send POST /engines/s-00006531/drain
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn counters_and_engines_add_up_over_workers() {
+fn counters_and_engine_loads_add_up_over_workers() {
     let mut harness = Harness::with_workers(&["e1"], 4);
     for id in 1..=12 {
         harness.run_script(&format!("c{id} send lookup {id}\ne1 expect fetch {id}"));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn at_the_end_what_every_worker_has_taken_is_answered() {
+fn at_shutdown_the_requests_of_every_worker_are_answered() {
     let mut harness = Harness::with_workers(&["e1"], 4);
     for id in 1..=8 {
         harness.run_script(&format!("c{id} send lookup {id}\ne1 expect fetch {id}"));
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn a_request_is_cancelled_from_another_workers_connection() {
+fn a_cancel_on_a_connection_of_another_worker_reaches_its_request() {
     let mut harness = Harness::with_workers(&["e1"], 4);
-    // Four sessions, so that the connection of each cancel is some other worker's than its session's.
+    // With four sessions the connection of each cancel belongs to another worker than its session.
     for id in 1..=4 {
         harness.run_script(&format!("c{id} send report {id}\ne1 expect fetch {id}"));
     }
@@ -102,94 +102,100 @@
     }
 }
 
-// ---- Workers that stand still or die, without sockets ----
+// ---- Workers that stall or die, without sockets ----
 
 const WORKERS: usize = 4;
-/// The worker to which it happens, by the name of its thread.
-const VICTIM: &str = "worker-1";
-const HANGS: Duration = Duration::from_secs(60);
+/// The worker that stalls or dies, by the name of its thread.
+const FAILING_WORKER: &str = "worker-1";
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A load or a query that has been sent, and where it can be answered.
-struct Sent {
-    id: RequestId,
+/// An attempt that was sent to an engine, and the reporter that takes its result.
+struct SentAttempt {
+    request_id: RequestId,
     worker: String,
-    number: AttemptNo,
-    reports: EngineReporter,
+    attempt_no: AttemptNo,
+    reporter: EngineReporter,
 }
 
-/// Engines of which the test hears all that they are sent.
-struct World {
-    sent: mpsc::UnboundedSender<Sent>,
-    /// A broker that hears of the engine "boom" on the victim's thread panics, once.
-    boom: AtomicBool,
-    /// One that hears of "stall" there stands still until this is set.
+/// An engine transport that passes all attempts to the test.
+struct RecordingTransport {
+    attempt_sender: mpsc::UnboundedSender<SentAttempt>,
+    /// While set, the broker of the failing worker panics when it is told of the engine "panic-2"; the first panic clears it.
+    panic_armed: AtomicBool,
+    /// The broker of the failing worker blocks until this is set when it is told of the engine "stall-2".
     released: Mutex<bool>,
     release: Condvar,
 }
 
-fn thread() -> String {
+fn thread_name() -> String {
     std::thread::current()
         .name()
         .unwrap_or_default()
         .to_string()
 }
 
-impl World {
-    fn new() -> (Arc<World>, mpsc::UnboundedReceiver<Sent>) {
-        let (sent, hears) = mpsc::unbounded_channel();
-        let world = World {
-            sent,
-            boom: AtomicBool::new(true),
+impl RecordingTransport {
+    fn new() -> (
+        Arc<RecordingTransport>,
+        mpsc::UnboundedReceiver<SentAttempt>,
+    ) {
+        let (attempt_sender, sent_attempts) = mpsc::unbounded_channel();
+        let transport = RecordingTransport {
+            attempt_sender,
+            panic_armed: AtomicBool::new(true),
             released: Mutex::new(false),
             release: Condvar::new(),
         };
-        (Arc::new(world), hears)
+        (Arc::new(transport), sent_attempts)
     }
 
     fn release(&self) {
-        *self.released.lock().expect("sound") = true;
+        *self.released.lock().expect("no poisoned lock") = true;
         self.release.notify_all();
     }
 }
 
-impl EngineTransport for World {
+impl EngineTransport for RecordingTransport {
     fn engine_listed(&self, target: &Target) {
-        let here = thread() == VICTIM;
-        if here && target.uid == "boom-2" && self.boom.swap(false, Ordering::Relaxed) {
-            panic!("the broker of {VICTIM} is to die");
+        let on_failing_worker = thread_name() == FAILING_WORKER;
+        if on_failing_worker
+            && target.uid == "panic-2"
+            && self.panic_armed.swap(false, Ordering::Relaxed)
+        {
+            panic!("injected panic in the broker of {FAILING_WORKER}");
         }
-        if here && target.uid == "stall-2" {
-            let mut released = self.released.lock().expect("sound");
+        if on_failing_worker && target.uid == "stall-2" {
+            let mut released = self.released.lock().expect("no poisoned lock");
             while !*released {
-                released = self.release.wait(released).expect("sound");
+                released = self.release.wait(released).expect("no poisoned lock");
             }
         }
     }
 
-    fn start(&self, _: &Target, reports: EngineReporter) -> EngineSender {
-        let (mailbox, mut incoming) = mpsc::channel(64);
-        let (sent, worker) = (self.sent.clone(), thread());
+    fn start(&self, _: &Target, reporter: EngineReporter) -> EngineSender {
+        let (command_sender, mut commands) = mpsc::channel(64);
+        let (attempt_sender, worker) = (self.attempt_sender.clone(), thread_name());
         tokio::spawn(async move {
-            while let Some(message) = incoming.recv().await {
+            while let Some(message) = commands.recv().await {
                 let EngineCommand::Send(Attempt {
                     request, number, ..
                 }) = message
                 else {
                     continue;
                 };
-                let _ = sent.send(Sent {
-                    id: request,
+                let _ = attempt_sender.send(SentAttempt {
+                    request_id: request,
                     worker: worker.clone(),
-                    number,
-                    reports: reports.clone(),
+                    attempt_no: number,
+                    reporter: reporter.clone(),
                 });
             }
         });
-        mailbox
+        command_sender
     }
 }
 
-fn target(uid: &str) -> Target {
+fn new_target(uid: &str) -> Target {
     Target {
         uid: uid.to_string(),
         endpoint: "127.0.0.1:1".to_string(),
@@ -200,67 +206,68 @@
     }
 }
 
-fn config() -> Config {
+fn load_config() -> Config {
     let text = format!(
         r#"{{"listen": "127.0.0.1:0", "workers": {WORKERS}, "limits": {{"sockets": 4096}}, "settings": {SETTINGS}}}"#
     );
-    let folder = create_temp_dir();
-    let path = folder.join("own.json");
+    let directory = create_temp_dir();
+    let path = directory.join("own.json");
     std::fs::write(&path, text).expect("writes");
     let config = config::load(&Environment::default(), Some(&path)).expect("is right");
-    std::fs::remove_dir_all(folder).expect("removes");
+    std::fs::remove_dir_all(directory).expect("removes");
     config
 }
 
-struct Bench {
-    crew: Crew,
-    figures: Figures,
-    world: Arc<World>,
-    hears: mpsc::UnboundedReceiver<Sent>,
-    /// How often each request was sent.
-    sends: HashMap<RequestId, u32>,
+struct WorkerPoolFixture {
+    worker_pool: Crew,
+    metrics: Figures,
+    transport: Arc<RecordingTransport>,
+    sent_attempts: mpsc::UnboundedReceiver<SentAttempt>,
+    /// The number of attempts that were sent for each request.
+    send_counts: HashMap<RequestId, u32>,
 }
 
-const LOAD: usize = 2;
+const LOAD_CLASS: usize = 2;
 
-fn class(id: u64) -> usize {
-    if id.is_multiple_of(2) { LOAD } else { 0 }
+fn class_of(id: u64) -> usize {
+    if id.is_multiple_of(2) { LOAD_CLASS } else { 0 }
 }
 
-impl Bench {
-    async fn new() -> Bench {
-        let (world, hears) = World::new();
-        let figures = Figures::default();
-        let (config, clock) = (config(), Clock::start());
-        let crew = Crew::start(&config, world.clone(), &figures, clock).await;
-        let crew = crew.expect("starts");
-        let list = vec![target("e-1")];
-        crew.desk
+impl WorkerPoolFixture {
+    async fn new() -> WorkerPoolFixture {
+        let (transport, sent_attempts) = RecordingTransport::new();
+        let metrics = Figures::default();
+        let (config, clock) = (load_config(), Clock::start());
+        let worker_pool = Crew::start(&config, transport.clone(), &metrics, clock).await;
+        let worker_pool = worker_pool.expect("starts");
+        let list = vec![new_target("e-1")];
+        worker_pool
+            .desk
             .update_engine_list(Listing::Complete, list)
             .await
             .expect("is told");
-        Bench {
-            crew,
-            figures,
-            world,
-            hears,
-            sends: HashMap::new(),
+        WorkerPoolFixture {
+            worker_pool,
+            metrics,
+            transport,
+            sent_attempts,
+            send_counts: HashMap::new(),
         }
     }
 
     async fn submit(&self, id: u64) -> PendingAnswer {
-        self.submit_of(id, None).await
+        self.submit_with_order_key(id, None).await
     }
 
-    async fn submit_of(&self, id: u64, key: Option<&str>) -> PendingAnswer {
+    async fn submit_with_order_key(&self, id: u64, key: Option<&str>) -> PendingAnswer {
         let request = NewRequest {
             id: RequestId(id),
-            class: ClassId(class(id)),
+            class: ClassId(class_of(id)),
             tenant: Some("acme".to_string()),
-            deadline: Instant::now() + HANGS,
+            deadline: Instant::now() + HANG_TIMEOUT,
             work: Micros(1000),
             memory_mb: 1.0,
-            // Each load has a group of its own: none waits for another.
+            // Each request has its own table group, so no load waits for another.
             group: TableGroupId(id),
             statement: "SELECT".into(),
             is_retry: false,
@@ -269,42 +276,44 @@
             session: None,
             cancel_token: CancellationToken::new(),
         };
-        self.crew.desk.submit(request).await
+        self.worker_pool.desk.submit(request).await
     }
 
-    /// The next that an engine is sent.
-    async fn sent(&mut self) -> Sent {
-        let sent = timeout(HANGS, self.hears.recv()).await;
-        let sent = sent.expect("something is sent").expect("engines are there");
-        *self.sends.entry(sent.id).or_default() += 1;
-        sent
+    /// Waits for the next attempt that is sent to an engine.
+    async fn next_sent_attempt(&mut self) -> SentAttempt {
+        let attempt = timeout(HANG_TIMEOUT, self.sent_attempts.recv()).await;
+        let attempt = attempt.expect("an attempt in time").expect("a transport");
+        *self.send_counts.entry(attempt.request_id).or_default() += 1;
+        attempt
     }
 
-    fn sent_each_once(&self) {
-        let once = self.sends.values().all(|sends| *sends == 1);
-        assert!(once, "{:?}", self.sends);
+    fn assert_each_sent_once(&self) {
+        let each_once = self.send_counts.values().all(|count| *count == 1);
+        assert!(each_once, "{:?}", self.send_counts);
     }
 
-    /// Hears of something new in the list, and of that alone.
-    async fn hears_of(&self, uid: &str) {
-        let told = self
-            .crew
+    /// Adds an engine to the list of every worker.
+    async fn add_engine(&self, uid: &str) {
+        let updated = self
+            .worker_pool
             .desk
-            .update_engine_list(Listing::Changes, vec![target(uid)]);
-        told.await.expect("is told");
+            .update_engine_list(Listing::Changes, vec![new_target(uid)]);
+        updated.await.expect("is told");
     }
 
-    async fn until(&self, mut holds: impl FnMut(&Bench) -> bool) {
+    async fn wait_until(&self, mut condition: impl FnMut(&WorkerPoolFixture) -> bool) {
         let waiting = async {
-            while !holds(self) {
+            while !condition(self) {
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        timeout(HANGS, waiting).await.expect("it comes about");
+        timeout(HANG_TIMEOUT, waiting)
+            .await
+            .expect("the condition holds in time");
     }
 }
 
-async fn answer(sent: &Sent) {
+async fn send_answer(attempt: &SentAttempt) {
     let page = Page {
         rows: "a\tb\tc\n".into(),
         is_last: true,
@@ -314,25 +323,30 @@
         work: None,
         load: None,
     };
-    sent.reports.attempt_ended(sent.id, sent.number, ok).await;
+    attempt
+        .reporter
+        .attempt_ended(attempt.request_id, attempt.attempt_no, ok)
+        .await;
 }
 
-async fn answered(pending: PendingAnswer) -> Answer {
-    timeout(HANGS, pending).await.expect("an answer")
+async fn answer_in_time(pending_answer: PendingAnswer) -> Answer {
+    timeout(HANG_TIMEOUT, pending_answer)
+        .await
+        .expect("an answer")
 }
 
-/// Answers all of these, and sees that their clients are served.
-async fn served(sent: &[Sent], pending: Vec<(u64, PendingAnswer)>) {
-    for sent in sent {
-        answer(sent).await;
+/// Answers all attempts and expects that their requests are answered with rows.
+async fn expect_all_served(attempts: &[SentAttempt], pending_answers: Vec<(u64, PendingAnswer)>) {
+    for attempt in attempts {
+        send_answer(attempt).await;
     }
-    for (id, pending) in pending {
-        let answer = answered(pending).await;
+    for (id, pending_answer) in pending_answers {
+        let answer = answer_in_time(pending_answer).await;
         assert!(matches!(answer, Answer::Rows(_)), "{id}: {answer:?}");
     }
 }
 
-fn block_on(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -340,109 +354,145 @@
     runtime.block_on(test);
 }
 
-/// Asks so many, all of which are out before this ends: fewer than one engine has slots for. Gives what was
-/// asked and what was sent.
-async fn all_out(
-    bench: &mut Bench,
+/// Submits requests with these ids and returns once all are in flight, with their pending answers and attempts. They must be
+/// fewer than the slots of one engine.
+async fn submit_in_flight(
+    fixture: &mut WorkerPoolFixture,
     ids: std::ops::Range<u64>,
-) -> (Vec<(u64, PendingAnswer)>, Vec<Sent>) {
-    let (mut pending, mut sent) = (Vec::new(), Vec::new());
+) -> (Vec<(u64, PendingAnswer)>, Vec<SentAttempt>) {
+    let (mut pending_answers, mut attempts) = (Vec::new(), Vec::new());
     for id in ids {
-        pending.push((id, bench.submit(id).await));
-        sent.push(bench.sent().await);
+        pending_answers.push((id, fixture.submit(id).await));
+        attempts.push(fixture.next_sent_attempt().await);
     }
-    (pending, sent)
+    (pending_answers, attempts)
 }
 
 #[test]
-fn a_worker_whose_broker_dies_answers_what_it_had_by_class_and_is_started_again() {
-    block_on(async {
-        let mut bench = Bench::new().await;
-        let (pending, sent) = all_out(&mut bench, 1..25).await;
-        let lost: HashSet<RequestId> = sent
+fn a_worker_whose_broker_dies_answers_its_requests_by_class_and_restarts() {
+    run_test(async {
+        let mut fixture = WorkerPoolFixture::new().await;
+        let (pending_answers, attempts) = submit_in_flight(&mut fixture, 1..25).await;
+        let lost_requests: HashSet<RequestId> = attempts
             .iter()
-            .filter(|sent| sent.worker == VICTIM)
-            .map(|sent| sent.id)
+            .filter(|attempt| attempt.worker == FAILING_WORKER)
+            .map(|attempt| attempt.request_id)
             .collect();
         assert!(
-            lost.len() > 2 && lost.len() < 18,
-            "{} at the victim",
-            lost.len()
+            lost_requests.len() > 2 && lost_requests.len() < 18,
+            "{} at the failing worker",
+            lost_requests.len()
         );
-        bench.hears_of("boom-2").await;
-        // The others go on as if nothing had happened.
-        for sent in sent.iter().filter(|sent| sent.worker != VICTIM) {
-            answer(sent).await;
+        fixture.add_engine("panic-2").await;
+        // The other workers are not affected.
+        for attempt in attempts
+            .iter()
+            .filter(|attempt| attempt.worker != FAILING_WORKER)
+        {
+            send_answer(attempt).await;
         }
-        for (id, pending) in pending {
-            let answer = answered(pending).await;
-            match (lost.contains(&RequestId(id)), class(id)) {
+        for (id, pending_answer) in pending_answers {
+            let answer = answer_in_time(pending_answer).await;
+            match (lost_requests.contains(&RequestId(id)), class_of(id)) {
                 (false, _) => assert!(matches!(answer, Answer::Rows(_)), "{id}: {answer:?}"),
-                // It may have run: nobody must be told that trying again is harmless.
-                (true, LOAD) => assert!(
+                // The load may have run, so the client must not be told that a retry is safe.
+                (true, LOAD_CLASS) => assert!(
                     matches!(answer, Answer::Failed(Failure::ShuttingDown)),
                     "{id}: {answer:?}"
                 ),
                 (true, _) => assert!(matches!(answer, Answer::Refused { .. }), "{id}: {answer:?}"),
             }
         }
-        // Results are counted once a client has taken them, and nobody has here.
-        let counts = bench.figures.counts();
-        let loads = lost.iter().filter(|id| class(id.0) == LOAD).count() as u64;
-        let others = lost.len() as u64 - loads;
+        // Rows are counted once a client has read them, and no client does in this test.
+        let counts = fixture.metrics.counts();
+        let loads = lost_requests
+            .iter()
+            .filter(|id| class_of(id.0) == LOAD_CLASS)
+            .count() as u64;
+        let others = lost_requests.len() as u64 - loads;
         assert_eq!(counts["lookup"].ended, [0, others, 0]);
         assert_eq!(counts["journal-load"].ended, [0, 0, loads]);
-        bench.until(|bench| bench.crew.restarts() == 1).await;
-        // Its names are free again, and it serves again, with the list that the others have.
-        let (pending, sent) = all_out(&mut bench, 101..125).await;
-        assert!(sent.iter().any(|sent| sent.worker == VICTIM));
-        served(&sent, pending).await;
-        bench.sent_each_once();
+        fixture
+            .wait_until(|fixture| fixture.worker_pool.restarts() == 1)
+            .await;
+        // The restarted worker accepts requests again, with the engine list of the other workers.
+        let (pending_answers, attempts) = submit_in_flight(&mut fixture, 101..125).await;
+        assert!(
+            attempts
+                .iter()
+                .any(|attempt| attempt.worker == FAILING_WORKER)
+        );
+        expect_all_served(&attempts, pending_answers).await;
+        fixture.assert_each_sent_once();
     });
 }
 
 #[test]
-fn while_a_worker_stands_still_others_serve_and_its_loads_are_not_sent_again() {
-    block_on(async {
-        let mut bench = Bench::new().await;
-        let (before, sent_before) = all_out(&mut bench, 1..25).await;
-        bench.hears_of("stall-2").await;
-        bench.until(|bench| !bench.crew.desk.is_alive(1)).await;
-        let (during, sent) = all_out(&mut bench, 101..125).await;
-        assert!(sent.iter().all(|sent| sent.worker != VICTIM));
-        served(&sent, during).await;
+fn while_a_worker_is_stalled_the_others_serve_and_its_loads_are_not_sent_again() {
+    run_test(async {
+        let mut fixture = WorkerPoolFixture::new().await;
+        let (answers_before, attempts_before) = submit_in_flight(&mut fixture, 1..25).await;
+        fixture.add_engine("stall-2").await;
+        fixture
+            .wait_until(|fixture| !fixture.worker_pool.desk.is_alive(1))
+            .await;
+        let (answers_during, attempts) = submit_in_flight(&mut fixture, 101..125).await;
+        assert!(
+            attempts
+                .iter()
+                .all(|attempt| attempt.worker != FAILING_WORKER)
+        );
+        expect_all_served(&attempts, answers_during).await;
         assert!(
-            !bench.crew.desk.is_alive(1),
-            "it stands still all the while"
+            !fixture.worker_pool.desk.is_alive(1),
+            "the worker is still stalled"
         );
-        // A name that it has open is open for all.
-        let stalled = sent_before.iter().find(|sent| sent.worker == VICTIM);
-        let stalled = stalled.expect("some were its own").id;
-        let again = answered(bench.submit(stalled.0).await).await;
+        // The id of a request that is open at the stalled worker is rejected as a duplicate everywhere.
+        let stalled_request = attempts_before
+            .iter()
+            .find(|attempt| attempt.worker == FAILING_WORKER);
+        let stalled_request = stalled_request
+            .expect("an attempt of the stalled worker")
+            .request_id;
+        let duplicate = answer_in_time(fixture.submit(stalled_request.0).await).await;
         assert!(
-            matches!(again, Answer::Failed(Failure::DuplicateId)),
-            "{again:?}"
+            matches!(duplicate, Answer::Failed(Failure::DuplicateId)),
+            "{duplicate:?}"
         );
-        bench.world.release();
-        served(&sent_before, before).await;
-        bench.sent_each_once();
+        fixture.transport.release();
+        expect_all_served(&attempts_before, answers_before).await;
+        fixture.assert_each_sent_once();
     });
 }
 
 #[test]
-fn a_worker_that_is_started_again_knows_what_the_administration_has_set() {
-    block_on(async {
-        let mut bench = Bench::new().await;
+fn a_restarted_worker_has_the_changes_of_the_administration() {
+    run_test(async {
+        let mut fixture = WorkerPoolFixture::new().await;
         let drain = AdminRequest::Drain("e-1".to_string(), true);
-        bench.crew.desk.administer(drain).await.expect("is done");
-        bench.hears_of("boom-2").await;
-        bench.until(|bench| bench.crew.restarts() == 1).await;
-        let (_pending, sent) = all_out(&mut bench, 1..25).await;
-        assert!(sent.iter().any(|sent| sent.worker == VICTIM));
-        let Ok(AdminResponse::Engines(rows)) =
-            bench.crew.desk.administer(AdminRequest::Engines).await
+        fixture
+            .worker_pool
+            .desk
+            .administer(drain)
+            .await
+            .expect("is done");
+        fixture.add_engine("panic-2").await;
+        fixture
+            .wait_until(|fixture| fixture.worker_pool.restarts() == 1)
+            .await;
+        let (_pending, attempts) = submit_in_flight(&mut fixture, 1..25).await;
+        assert!(
+            attempts
+                .iter()
+                .any(|attempt| attempt.worker == FAILING_WORKER)
+        );
+        let Ok(AdminResponse::Engines(rows)) = fixture
+            .worker_pool
+            .desk
+            .administer(AdminRequest::Engines)
+            .await
         else {
-            panic!("no engines are told");
+            panic!("no list of engines");
         };
         let row = |uid: &str| {
             rows.iter()
@@ -454,9 +504,9 @@
             (row("e-1").drained, row("e-1").attempts_in_flight),
             (true, 0)
         );
-        assert_eq!(row("boom-2").attempts_in_flight, 24);
-        let unknown = bench
-            .crew
+        assert_eq!(row("panic-2").attempts_in_flight, 24);
+        let unknown = fixture
+            .worker_pool
             .desk
             .administer(AdminRequest::RemoveEngine("none".to_string()))
             .await;
@@ -464,15 +514,15 @@
     });
 }
 
-/// A shard keeps the order of a key for itself alone.
+/// Each shard keeps the order of a key only among its own requests.
 #[test]
 fn requests_of_one_key_go_to_one_shard() {
-    block_on(async {
-        let mut bench = Bench::new().await;
-        let (mut pending, mut workers) = (Vec::new(), HashSet::new());
+    run_test(async {
+        let mut fixture = WorkerPoolFixture::new().await;
+        let (mut pending_answers, mut workers) = (Vec::new(), HashSet::new());
         for id in 1..9 {
-            pending.push(bench.submit_of(id, Some("rel-7")).await);
-            workers.insert(bench.sent().await.worker);
+            pending_answers.push(fixture.submit_with_order_key(id, Some("rel-7")).await);
+            workers.insert(fixture.next_sent_attempt().await.worker);
         }
         assert_eq!(workers.len(), 1, "{workers:?}");
     });
