--- a/dispatcher/tests/scenarios/flight_client.rs
+++ b/dispatcher/tests/scenarios/flight_client.rs
@@ -116,7 +116,10 @@
         info: Some(flight_info),
     };
     let action = Action::new("CancelFlightInfo", request.encode_to_vec());
-    client.do_action(action).await.expect("is cancelled");
+    client
+        .do_action(action)
+        .await
+        .expect("the cancel is accepted");
 }
 
 fn error_event(status: &Status) -> String {
--- a/dispatcher/tests/scenarios/harness.rs
+++ b/dispatcher/tests/scenarios/harness.rs
@@ -125,28 +125,28 @@
 }
 
 impl Harness {
-    /// Starts the program with one worker and these engines and change logs.
-    pub fn new(engines: &[&str]) -> Harness {
-        Harness::with_workers(engines, 1)
+    /// Starts the program with one worker and these scripted servers: engines and change logs.
+    pub fn new(servers: &[&str]) -> Harness {
+        Harness::with_workers(servers, 1)
     }
 
-    pub fn with_workers(engines: &[&str], workers: usize) -> Harness {
+    pub fn with_workers(servers: &[&str], workers: usize) -> Harness {
         let options = Options {
             workers,
             ..Options::default()
         };
-        Harness::with_options(engines, &options)
+        Harness::with_options(servers, &options)
     }
 
     /// Starts the program and waits until it serves.
-    pub fn with_options(engines: &[&str], options: &Options) -> Harness {
-        let mut harness = Harness::start(engines, options);
+    pub fn with_options(servers: &[&str], options: &Options) -> Harness {
+        let mut harness = Harness::start(servers, options);
         harness.wait_until_serving();
         harness
     }
 
     /// Starts the program without waiting until it serves.
-    pub fn start(engines: &[&str], options: &Options) -> Harness {
+    pub fn start(servers: &[&str], options: &Options) -> Harness {
         let Options {
             workers,
             settings,
@@ -161,7 +161,7 @@
             .expect("a runtime");
         let (mut peers, mut targets, mut changelog) = (HashMap::new(), Vec::new(), None);
         let mut engine_endpoints = HashMap::new();
-        for name in engines {
+        for name in servers {
             let (peer, peer_task) = peer_channels();
             let listener = runtime
                 .block_on(TcpListener::bind("127.0.0.1:0"))
@@ -401,7 +401,7 @@
         std::iter::from_fn(|| peer.events.try_recv().ok()).collect()
     }
 
-    /// Rewrites the platform's file as the command says and has the program reload it.
+    /// Rewrites the platform's file as the command asks and has the program reload it.
     fn reload_config(&mut self, command: &str) {
         match command.strip_prefix("reload ") {
             Some(name) => write_config_file(
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -213,7 +213,7 @@
     let directory = create_temp_dir();
     let path = directory.join("own.json");
     std::fs::write(&path, text).expect("writes");
-    let config = config::load(&Environment::default(), Some(&path)).expect("is right");
+    let config = config::load(&Environment::default(), Some(&path)).expect("a valid configuration");
     std::fs::remove_dir_all(directory).expect("removes");
     config
 }
@@ -245,7 +245,7 @@
             .desk
             .update_engine_list(Listing::Complete, list)
             .await
-            .expect("is told");
+            .expect("the list is accepted");
         WorkerPoolFixture {
             worker_pool,
             metrics,
@@ -292,13 +292,13 @@
         assert!(each_once, "{:?}", self.send_counts);
     }
 
-    /// Adds an engine to the list of every worker.
+    /// Adds an engine to the list of every worker, by a change and not by a complete list.
     async fn add_engine(&self, uid: &str) {
         let updated = self
             .worker_pool
             .desk
             .update_engine_list(Listing::Changes, vec![new_target(uid)]);
-        updated.await.expect("is told");
+        updated.await.expect("the change is accepted");
     }
 
     async fn wait_until(&self, mut condition: impl FnMut(&WorkerPoolFixture) -> bool) {
@@ -329,7 +329,7 @@
         .await;
 }
 
-async fn answer_in_time(pending_answer: PendingAnswer) -> Answer {
+async fn await_answer(pending_answer: PendingAnswer) -> Answer {
     timeout(HANG_TIMEOUT, pending_answer)
         .await
         .expect("an answer")
@@ -341,7 +341,7 @@
         send_answer(attempt).await;
     }
     for (id, pending_answer) in pending_answers {
-        let answer = answer_in_time(pending_answer).await;
+        let answer = await_answer(pending_answer).await;
         assert!(matches!(answer, Answer::Rows(_)), "{id}: {answer:?}");
     }
 }
@@ -392,7 +392,7 @@
             send_answer(attempt).await;
         }
         for (id, pending_answer) in pending_answers {
-            let answer = answer_in_time(pending_answer).await;
+            let answer = await_answer(pending_answer).await;
             match (lost_requests.contains(&RequestId(id)), class_of(id)) {
                 (false, _) => assert!(matches!(answer, Answer::Rows(_)), "{id}: {answer:?}"),
                 // The load may have run, so the client must not be told that a retry is safe.
@@ -454,7 +454,7 @@
         let stalled_request = stalled_request
             .expect("an attempt of the stalled worker")
             .request_id;
-        let duplicate = answer_in_time(fixture.submit(stalled_request.0).await).await;
+        let duplicate = await_answer(fixture.submit(stalled_request.0).await).await;
         assert!(
             matches!(duplicate, Answer::Failed(Failure::DuplicateId)),
             "{duplicate:?}"
@@ -475,7 +475,7 @@
             .desk
             .administer(drain)
             .await
-            .expect("is done");
+            .expect("the drain is accepted");
         fixture.add_engine("panic-2").await;
         fixture
             .wait_until(|fixture| fixture.worker_pool.restarts() == 1)
