--- a/tests/bounds.rs
+++ b/tests/bounded_state.rs
@@ -24,11 +24,11 @@
         }),
         ..settings()
     };
-    let mut bench = Bench::new(settings);
+    let mut harness = Harness::new(settings);
     let waves = ENGINES / LISTED;
     let (mut most, mut attempts) = (StateSizes::default(), Attempts::new());
     for wave in 0..waves {
-        let started_at = bench.now;
+        let started_at = harness.now;
         let listed = (0..LISTED).map(|place| Engine {
             started_at: if place % 2 == 0 {
                 started_at
@@ -41,21 +41,21 @@
             kind: ListKind::Complete,
             engines: listed.collect(),
         };
-        let done = bench.all(vec![list]);
-        end(&mut bench, done, &mut attempts);
+        let done = harness.handle_all(vec![list]);
+        end(&mut harness, done, &mut attempts);
         for number in 0..REQUESTS / waves {
             let id = wave * (REQUESTS / waves) + number + 1;
-            bench.now = bench.now + Micros(1500);
+            harness.now = harness.now + Micros(1500);
             let class = [LIGHT, LIGHT, LIGHT, HEAVY, LOAD][(id % 5) as usize];
             let query = Query {
                 key: (class == LOAD).then_some(Key(id)),
                 table_group: TableGroupId(id % 5000),
                 ..query(id, class)
             };
-            let done = bench.all(vec![Event::Request(query)]);
-            end(&mut bench, done, &mut attempts);
+            let done = harness.handle_all(vec![Event::Request(query)]);
+            end(&mut harness, done, &mut attempts);
         }
-        let kept = bench.gateway.state_sizes();
+        let kept = harness.gateway.state_sizes();
         most.engines = most.engines.max(kept.engines);
         most.requests = most.requests.max(kept.requests);
         most.keys = most.keys.max(kept.keys);
@@ -67,10 +67,10 @@
         "{most:?}"
     );
     // All that waited has had its time.
-    bench.now = bench.now + ms(60_000);
-    let done = bench.all(vec![Event::Timer(TimerId(0))]);
-    end(&mut bench, done, &mut attempts);
-    let left = bench.gateway.state_sizes();
+    harness.now = harness.now + ms(60_000);
+    let done = harness.handle_all(vec![Event::Timer(TimerId(0))]);
+    end(&mut harness, done, &mut attempts);
+    let left = harness.gateway.state_sizes();
     assert_eq!((left.requests, left.queued_requests), (0, 0), "{left:?}");
     assert!(left.engines <= LISTED as usize, "{left:?}");
 }
@@ -79,7 +79,7 @@
 type Attempts = std::collections::HashMap<u64, u32>;
 
 /// Ends what was sent, one request in twenty each with an error, a time-out, a reset or a client that leaves.
-fn end(bench: &mut Bench, done: Vec<Action>, attempts: &mut Attempts) {
+fn end(harness: &mut Harness, done: Vec<Action>, attempts: &mut Attempts) {
     let mut sent: Vec<(u64, u32, u64)> = Vec::new();
     let mut actions = done;
     loop {
@@ -103,12 +103,18 @@
             2 => Outcome::Reset,
             3 => Outcome::ConnectFailed,
             4 => {
-                more = bench.all(vec![Event::ClientLeft(RequestId(id))]);
+                more = harness.handle_all(vec![Event::ClientLeft(RequestId(id))]);
                 Outcome::Cancelled
             }
             _ => Outcome::Ok,
         };
-        more.extend(bench.all(vec![ended(id, attempt, engine, how, how == Outcome::Ok)]));
+        more.extend(harness.handle_all(vec![attempt_ended(
+            id,
+            attempt,
+            engine,
+            how,
+            how == Outcome::Ok,
+        )]));
         actions = more;
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -58,77 +58,86 @@
     }
 }
 
-pub struct Bench {
+pub struct Harness {
     pub gateway: Gateway,
     pub now: Micros,
 }
 
 /// What a call returned, without timers, terms and log lines.
-pub type Done = Vec<Action>;
+pub type Actions = Vec<Action>;
 
-impl Bench {
-    pub fn new(settings: Settings) -> Bench {
-        Bench {
+impl Harness {
+    pub fn new(settings: Settings) -> Harness {
+        Harness {
             gateway: Gateway::new(settings, 1),
             now: ms(100_000),
         }
     }
 
-    pub fn with_engines(settings: Settings, engines: u64) -> Bench {
-        let mut bench = Bench::new(settings);
-        bench.list((1..=engines).map(engine).collect());
-        bench
+    pub fn with_engines(settings: Settings, engines: u64) -> Harness {
+        let mut harness = Harness::new(settings);
+        harness.set_engines((1..=engines).map(engine).collect());
+        harness
     }
 
-    pub fn all(&mut self, events: Vec<Event>) -> Vec<Action> {
+    pub fn handle_all(&mut self, events: Vec<Event>) -> Vec<Action> {
         self.gateway.handle(self.now, events)
     }
 
-    pub fn on(&mut self, event: Event) -> Done {
+    pub fn handle(&mut self, event: Event) -> Actions {
         let keeps = |action: &Action| {
             !matches!(
                 action,
                 Action::Timer { .. } | Action::AttemptResources { .. } | Action::Log(_)
             )
         };
-        self.all(vec![event]).into_iter().filter(keeps).collect()
+        self.handle_all(vec![event])
+            .into_iter()
+            .filter(keeps)
+            .collect()
     }
 
-    pub fn list(&mut self, engines: Vec<Engine>) -> Done {
-        self.on(Event::List {
+    pub fn set_engines(&mut self, engines: Vec<Engine>) -> Actions {
+        self.handle(Event::List {
             kind: ListKind::Complete,
             engines,
         })
     }
 
-    pub fn change(&mut self, engine: Engine) -> Done {
-        self.on(Event::List {
+    pub fn update_engine(&mut self, engine: Engine) -> Actions {
+        self.handle(Event::List {
             kind: ListKind::Changes,
             engines: vec![engine],
         })
     }
 
-    pub fn request(&mut self, id: u64, class: usize) -> Done {
-        self.on(Event::Request(query(id, class)))
+    pub fn submit(&mut self, id: u64, class: usize) -> Actions {
+        self.handle(Event::Request(query(id, class)))
     }
 
     /// Time passes in steps as short as the gateway's own timer.
-    pub fn wait(&mut self, millis: u64) -> Done {
-        let mut done = Done::new();
+    pub fn advance(&mut self, millis: u64) -> Actions {
+        let mut done = Actions::new();
         for _ in 0..millis.div_ceil(10) {
             self.now = self.now + ms(10);
-            done.extend(self.on(Event::Timer(TimerId(0))));
+            done.extend(self.handle(Event::Timer(TimerId(0))));
         }
         done
     }
 
-    pub fn ends(&mut self, id: u64, attempt: u32, engine: u64, outcome: Outcome) -> Done {
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, engine: u64, outcome: Outcome) -> Actions {
         let finished = outcome == Outcome::Ok;
-        self.on(ended(id, attempt, engine, outcome, finished))
+        self.handle(attempt_ended(id, attempt, engine, outcome, finished))
     }
 }
 
-pub fn ended(id: u64, attempt: u32, engine: u64, outcome: Outcome, finished: bool) -> Event {
+pub fn attempt_ended(
+    id: u64,
+    attempt: u32,
+    engine: u64,
+    outcome: Outcome,
+    finished: bool,
+) -> Event {
     Event::Ended(AttemptEnded {
         request: RequestId(id),
         attempt: AttemptNo(attempt),
@@ -173,12 +182,12 @@
     done.iter().filter_map(send).collect()
 }
 
-pub fn refused(done: &[Action], id: u64) -> bool {
+pub fn is_refused(done: &[Action], id: u64) -> bool {
     done.iter()
         .any(|action| matches!(action, Action::Refuse { request, .. } if request.0 == id))
 }
 
-pub fn failed(done: &[Action], id: u64) -> bool {
+pub fn is_failed(done: &[Action], id: u64) -> bool {
     done.contains(&Action::Fail {
         request: RequestId(id),
     })
--- a/tests/size.rs
+++ b/tests/many_gateways.rs
@@ -12,7 +12,7 @@
     }
 }
 
-fn sends(done: &Done) -> Vec<EngineId> {
+fn sends(done: &Actions) -> Vec<EngineId> {
     let engine = |action: &Action| match action {
         Action::Send { engine, .. } => Some(*engine),
         _ => None,
@@ -23,9 +23,9 @@
 /// Without this every gateway had one query on every engine, and nothing bound any of them.
 #[test]
 fn all_engines_together_bound_a_gateway_whose_part_of_each_is_under_one_query() {
-    let mut bench = Bench::with_engines(crowd(), 8);
+    let mut harness = Harness::with_engines(crowd(), 8);
     let sent: usize = (1..=8)
-        .map(|id| sends(&bench.request(id, LIGHT)).len())
+        .map(|id| sends(&harness.submit(id, LIGHT)).len())
         .sum();
     assert!((1..8).contains(&sent), "{sent} sent at once");
 }
@@ -57,8 +57,8 @@
         load_reports: LoadReportMode::InProbes,
         ..crowd()
     };
-    let mut bench = Bench::with_engines(asked, 8);
-    let done = bench.request(1, HEAVY);
+    let mut harness = Harness::with_engines(asked, 8);
+    let done = harness.submit(1, HEAVY);
     let probed = |action: &Action| match action {
         Action::Probe { engine } => Some(*engine),
         _ => None,
@@ -72,19 +72,19 @@
     let mut sent = Vec::new();
     for (engine, busy) in probed.iter().zip([1.0, 0.1, 1.0]) {
         let told = Event::Probed(*engine, Outcome::Ok, Some(report(busy)));
-        sent.extend(sends(&bench.on(told)));
+        sent.extend(sends(&harness.handle(told)));
     }
     assert_eq!(sent, [probed[1]]);
 }
 
 /// Requests whose answers take so long; where only a part of a query has room, some are not sent.
-fn answers(bench: &mut Bench, ids: std::ops::RangeInclusive<u64>, took: u64) {
+fn answers(harness: &mut Harness, ids: std::ops::RangeInclusive<u64>, took: u64) {
     for id in ids {
-        let Some(sent) = sends(&bench.request(id, LIGHT)).first().copied() else {
-            bench.on(Event::ClientLeft(RequestId(id)));
+        let Some(sent) = sends(&harness.submit(id, LIGHT)).first().copied() else {
+            harness.handle(Event::ClientLeft(RequestId(id)));
             continue;
         };
-        bench.on(Event::Ended(AttemptEnded {
+        harness.handle(Event::Ended(AttemptEnded {
             request: RequestId(id),
             attempt: AttemptNo(0),
             engine: sent,
@@ -101,31 +101,31 @@
 /// part that only grew filled every engine's memory many times over.
 #[test]
 fn a_gateways_part_grows_while_answers_are_quick_and_shrinks_when_they_tell_of_a_crowd() {
-    let mut bench = Bench::with_engines(crowd(), 8);
-    let burst = |bench: &mut Bench, first: u64| -> usize {
+    let mut harness = Harness::with_engines(crowd(), 8);
+    let burst = |harness: &mut Harness, first: u64| -> usize {
         let ids = first..first + 20;
         let count = ids
             .clone()
-            .map(|id| sends(&bench.request(id, LIGHT)).len())
+            .map(|id| sends(&harness.submit(id, LIGHT)).len())
             .sum();
         for id in ids {
-            bench.on(Event::ClientLeft(RequestId(id)));
-            bench.ends(id, 0, 1, Outcome::Cancelled);
+            harness.handle(Event::ClientLeft(RequestId(id)));
+            harness.end_attempt(id, 0, 1, Outcome::Cancelled);
         }
         count
     };
-    let first = burst(&mut bench, 1000);
-    answers(&mut bench, 1..=40, 500);
-    let crowded = burst(&mut bench, 2000);
-    bench.wait(5000);
-    answers(&mut bench, 41..=240, 60);
-    let quick = burst(&mut bench, 3000);
+    let first = burst(&mut harness, 1000);
+    answers(&mut harness, 1..=40, 500);
+    let crowded = burst(&mut harness, 2000);
+    harness.advance(5000);
+    answers(&mut harness, 41..=240, 60);
+    let quick = burst(&mut harness, 3000);
     // Light queries keep a whole part in a crowd, which is two here.
     assert!(quick > crowded, "{crowded}, then {quick}");
     assert!(crowded <= 2, "{crowded}: more than one part");
     // However long answers are quick: what all use at once in a burst, engines must bear.
-    answers(&mut bench, 241..=500, 60);
-    let long = burst(&mut bench, 4000);
+    answers(&mut harness, 241..=500, 60);
+    let long = burst(&mut harness, 4000);
     assert!(
         long <= first.max(4),
         "{first}, and {long} after a quiet time"
@@ -135,11 +135,11 @@
 /// Without this heavy queries out filled a gateway's part, and half of the look-ups were refused.
 #[test]
 fn heavy_queries_out_do_not_hold_up_light_ones() {
-    let mut bench = Bench::with_engines(crowd(), 8);
-    answers(&mut bench, 1..=3, 60);
-    let heavy = (10..20).map(|id| sends(&bench.request(id, HEAVY)).len());
+    let mut harness = Harness::with_engines(crowd(), 8);
+    answers(&mut harness, 1..=3, 60);
+    let heavy = (10..20).map(|id| sends(&harness.submit(id, HEAVY)).len());
     assert!((1..3).contains(&heavy.sum::<usize>()));
-    assert_eq!(sends(&bench.request(20, LIGHT)).len(), 1);
+    assert_eq!(sends(&harness.submit(20, LIGHT)).len(), 1);
 }
 
 /// Without this a line for memory, which costs no work, held the part at one, and heavy queries were refused.
@@ -150,10 +150,10 @@
             queues_for_memory: memory_line,
             ..crowd()
         };
-        let mut bench = Bench::with_engines(settings, 8);
-        answers(&mut bench, 1..=40, 500);
+        let mut harness = Harness::with_engines(settings, 8);
+        answers(&mut harness, 1..=40, 500);
         (100..120)
-            .map(|id| sends(&bench.request(id, LIGHT)).len())
+            .map(|id| sends(&harness.submit(id, LIGHT)).len())
             .sum::<usize>()
     };
     let (one, line) = (least(false), least(true));
@@ -168,18 +168,18 @@
             gateway_index: Some(me),
             ..settings.clone()
         };
-        let mut bench = Bench {
+        let mut harness = Harness {
             gateway: Gateway::new(settings, u64::from(me) + 1),
             now: ms(100_000),
         };
-        bench.list((1..=8).map(engine).collect());
-        answers(&mut bench, 100..=140, 60);
+        harness.set_engines((1..=8).map(engine).collect());
+        answers(&mut harness, 100..=140, 60);
         let big = |id| Query {
             memory_mb: 8.0 * 16_384.0 / 250.0 / 1.25,
             ..query(id, LIGHT)
         };
         (1..=200)
-            .map(|id| sends(&bench.on(Event::Request(big(id)))).len())
+            .map(|id| sends(&harness.handle(Event::Request(big(id)))).len())
             .sum::<usize>()
     };
     (0..settings.gateways).map(sent).sum::<usize>() as f64 / 250.0
@@ -204,25 +204,25 @@
 #[test]
 fn cold_engines_are_room_of_their_own_by_rights() {
     let sent = |cold: u64| {
-        let mut bench = Bench::with_engines(crowd(), 8);
-        answers(&mut bench, 100..=140, 60);
+        let mut harness = Harness::with_engines(crowd(), 8);
+        answers(&mut harness, 100..=140, 60);
         // What an earlier life of this gateway sent is over.
-        bench.wait(2500);
-        let started_at = bench.now;
+        harness.advance(2500);
+        let started_at = harness.now;
         for id in 1..=cold {
             let started = Engine {
                 started_at,
                 ..engine(id)
             };
-            bench.change(started);
+            harness.update_engine(started);
         }
-        let ask = |id| sends(&bench.request(id, LIGHT)).len();
+        let ask = |id| sends(&harness.submit(id, LIGHT)).len();
         let at_once = (1..=60).map(ask).sum::<usize>();
         // Nothing has ended: what goes out now goes by rights that open.
         let mut later = Vec::new();
         for id in 200..=260 {
-            later.extend(sends(&bench.wait(20)));
-            later.extend(sends(&bench.request(id, LIGHT)));
+            later.extend(sends(&harness.advance(20)));
+            later.extend(sends(&harness.submit(id, LIGHT)));
         }
         (at_once, later)
     };
@@ -250,13 +250,13 @@
         tenants: vec![share(0.9), share(0.1)],
         ..crowd()
     };
-    let mut bench = Bench::with_engines(settings, 1);
+    let mut harness = Harness::with_engines(settings, 1);
     let refused = (1..=20).flat_map(|id| {
         let query = Query {
             tenant: Some(TenantId(usize::from(id == 10))),
             ..query(id, HEAVY)
         };
-        bench.on(Event::Request(query))
+        harness.handle(Event::Request(query))
     });
     let refused = refused.filter_map(|action| match action {
         Action::Refuse { request, .. } => Some(request.0),
@@ -270,7 +270,7 @@
 #[test]
 fn answers_of_engines_that_have_just_started_are_no_crowd() {
     let sent = |started_at: Micros, seed: u64| {
-        let mut bench = Bench {
+        let mut harness = Harness {
             gateway: Gateway::new(crowd(), seed),
             now: ms(100_000),
         };
@@ -278,15 +278,15 @@
             started_at,
             ..engine(id)
         });
-        bench.list(engines.collect());
-        bench.wait(3000);
+        harness.set_engines(engines.collect());
+        harness.advance(3000);
         for id in 100..500 {
-            bench.wait(25);
-            answers(&mut bench, id..=id, 120);
+            harness.advance(25);
+            answers(&mut harness, id..=id, 120);
         }
         // What it has learned shows on engines that bound nothing by themselves.
-        bench.list((11..=18).map(engine).collect());
-        sends(&bench.request(1, HEAVY)).len()
+        harness.set_engines((11..=18).map(engine).collect());
+        sends(&harness.submit(1, HEAVY)).len()
     };
     let all = |started_at| (1..=40).map(|seed| sent(started_at, seed)).sum::<usize>();
     let (cold, warm) = (all(ms(100_000)), all(Micros(0)));
--- a/tests/priorities.rs
+++ b/tests/priorities.rs
@@ -15,22 +15,22 @@
 }
 
 /// A gateway that has been told so much load by all of its engines.
-fn bench_told(settings: Settings, load: LoadReport) -> Bench {
-    let mut bench = Bench::with_engines(settings, 8);
+fn bench_told(settings: Settings, load: LoadReport) -> Harness {
+    let mut harness = Harness::with_engines(settings, 8);
     for id in 1000..1016 {
-        if let Some(engine) = sent_to(&bench.request(id, LIGHT)) {
-            bench.ends(id, 0, engine, Outcome::Ok);
+        if let Some(engine) = sent_to(&harness.submit(id, LIGHT)) {
+            harness.end_attempt(id, 0, engine, Outcome::Ok);
         }
     }
     for engine in 1..=8 {
-        bench.on(Event::Probed(EngineId(engine), Outcome::Ok, Some(load)));
+        harness.handle(Event::Probed(EngineId(engine), Outcome::Ok, Some(load)));
     }
-    bench
+    harness
 }
 
 fn is_sent(settings: Settings, load: LoadReport, class: usize) -> bool {
-    let mut bench = bench_told(settings, load);
-    sent_to(&bench.request(1, class)).is_some()
+    let mut harness = bench_told(settings, load);
+    sent_to(&harness.submit(1, class)).is_some()
 }
 
 /// Every core has work: what goes ahead of it is still served at once.
--- a/tests/storm.rs
+++ b/tests/randomized_events.rs
@@ -390,7 +390,7 @@
                 taken.answered = true;
             }
             events.push(Event::ClientLeft(RequestId(id)));
-            events.push(ended(next + 99, 0, 1, Outcome::Ok, true));
+            events.push(attempt_ended(next + 99, 0, 1, Outcome::Ok, true));
             events.push(Event::ListFailed);
         }
         events.push(Event::Timer(TimerId(0)));
@@ -416,11 +416,11 @@
 
 #[test]
 fn gateways_side_by_side_share_nothing() {
-    let mut one = Bench::with_engines(settings(), 2);
-    let mut alone = Bench::with_engines(settings(), 2);
-    let mut other = Bench::with_engines(settings(), 2);
+    let mut one = Harness::with_engines(settings(), 2);
+    let mut alone = Harness::with_engines(settings(), 2);
+    let mut other = Harness::with_engines(settings(), 2);
     for id in 1..=30 {
-        other.request(id, HEAVY);
-        assert_eq!(one.request(id, LIGHT), alone.request(id, LIGHT));
+        other.submit(id, HEAVY);
+        assert_eq!(one.submit(id, LIGHT), alone.submit(id, LIGHT));
     }
 }
--- a/tests/retune.rs
+++ b/tests/reconfigure.rs
@@ -14,13 +14,13 @@
 
 /// How often a request is sent whose every attempt ends in an error, with other settings after the first.
 fn sends_in_all(before: Settings, after: Settings, class: usize) -> usize {
-    let mut bench = Bench::with_engines(before, 4);
-    let mut to = sent_to(&bench.request(1, class));
-    bench.gateway.reconfigure(after);
+    let mut harness = Harness::with_engines(before, 4);
+    let mut to = sent_to(&harness.submit(1, class));
+    harness.gateway.reconfigure(after);
     let mut count = 0;
     while let Some(engine) = to {
         count += 1;
-        to = sent_to(&bench.ends(1, count as u32 - 1, engine, Outcome::Error));
+        to = sent_to(&harness.end_attempt(1, count as u32 - 1, engine, Outcome::Error));
     }
     count
 }
@@ -51,17 +51,17 @@
     after.classes[LIGHT].retired = true;
     after.classes.push(once);
     assert_eq!(sends_in_all(settings(), after.clone(), LIGHT), 5);
-    let mut bench = Bench::with_engines(settings(), 4);
-    bench.gateway.reconfigure(after);
-    let to = sent_to(&bench.request(2, 3)).expect("the new class is served");
-    assert!(failed(&bench.ends(2, 0, to, Outcome::Error), 2));
+    let mut harness = Harness::with_engines(settings(), 4);
+    harness.gateway.reconfigure(after);
+    let to = sent_to(&harness.submit(2, 3)).expect("the new class is served");
+    assert!(is_failed(&harness.end_attempt(2, 0, to, Outcome::Error), 2));
 }
 
 #[test]
 fn what_waits_is_sent_and_answered_after_classes_and_tenants_have_come() {
-    let mut bench = Bench::new(settings());
+    let mut harness = Harness::new(settings());
     for (id, class) in [(1, LIGHT), (2, HEAVY), (3, LOAD)] {
-        assert_eq!(bench.request(id, class), vec![]);
+        assert_eq!(harness.submit(id, class), vec![]);
     }
     let mut after = settings();
     after.classes.push(class(5.0, 2.0, 1000, 5000));
@@ -70,44 +70,48 @@
         share: 1.0,
         requests_per_second: 0.0,
     }];
-    bench.gateway.reconfigure(after);
+    harness.gateway.reconfigure(after);
     let mut newcomer = query(4, 3);
     newcomer.tenant = Some(TenantId(0));
-    bench.on(Event::Request(newcomer));
-    let mut sent = sends(&bench.list((1..=4).map(engine).collect()));
+    harness.handle(Event::Request(newcomer));
+    let mut sent = sends(&harness.set_engines((1..=4).map(engine).collect()));
     sent.sort();
     assert_eq!(
         sent.iter().map(|(id, _)| *id).collect::<Vec<_>>(),
         [1, 2, 3, 4]
     );
     for (id, engine) in sent {
-        bench.ends(id, 0, engine, Outcome::Ok);
+        harness.end_attempt(id, 0, engine, Outcome::Ok);
     }
-    assert_eq!(bench.wait(20_000), vec![], "nothing is left of them");
+    assert_eq!(harness.advance(20_000), vec![], "nothing is left of them");
 }
 
 /// Guards against a load that is let go as none: its table group would stay held on its engine for ever.
 #[test]
 fn a_load_that_is_retired_lets_its_group_go() {
-    let mut bench = Bench::with_engines(settings(), 1);
+    let mut harness = Harness::with_engines(settings(), 1);
     let load = Query {
         table_group: TableGroupId(7),
         ..query(1, LOAD)
     };
-    assert_eq!(sent_to(&bench.on(Event::Request(load))), Some(1));
+    assert_eq!(sent_to(&harness.handle(Event::Request(load))), Some(1));
     let mut after = settings();
     after.classes[LOAD].retired = true;
     after.classes.push(Class {
         holds_group: true,
         ..class(15.0, 2.0, 3000, 25000)
     });
-    bench.gateway.reconfigure(after);
+    harness.gateway.reconfigure(after);
     let next = Query {
         table_group: TableGroupId(7),
         ..query(2, 3)
     };
-    assert_eq!(sent_to(&bench.on(Event::Request(next))), None, "it is held");
-    let done = bench.ends(1, 0, 1, Outcome::Ok);
+    assert_eq!(
+        sent_to(&harness.handle(Event::Request(next))),
+        None,
+        "it is held"
+    );
+    let done = harness.end_attempt(1, 0, 1, Outcome::Ok);
     assert_eq!(sends(&done), [(2, 1)]);
 }
 
@@ -132,18 +136,18 @@
         ..engine(1)
     };
     let sent = (0..100).filter(|me| {
-        let mut bench = Bench::new(of(1000, *me));
-        bench.now = begin;
-        bench.list(vec![cold.clone()]);
+        let mut harness = Harness::new(of(1000, *me));
+        harness.now = begin;
+        harness.set_engines(vec![cold.clone()]);
         // Rights grow as time passes; nobody asks.
         for _ in 0..100 {
-            bench.now = bench.now + ms(100);
-            bench.on(Event::Timer(TimerId(0)));
+            harness.now = harness.now + ms(100);
+            harness.handle(Event::Timer(TimerId(0)));
         }
-        bench.gateway.reconfigure(of(100, *me));
-        bench.now = bench.now + ms(10);
-        bench.on(Event::Timer(TimerId(0)));
-        sent_to(&bench.request(1, LIGHT)).is_some()
+        harness.gateway.reconfigure(of(100, *me));
+        harness.now = harness.now + ms(10);
+        harness.handle(Event::Timer(TimerId(0)));
+        sent_to(&harness.submit(1, LIGHT)).is_some()
     });
     let sent = sent.count();
     assert!(sent < 30, "{sent} of 100 at one moment");
