--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway under test: short calls for what happens, and a look at what it does.
+//! Harness for tests of a gateway: feeds it events, advances its time and reads its actions.
 #![allow(dead_code)]
 
 use sedgebeam_core::*;
@@ -11,18 +11,18 @@
     Micros::from_millis(millis)
 }
 
-pub fn class(worth: f64, threads: f64, on_time: u64, give_up: u64) -> Class {
+pub fn class(worth: f64, threads: f64, on_time_ms: u64, give_up_ms: u64) -> Class {
     Class {
         worth,
         threads,
-        on_time: ms(on_time),
-        give_up: ms(give_up),
+        on_time: ms(on_time_ms),
+        give_up: ms(give_up_ms),
         dedup_window: ms(5000),
         ..Class::default()
     }
 }
 
-/// A light and a heavy class that may be repeated, and loads that never may, in key order.
+/// A light and a heavy repeatable class, and loads, which run at most once and in key order.
 pub fn settings() -> Settings {
     let load = Class {
         effect: Effect::Once,
@@ -63,10 +63,11 @@
     pub now: Micros,
 }
 
-/// What a call returned, without timers, terms and log lines.
+/// Actions of a call, without timers, attempt resources and log lines.
 pub type Actions = Vec<Action>;
 
 impl Harness {
+    /// A gateway without engines.
     pub fn new(settings: Settings) -> Harness {
         Harness {
             gateway: Gateway::new(settings, 1),
@@ -74,18 +75,21 @@
         }
     }
 
+    /// A gateway with the engines 1 to `engines`.
     pub fn with_engines(settings: Settings, engines: u64) -> Harness {
         let mut harness = Harness::new(settings);
         harness.set_engines((1..=engines).map(engine).collect());
         harness
     }
 
+    /// Handles the events in one call and returns all actions.
     pub fn handle_all(&mut self, events: Vec<Event>) -> Vec<Action> {
         self.gateway.handle(self.now, events)
     }
 
+    /// Handles one event and returns its actions without timers, attempt resources and log lines.
     pub fn handle(&mut self, event: Event) -> Actions {
-        let keeps = |action: &Action| {
+        let is_kept = |action: &Action| {
             !matches!(
                 action,
                 Action::Timer { .. } | Action::AttemptResources { .. } | Action::Log(_)
@@ -93,10 +97,11 @@
         };
         self.handle_all(vec![event])
             .into_iter()
-            .filter(keeps)
+            .filter(is_kept)
             .collect()
     }
 
+    /// Delivers a complete engine list.
     pub fn set_engines(&mut self, engines: Vec<Engine>) -> Actions {
         self.handle(Event::List {
             kind: ListKind::Complete,
@@ -104,6 +109,7 @@
         })
     }
 
+    /// Delivers a changed entry of the engine list.
     pub fn update_engine(&mut self, engine: Engine) -> Actions {
         self.handle(Event::List {
             kind: ListKind::Changes,
@@ -115,28 +121,36 @@
         self.handle(Event::Request(query(id, class)))
     }
 
-    /// Time passes in steps as short as the gateway's own timer.
+    /// Advances the time in steps of 10 ms, the interval of the gateway's timer, with a timer event in each.
     pub fn advance(&mut self, millis: u64) -> Actions {
-        let mut done = Actions::new();
+        let mut actions = Actions::new();
         for _ in 0..millis.div_ceil(10) {
             self.now = self.now + ms(10);
-            done.extend(self.handle(Event::Timer(TimerId(0))));
+            actions.extend(self.handle(Event::Timer(TimerId(0))));
         }
-        done
+        actions
     }
 
+    /// Ends an attempt after 50 ms; the client has its answer if the outcome is `Ok`.
     pub fn end_attempt(&mut self, id: u64, attempt: u32, engine: u64, outcome: Outcome) -> Actions {
-        let finished = outcome == Outcome::Ok;
-        self.handle(attempt_ended(id, attempt, engine, outcome, finished))
+        let request_finished = outcome == Outcome::Ok;
+        self.handle(attempt_ended(
+            id,
+            attempt,
+            engine,
+            outcome,
+            request_finished,
+        ))
     }
 }
 
+/// The event that an attempt ended after 50 ms.
 pub fn attempt_ended(
     id: u64,
     attempt: u32,
     engine: u64,
     outcome: Outcome,
-    finished: bool,
+    request_finished: bool,
 ) -> Event {
     Event::Ended(AttemptEnded {
         request: RequestId(id),
@@ -144,12 +158,13 @@
         engine: EngineId(engine),
         outcome,
         elapsed: ms(50),
-        request_finished: finished,
+        request_finished,
         work: None,
         load_report: None,
     })
 }
 
+/// An engine that has been running for long, in zone 0 and of kind 0.
 pub fn engine(id: u64) -> Engine {
     Engine {
         kind: Some(KindId(0)),
@@ -158,6 +173,7 @@
     }
 }
 
+/// A query with 50 ms of work if it is light, else 4 s.
 pub fn query(id: u64, class: usize) -> Query {
     let remaining = if class == LIGHT { ms(1500) } else { ms(15000) };
     Query {
@@ -166,29 +182,30 @@
     }
 }
 
-/// The engine that the first send went to.
-pub fn sent_to(done: &[Action]) -> Option<u64> {
-    sends(done).first().map(|(_, engine)| *engine)
+/// The engine of the first send.
+pub fn sent_to(actions: &[Action]) -> Option<u64> {
+    sends(actions).first().map(|(_, engine)| *engine)
 }
 
 /// Request and engine of each send.
-pub fn sends(done: &[Action]) -> Vec<(u64, u64)> {
-    let send = |action: &Action| match action {
+pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
+    let send_target = |action: &Action| match action {
         Action::Send {
             request, engine, ..
         } => Some((request.0, engine.0)),
         _ => None,
     };
-    done.iter().filter_map(send).collect()
+    actions.iter().filter_map(send_target).collect()
 }
 
-pub fn is_refused(done: &[Action], id: u64) -> bool {
-    done.iter()
+pub fn is_refused(actions: &[Action], id: u64) -> bool {
+    actions
+        .iter()
         .any(|action| matches!(action, Action::Refuse { request, .. } if request.0 == id))
 }
 
-pub fn is_failed(done: &[Action], id: u64) -> bool {
-    done.contains(&Action::Fail {
+pub fn is_failed(actions: &[Action], id: u64) -> bool {
+    actions.contains(&Action::Fail {
         request: RequestId(id),
     })
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,23 +1,23 @@
-//! The seven rules, each from both sides.
+//! The seven invariants of a gateway, each with what it must allow and what it must prevent.
 
 mod common;
 
 use common::*;
 use sedgebeam_core::*;
 
-// 1. One final answer in time.
+// 1. Every request gets exactly one final answer in time.
 
 #[test]
-fn a_request_that_finds_no_engine_is_answered_within_its_wait() {
+fn a_request_without_an_engine_is_refused_within_its_wait_limit() {
     let mut harness = Harness::new(settings());
     assert_eq!(harness.submit(1, LIGHT), vec![]);
-    let done = harness.advance(300);
-    assert!(is_refused(&done, 1));
+    let actions = harness.advance(300);
+    assert!(is_refused(&actions, 1));
     assert_eq!(harness.advance(2000), vec![]);
 }
 
 #[test]
-fn a_time_out_at_the_deadline_is_answered_at_once() {
+fn a_timeout_at_the_deadline_is_refused_at_once() {
     let mut harness = Harness::with_engines(settings(), 1);
     assert_eq!(sent_to(&harness.submit(1, LIGHT)), Some(1));
     harness.now = harness.now + ms(1500);
@@ -30,15 +30,15 @@
 #[test]
 fn an_answer_ends_the_request_and_repeated_outcomes_are_ignored() {
     let mut harness = Harness::with_engines(settings(), 2);
-    let to = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
-    assert_eq!(harness.end_attempt(1, 0, to, Outcome::Ok), vec![]);
-    assert_eq!(harness.end_attempt(1, 0, to, Outcome::Reset), vec![]);
+    let target = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
+    assert_eq!(harness.end_attempt(1, 0, target, Outcome::Ok), vec![]);
+    assert_eq!(harness.end_attempt(1, 0, target, Outcome::Reset), vec![]);
     assert_eq!(harness.handle(Event::ClientLeft(RequestId(1))), vec![]);
     assert_eq!(harness.advance(2000), vec![]);
 }
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing_and_its_attempt_is_called_off() {
+fn a_request_whose_client_disconnects_is_cancelled_without_an_answer() {
     let mut harness = Harness::with_engines(settings(), 1);
     harness.submit(1, LIGHT);
     let cancel = Action::Cancel {
@@ -52,29 +52,33 @@
     assert_eq!(harness.end_attempt(1, 0, 1, Outcome::Cancelled), vec![]);
 }
 
-// 2. No effect twice.
+// 2. No request takes effect twice.
 
 #[test]
-fn once_after_each_outcome() {
-    let proves = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
-    for outcome in proves {
+fn an_at_most_once_request_is_retried_only_if_it_cannot_have_run() {
+    let not_run = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
+    for outcome in not_run {
         let mut harness = Harness::with_engines(settings(), 2);
-        let to = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
-        let done = harness.end_attempt(1, 0, to, outcome);
-        assert_ne!(sent_to(&done), None, "{outcome:?} proves that it never ran");
+        let target = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
+        let actions = harness.end_attempt(1, 0, target, outcome);
+        assert_ne!(
+            sent_to(&actions),
+            None,
+            "{outcome:?} proves that it never ran"
+        );
     }
-    let unsure = [
+    let may_have_run = [
         Outcome::Error,
         Outcome::TimedOut,
         Outcome::Reset,
         Outcome::Cancelled,
     ];
-    for outcome in unsure {
+    for outcome in may_have_run {
         let mut harness = Harness::with_engines(settings(), 2);
-        let to = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
-        let done = harness.end_attempt(1, 0, to, outcome);
+        let target = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
+        let actions = harness.end_attempt(1, 0, target, outcome);
         assert_eq!(
-            done,
+            actions,
             vec![Action::Fail {
                 request: RequestId(1)
             }],
@@ -82,79 +86,83 @@
         );
     }
     let mut harness = Harness::with_engines(settings(), 2);
-    let to = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
-    assert_eq!(harness.end_attempt(1, 0, to, Outcome::Ok), vec![]);
+    let target = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
+    assert_eq!(harness.end_attempt(1, 0, target, Outcome::Ok), vec![]);
 }
 
-/// Two zones of two cells each; engines 1 and 2 share zone and cell, 3 only the zone, 4 nothing.
-fn grouped(group: DedupScope) -> (Harness, u64) {
+/// Sends a keyed load to engine 1 or 4 and returns which; then lists engines 1 to 5. Engines 1 and 2 share a cell, 3 is
+/// in another cell of their zone; 4 and 5 share a cell of a second zone.
+fn harness_with_keyed_load(scope: DedupScope) -> (Harness, u64) {
     let mut settings = settings();
-    settings.classes[LOAD].effect = Effect::Keyed(group);
+    settings.classes[LOAD].effect = Effect::Keyed(scope);
     let mut harness = Harness::new(settings);
-    let place = |id: u64, zone, cell| Engine {
+    let located = |id: u64, zone, cell| Engine {
         zone: Some(ZoneId(zone)),
         cell: CellId(cell),
         ..engine(id)
     };
-    harness.set_engines(vec![place(1, 0, 1), place(4, 1, 3)]);
+    harness.set_engines(vec![located(1, 0, 1), located(4, 1, 3)]);
     let first = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
     harness.set_engines(vec![
-        place(1, 0, 1),
-        place(2, 0, 1),
-        place(3, 0, 2),
-        place(4, 1, 3),
-        place(5, 1, 3),
+        located(1, 0, 1),
+        located(2, 0, 1),
+        located(3, 0, 2),
+        located(4, 1, 3),
+        located(5, 1, 3),
     ]);
     (harness, first)
 }
 
 #[test]
-fn keyed_repeats_stay_within_their_group() {
-    for (group, allowed) in [
+fn keyed_retries_stay_within_their_dedup_scope() {
+    for (scope, allowed) in [
         (DedupScope::Cell, [[1, 2, 2], [4, 5, 5]]),
         (DedupScope::Zone, [[1, 2, 3], [4, 5, 5]]),
     ] {
-        let (mut harness, first) = grouped(group);
-        let done = harness.end_attempt(1, 0, first, Outcome::Error);
-        let again = sent_to(&done).expect("the group has another engine");
-        let own = allowed
+        let (mut harness, first) = harness_with_keyed_load(scope);
+        let actions = harness.end_attempt(1, 0, first, Outcome::Error);
+        let retry_target = sent_to(&actions).expect("the scope has another engine");
+        let scope_engines = allowed
             .iter()
             .find(|engines| engines.contains(&first))
             .expect("a known engine");
-        assert!(own.contains(&again), "{group:?}: {first} then {again}");
+        assert!(
+            scope_engines.contains(&retry_target),
+            "{scope:?}: {first}, then {retry_target}"
+        );
     }
-    let (mut harness, first) = grouped(DedupScope::All);
+    let (mut harness, first) = harness_with_keyed_load(DedupScope::All);
     assert!(sent_to(&harness.end_attempt(1, 0, first, Outcome::Error)).is_some());
 }
 
 #[test]
-fn keyed_repeats_stay_within_their_window() {
-    for (group, refusal) in [(DedupScope::All, true), (DedupScope::Cell, false)] {
-        let (mut harness, first) = grouped(group);
+fn keyed_retries_stay_within_their_dedup_window() {
+    for (scope, expects_refusal) in [(DedupScope::All, true), (DedupScope::Cell, false)] {
+        let (mut harness, first) = harness_with_keyed_load(scope);
         harness.now = harness.now + ms(5000);
-        let done = harness.end_attempt(1, 0, first, Outcome::Error);
-        assert_eq!(sent_to(&done), None);
+        let actions = harness.end_attempt(1, 0, first, Outcome::Error);
+        assert_eq!(sent_to(&actions), None);
         assert_eq!(
-            (is_refused(&done, 1), is_failed(&done, 1)),
-            (refusal, !refusal),
-            "{group:?}"
+            (is_refused(&actions, 1), is_failed(&actions, 1)),
+            (expects_refusal, !expects_refusal),
+            "{scope:?}"
         );
     }
 }
 
-/// A connection may take longer to come up than is left of the window: the repeat then may not begin at all. The window
-/// counts from the first attempt that may have run, and one too short for a send to arrive allows no repeat.
+/// Connecting may take longer than the rest of the deduplication window; the retry must then not start. The window
+/// begins with the first attempt that may have run, and a window too short for a send to arrive allows no retry.
 #[test]
-fn a_keyed_repeat_says_by_when_it_has_to_begin() {
-    let starts_by = |done: &[Action]| {
-        done.iter().find_map(|action| match action {
+fn a_keyed_retry_carries_the_time_by_which_it_must_start() {
+    let starts_by = |actions: &[Action]| {
+        actions.iter().find_map(|action| match action {
             Action::Send { starts_by, .. } => Some(*starts_by),
             _ => None,
         })
     };
     let mut settings = settings();
     settings.classes[LOAD].effect = Effect::Keyed(DedupScope::All);
-    for (window, repeated) in [
+    for (window, is_retried) in [
         (ms(5000), true),
         (ms(400), true),
         (ms(50), false),
@@ -166,37 +174,37 @@
         assert_eq!(
             starts_by(&first),
             Some(None),
-            "a first attempt has no such bound"
+            "a first attempt has no time limit for its start"
         );
-        let began = harness.now;
-        let to = sent_to(&first).expect("an engine is ready");
-        // That this one never ran leaves the window shut still; the next may have run, and opens it.
-        let again = harness.end_attempt(1, 0, to, Outcome::ConnectFailed);
-        assert_eq!(starts_by(&again), Some(None));
+        let first_sent_at = harness.now;
+        let target = sent_to(&first).expect("an engine is ready");
+        // This attempt never ran, so the window does not begin; it begins with the next one, which may have run.
+        let retry_actions = harness.end_attempt(1, 0, target, Outcome::ConnectFailed);
+        assert_eq!(starts_by(&retry_actions), Some(None));
         harness.now = harness.now + ms(100);
-        let to = sent_to(&again).expect("another engine");
-        let second = harness.end_attempt(1, 1, to, Outcome::Reset);
-        let by = repeated.then(|| began + window - ms(50));
-        assert_eq!(starts_by(&second), by.map(Some), "{window:?}");
+        let target = sent_to(&retry_actions).expect("another engine is ready");
+        let second = harness.end_attempt(1, 1, target, Outcome::Reset);
+        let latest_start = is_retried.then(|| first_sent_at + window - ms(50));
+        assert_eq!(starts_by(&second), latest_start.map(Some), "{window:?}");
     }
-    // What is safe to repeat has no window.
+    // A repeatable request has no window.
     let mut harness = Harness::with_engines(settings, 2);
-    let to = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
+    let target = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
     assert_eq!(
-        starts_by(&harness.end_attempt(1, 0, to, Outcome::Reset)),
+        starts_by(&harness.end_attempt(1, 0, target, Outcome::Reset)),
         Some(None)
     );
 }
 
 #[test]
-fn no_second_attempt_while_one_is_out() {
+fn no_second_attempt_while_one_is_in_flight() {
     let mut harness = Harness::with_engines(settings(), 3);
     harness.submit(1, HEAVY);
     assert_eq!(sends(&harness.advance(1000)), vec![]);
 }
 
 #[test]
-fn attempts_stop_at_their_limit() {
+fn attempts_stop_at_the_configured_limit() {
     let mut harness = Harness::with_engines(
         Settings {
             max_attempts: 2,
@@ -205,7 +213,8 @@
         3,
     );
     let first = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
-    let second = sent_to(&harness.end_attempt(1, 0, first, Outcome::Error)).expect("another try");
+    let second =
+        sent_to(&harness.end_attempt(1, 0, first, Outcome::Error)).expect("a retry is sent");
     assert_ne!(first, second);
     assert!(is_refused(
         &harness.end_attempt(1, 1, second, Outcome::Error),
@@ -213,10 +222,10 @@
     ));
 }
 
-// 3. Drains.
+// 3. Draining and removed engines get no new requests.
 
 #[test]
-fn nothing_new_goes_to_an_engine_that_drains_or_is_gone() {
+fn draining_and_removed_engines_get_no_new_requests() {
     for state in [EngineState::Draining, EngineState::Gone] {
         let mut harness = Harness::with_engines(settings(), 1);
         harness.update_engine(Engine { state, ..engine(1) });
@@ -226,7 +235,7 @@
 }
 
 #[test]
-fn absent_from_a_complete_list_means_gone_and_a_failed_list_changes_nothing() {
+fn an_engine_absent_from_a_complete_list_is_removed_and_a_failed_list_changes_nothing() {
     let mut harness = Harness::with_engines(settings(), 2);
     harness.set_engines(vec![engine(2)]);
     assert_eq!(sent_to(&harness.submit(1, LIGHT)), Some(2));
@@ -236,10 +245,10 @@
     assert_eq!(harness.submit(3, LIGHT), vec![]);
 }
 
-// 4. Cold engines.
+// 4. Cold engines are not overloaded.
 
 #[test]
-fn a_cold_engine_gets_its_part_and_no_more_in_a_window() {
+fn a_cold_engine_gets_at_most_the_gateways_share_of_its_capacity_in_a_window() {
     let mut harness = Harness::new(Settings {
         gateways: 2,
         ..settings()
@@ -252,26 +261,33 @@
     assert_eq!(
         harness.submit(1, LIGHT),
         vec![],
-        "an earlier life may have sent"
+        "an earlier process of this gateway may have sent requests"
     );
     harness.advance(2000);
     let mut sent = 0;
     for id in 10..500 {
-        let done = harness.submit(id, LIGHT);
-        sent += sends(&done).len();
-        if let Some(to) = sent_to(&done) {
-            harness.end_attempt(id, 0, to, Outcome::Ok);
+        let actions = harness.submit(id, LIGHT);
+        sent += sends(&actions).len();
+        if let Some(target) = sent_to(&actions) {
+            harness.end_attempt(id, 0, target, Outcome::Ok);
         }
     }
-    // Two times a third of 8 cores for 2 s are 10.5 core seconds for both gateways, 50 ms a query.
-    assert!(sent > 0 && sent as f64 * 0.05 <= 10.56 / 2.0, "{sent} sent");
+    // Twice a third of 8 cores during 2 s is 10.5 core seconds for both gateways; a query takes 50 ms.
+    assert!(
+        sent > 0 && sent as f64 * 0.05 <= 10.56 / 2.0,
+        "{sent} queries sent"
+    );
     harness.now = harness.now + ms(13_000);
-    assert_eq!(sent_to(&harness.submit(900, LIGHT)), Some(1), "warm");
+    assert_eq!(
+        sent_to(&harness.submit(900, LIGHT)),
+        Some(1),
+        "the engine is warm"
+    );
 }
 
-// 5. Order by key.
+// 5. Requests of one key run in order.
 
-fn keyed(id: u64) -> Event {
+fn load_with_key(id: u64) -> Event {
     Event::Request(Query {
         key: Some(Key(7)),
         ..query(id, LOAD)
@@ -279,30 +295,33 @@
 }
 
 #[test]
-fn one_key_runs_one_at_a_time_in_order() {
+fn requests_of_one_key_run_one_at_a_time_in_order() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let first = sent_to(&harness.handle(keyed(1))).expect("an engine is ready");
-    assert_eq!(harness.handle(keyed(2)), vec![]);
-    assert_eq!(harness.handle(keyed(3)), vec![]);
-    let other = Event::Request(Query {
+    let first = sent_to(&harness.handle(load_with_key(1))).expect("an engine is ready");
+    assert_eq!(harness.handle(load_with_key(2)), vec![]);
+    assert_eq!(harness.handle(load_with_key(3)), vec![]);
+    let other_key = Event::Request(Query {
         key: Some(Key(8)),
         table_group: TableGroupId(9),
         ..query(4, LOAD)
     });
     assert_eq!(
-        sends(&harness.handle(other)).len(),
+        sends(&harness.handle(other_key)).len(),
         1,
         "another key does not wait"
     );
-    let done = harness.end_attempt(1, 0, first, Outcome::Ok);
+    let actions = harness.end_attempt(1, 0, first, Outcome::Ok);
     assert_eq!(
-        sends(&done).iter().map(|(id, _)| *id).collect::<Vec<_>>(),
+        sends(&actions)
+            .iter()
+            .map(|(id, _)| *id)
+            .collect::<Vec<_>>(),
         vec![2]
     );
 }
 
 #[test]
-fn a_key_rests_after_an_attempt_that_may_still_run() {
+fn a_key_waits_for_its_quiet_period_after_an_attempt_that_may_still_run() {
     let mut harness = Harness::with_engines(
         Settings {
             key_quiet_period: ms(500),
@@ -310,8 +329,8 @@
         },
         3,
     );
-    let first = sent_to(&harness.handle(keyed(1))).expect("an engine is ready");
-    harness.handle(keyed(2));
+    let first = sent_to(&harness.handle(load_with_key(1))).expect("an engine is ready");
+    harness.handle(load_with_key(2));
     assert!(is_failed(
         &harness.end_attempt(1, 0, first, Outcome::Reset),
         1
@@ -320,10 +339,10 @@
     assert_eq!(sends(&harness.advance(40)).len(), 1);
 }
 
-// 6. Placement.
+// 6. Requests run only on the kinds and zones of their class.
 
 #[test]
-fn a_bound_class_goes_only_to_its_kinds_and_zones() {
+fn a_restricted_class_goes_only_to_its_kinds_and_zones() {
     let mut settings = settings();
     settings.kinds.push(Kind {
         cores: 8.0,
@@ -334,28 +353,28 @@
     let mut harness = Harness::with_engines(settings, 3);
     assert_eq!(harness.submit(1, HEAVY), vec![]);
     assert_eq!(harness.submit(2, LOAD), vec![]);
-    let done = harness.update_engine(Engine {
+    let actions = harness.update_engine(Engine {
         kind: Some(KindId(1)),
         ..engine(4)
     });
-    assert_eq!(sends(&done), vec![(1, 4)]);
-    let again = harness.end_attempt(1, 0, 4, Outcome::ConnectFailed);
+    assert_eq!(sends(&actions), vec![(1, 4)]);
+    let retry_actions = harness.end_attempt(1, 0, 4, Outcome::ConnectFailed);
     assert_eq!(
-        sent_to(&again),
+        sent_to(&retry_actions),
         Some(4),
-        "the only one of its kind, even when it refuses"
+        "the only engine of its kind, even after it refused a connection"
     );
-    let done = harness.update_engine(Engine {
+    let actions = harness.update_engine(Engine {
         zone: Some(ZoneId(3)),
         ..engine(5)
     });
-    assert_eq!(sends(&done), vec![(2, 5)]);
+    assert_eq!(sends(&actions), vec![(2, 5)]);
 }
 
-// 7. Attempt budget.
+// 7. Retries stay within the attempt budget.
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
+fn retries_stay_within_the_attempt_budget() {
     let budget = AttemptBudget {
         window: ms(10_000),
         free_attempts: 1.0,
@@ -368,19 +387,19 @@
         },
         4,
     );
-    let mut further = 0;
+    let mut retries = 0;
     for id in 1..=4 {
-        let to = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
-        if sent_to(&harness.end_attempt(id, 0, to, Outcome::Error)).is_some() {
-            further += 1;
+        let target = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
+        if sent_to(&harness.end_attempt(id, 0, target, Outcome::Error)).is_some() {
+            retries += 1;
         }
     }
-    // After 1, 2, 3, 4 requests: 1.5, 2, 2.5, 3 further attempts are allowed.
-    assert_eq!(further, 3);
+    // After 1, 2, 3 and 4 requests, 1.5, 2, 2.5 and 3 retries are allowed.
+    assert_eq!(retries, 3);
     harness.now = harness.now + ms(10_001);
-    let to = sent_to(&harness.submit(9, LIGHT)).expect("an engine is ready");
+    let target = sent_to(&harness.submit(9, LIGHT)).expect("an engine is ready");
     assert!(
-        sent_to(&harness.end_attempt(9, 0, to, Outcome::Error)).is_some(),
-        "the window has passed"
+        sent_to(&harness.end_attempt(9, 0, target, Outcome::Error)).is_some(),
+        "the budget's window has passed"
     );
 }
