--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -1,86 +1,97 @@
-//! Many gateways on each engine: a gateway's own part is under one query.
+//! One of many gateways on shared engines: its share of an engine is less than one query, so that it is limited by its
+//! share of the whole fleet.
 
 mod common;
 use common::*;
 use sedgebeam_core::*;
 
-/// Eight engines of 8 cores for 64 gateways: this one's part of all is two threads.
-fn crowd() -> Settings {
+/// 64 gateways. With eight engines of 8 cores, a gateway's share of the fleet is two threads.
+fn many_gateways() -> Settings {
     Settings {
         gateways: 64,
         ..settings()
     }
 }
 
-fn sends(done: &Actions) -> Vec<EngineId> {
+/// The engine of each send.
+fn targets(actions: &Actions) -> Vec<EngineId> {
     let engine = |action: &Action| match action {
         Action::Send { engine, .. } => Some(*engine),
         _ => None,
     };
-    done.iter().filter_map(engine).collect()
+    actions.iter().filter_map(engine).collect()
 }
 
-/// Without this every gateway had one query on every engine, and nothing bound any of them.
+/// Guards against a gateway that may always have one query on every engine: the gateways together then had no limit.
 #[test]
-fn all_engines_together_bound_a_gateway_whose_part_of_each_is_under_one_query() {
-    let mut harness = Harness::with_engines(crowd(), 8);
+fn a_gateway_is_limited_by_its_share_of_the_fleet_if_its_share_of_an_engine_is_under_one_query() {
+    let mut harness = Harness::with_engines(many_gateways(), 8);
     let sent: usize = (1..=8)
-        .map(|id| sends(&harness.submit(id, LIGHT)).len())
+        .map(|id| targets(&harness.submit(id, LIGHT)).len())
         .sum();
-    assert!((1..8).contains(&sent), "{sent} sent at once");
+    assert!((1..8).contains(&sent), "{sent} queries sent at once");
 }
 
-/// Without this a hot table group drew the herd of all gateways to the first engine of one order.
+/// Guards against a common engine order of a table group: all gateways then sent a hot group to the same engine.
 #[test]
-fn gateways_start_the_order_of_one_table_group_at_different_engines() {
-    let first = |seed| {
-        let mut gateway = Gateway::new(crowd(), seed);
+fn gateways_prefer_different_engines_for_the_same_table_group() {
+    let preferred = |seed| {
+        let mut gateway = Gateway::new(many_gateways(), seed);
         let engines = (1..=8).map(engine).collect();
         let kind = ListKind::Complete;
         gateway.handle(ms(100_000), vec![Event::List { kind, engines }]);
         let request = Event::Request(query(1, LIGHT));
-        let done = gateway.handle(ms(100_000), vec![request]);
-        sends(&done).first().copied()
+        let actions = gateway.handle(ms(100_000), vec![request]);
+        targets(&actions).first().copied()
     };
-    let mut firsts: Vec<_> = (0..20).map(first).collect();
-    assert_eq!(firsts, (0..20).map(first).collect::<Vec<_>>());
-    firsts.sort();
-    firsts.dedup();
-    assert!(firsts.len() > 1 && !firsts.contains(&None), "{firsts:?}");
+    let mut preferred_engines: Vec<_> = (0..20).map(preferred).collect();
+    assert_eq!(
+        preferred_engines,
+        (0..20).map(preferred).collect::<Vec<_>>()
+    );
+    preferred_engines.sort();
+    preferred_engines.dedup();
+    assert!(
+        preferred_engines.len() > 1 && !preferred_engines.contains(&None),
+        "{preferred_engines:?}"
+    );
 }
 
-/// A heavy query asks a few engines for their load, waits for what they say, and leaves out a full one.
+/// Before a heavy query is sent, a few engines are probed for their load; full ones are skipped.
 #[test]
-fn a_heavy_query_goes_by_what_the_asked_engines_say() {
-    let asked = Settings {
+fn a_heavy_query_goes_to_a_probed_engine_with_low_reported_load() {
+    let settings = Settings {
         may_probe: true,
         load_reports: LoadReportMode::InProbes,
-        ..crowd()
+        ..many_gateways()
     };
-    let mut harness = Harness::with_engines(asked, 8);
-    let done = harness.submit(1, HEAVY);
-    let probed = |action: &Action| match action {
+    let mut harness = Harness::with_engines(settings, 8);
+    let actions = harness.submit(1, HEAVY);
+    let probe_target = |action: &Action| match action {
         Action::Probe { engine } => Some(*engine),
         _ => None,
     };
-    let probed: Vec<EngineId> = done.iter().filter_map(probed).collect();
-    assert!(sends(&done).is_empty() && probed.len() == 3, "{done:?}");
-    let report = |busy| LoadReport {
-        busy_cores_share: Some(busy),
+    let probed: Vec<EngineId> = actions.iter().filter_map(probe_target).collect();
+    assert!(
+        targets(&actions).is_empty() && probed.len() == 3,
+        "{actions:?}"
+    );
+    let report = |busy_share| LoadReport {
+        busy_cores_share: Some(busy_share),
         ..LoadReport::default()
     };
     let mut sent = Vec::new();
-    for (engine, busy) in probed.iter().zip([1.0, 0.1, 1.0]) {
-        let told = Event::Probed(*engine, Outcome::Ok, Some(report(busy)));
-        sent.extend(sends(&harness.handle(told)));
+    for (engine, busy_share) in probed.iter().zip([1.0, 0.1, 1.0]) {
+        let reply = Event::Probed(*engine, Outcome::Ok, Some(report(busy_share)));
+        sent.extend(targets(&harness.handle(reply)));
     }
     assert_eq!(sent, [probed[1]]);
 }
 
-/// Requests whose answers take so long; where only a part of a query has room, some are not sent.
-fn answers(harness: &mut Harness, ids: std::ops::RangeInclusive<u64>, took: u64) {
+/// Submits requests and answers each one after `elapsed_ms`. Clients of requests that are not sent at once give up.
+fn answer_requests(harness: &mut Harness, ids: std::ops::RangeInclusive<u64>, elapsed_ms: u64) {
     for id in ids {
-        let Some(sent) = sends(&harness.submit(id, LIGHT)).first().copied() else {
+        let Some(sent) = targets(&harness.submit(id, LIGHT)).first().copied() else {
             harness.handle(Event::ClientLeft(RequestId(id)));
             continue;
         };
@@ -89,7 +100,7 @@
             attempt: AttemptNo(0),
             engine: sent,
             outcome: Outcome::Ok,
-            elapsed: ms(took),
+            elapsed: ms(elapsed_ms),
             request_finished: true,
             work: Some(ms(50)),
             load_report: None,
@@ -97,16 +108,16 @@
     }
 }
 
-/// Without this a fixed part refused chance bursts at single gateways while all engines ran alone, and a
-/// part that only grew filled every engine's memory many times over.
+/// Guards against a fixed limit, which refused random bursts at single gateways while engines were idle, and against a
+/// limit that only grew, which overcommitted every engine's memory many times over.
 #[test]
-fn a_gateways_part_grows_while_answers_are_quick_and_shrinks_when_they_tell_of_a_crowd() {
-    let mut harness = Harness::with_engines(crowd(), 8);
-    let burst = |harness: &mut Harness, first: u64| -> usize {
-        let ids = first..first + 20;
+fn the_concurrency_limit_grows_while_answers_are_quick_and_shrinks_when_they_indicate_congestion() {
+    let mut harness = Harness::with_engines(many_gateways(), 8);
+    let burst = |harness: &mut Harness, first_id: u64| -> usize {
+        let ids = first_id..first_id + 20;
         let count = ids
             .clone()
-            .map(|id| sends(&harness.submit(id, LIGHT)).len())
+            .map(|id| targets(&harness.submit(id, LIGHT)).len())
             .sum();
         for id in ids {
             harness.handle(Event::ClientLeft(RequestId(id)));
@@ -114,151 +125,172 @@
         }
         count
     };
-    let first = burst(&mut harness, 1000);
-    answers(&mut harness, 1..=40, 500);
-    let crowded = burst(&mut harness, 2000);
+    let initial = burst(&mut harness, 1000);
+    answer_requests(&mut harness, 1..=40, 500);
+    let congested = burst(&mut harness, 2000);
     harness.advance(5000);
-    answers(&mut harness, 41..=240, 60);
+    answer_requests(&mut harness, 41..=240, 60);
     let quick = burst(&mut harness, 3000);
-    // Light queries keep a whole part in a crowd, which is two here.
-    assert!(quick > crowded, "{crowded}, then {quick}");
-    assert!(crowded <= 2, "{crowded}: more than one part");
-    // However long answers are quick: what all use at once in a burst, engines must bear.
-    answers(&mut harness, 241..=500, 60);
-    let long = burst(&mut harness, 4000);
+    // Light queries may use the full share of the fleet, two threads here, even during congestion.
+    assert!(
+        quick > congested,
+        "{congested} during congestion, then {quick}"
+    );
     assert!(
-        long <= first.max(4),
-        "{first}, and {long} after a quiet time"
+        congested <= 2,
+        "{congested}: more than the share of the fleet"
+    );
+    // The limit stays bounded however long answers are quick: engines must bear a burst of all gateways at once.
+    answer_requests(&mut harness, 241..=500, 60);
+    let after_long_calm = burst(&mut harness, 4000);
+    assert!(
+        after_long_calm <= initial.max(4),
+        "{initial} at first, {after_long_calm} after a long time of quick answers"
     );
 }
 
-/// Without this heavy queries out filled a gateway's part, and half of the look-ups were refused.
+/// Guards against counting heavy queries in flight against light ones: half of the look-ups were then refused.
 #[test]
-fn heavy_queries_out_do_not_hold_up_light_ones() {
-    let mut harness = Harness::with_engines(crowd(), 8);
-    answers(&mut harness, 1..=3, 60);
-    let heavy = (10..20).map(|id| sends(&harness.submit(id, HEAVY)).len());
-    assert!((1..3).contains(&heavy.sum::<usize>()));
-    assert_eq!(sends(&harness.submit(20, LIGHT)).len(), 1);
+fn heavy_queries_in_flight_do_not_delay_light_ones() {
+    let mut harness = Harness::with_engines(many_gateways(), 8);
+    answer_requests(&mut harness, 1..=3, 60);
+    let heavy_sends = (10..20).map(|id| targets(&harness.submit(id, HEAVY)).len());
+    assert!((1..3).contains(&heavy_sends.sum::<usize>()));
+    assert_eq!(targets(&harness.submit(20, LIGHT)).len(), 1);
 }
 
-/// Without this a line for memory, which costs no work, held the part at one, and heavy queries were refused.
+/// Guards against taking the queue for memory, which costs an engine no work, for congestion: the concurrency limit then
+/// stayed at one share, and heavy queries were refused.
 #[test]
-fn a_part_does_not_fall_under_two_where_engines_keep_a_line_for_memory() {
-    let least = |memory_line| {
+fn the_concurrency_limit_stays_at_two_shares_or_more_if_engines_queue_for_memory() {
+    let sent_after_slow_answers = |queues_for_memory| {
         let settings = Settings {
-            queues_for_memory: memory_line,
-            ..crowd()
+            queues_for_memory,
+            ..many_gateways()
         };
         let mut harness = Harness::with_engines(settings, 8);
-        answers(&mut harness, 1..=40, 500);
+        answer_requests(&mut harness, 1..=40, 500);
         (100..120)
-            .map(|id| sends(&harness.submit(id, LIGHT)).len())
+            .map(|id| targets(&harness.submit(id, LIGHT)).len())
             .sum::<usize>()
     };
-    let (one, line) = (least(false), least(true));
-    assert!(line >= 2 * one, "{one} and {line}");
+    let (without_queue, with_queue) = (
+        sent_after_slow_answers(false),
+        sent_after_slow_answers(true),
+    );
+    assert!(
+        with_queue >= 2 * without_queue,
+        "{without_queue} without a queue for memory, {with_queue} with one"
+    );
 }
 
-/// Memory that all gateways together have out, in parts of the engines' memory, when each is asked for so much
-/// more than it may have after quick answers; each query is taken to need a 250th of it.
-fn memory_out(settings: &Settings) -> f64 {
-    let sent = |me: u32| {
+/// Share of the fleet's memory that all gateways together have in flight after quick answers, when each gets far more
+/// requests than it may send. Each query is counted as one 250th of that memory.
+fn memory_share_in_flight(settings: &Settings) -> f64 {
+    let sent = |gateway_index: u32| {
         let settings = Settings {
-            gateway_index: Some(me),
+            gateway_index: Some(gateway_index),
             ..settings.clone()
         };
         let mut harness = Harness {
-            gateway: Gateway::new(settings, u64::from(me) + 1),
+            gateway: Gateway::new(settings, u64::from(gateway_index) + 1),
             now: ms(100_000),
         };
         harness.set_engines((1..=8).map(engine).collect());
-        answers(&mut harness, 100..=140, 60);
-        let big = |id| Query {
+        answer_requests(&mut harness, 100..=140, 60);
+        let large_query = |id| Query {
             memory_mb: 8.0 * 16_384.0 / 250.0 / 1.25,
             ..query(id, LIGHT)
         };
         (1..=200)
-            .map(|id| sends(&harness.handle(Event::Request(big(id)))).len())
+            .map(|id| targets(&harness.handle(Event::Request(large_query(id)))).len())
             .sum::<usize>()
     };
     (0..settings.gateways).map(sent).sum::<usize>() as f64 / 250.0
 }
 
-/// Without a bound that holds whatever answers told before, a burst filled all engines at once; with one query
-/// always, hundreds of gateways held more than the engines have. A part may be half a query, or many.
+/// Guards against two faults: without a limit that holds however quick earlier answers were, a burst filled the memory of
+/// all engines at once; with one query always allowed, hundreds of gateways used more memory than the engines have. With
+/// 300 gateways a gateway's share is less than one query, with 64 it is several.
 #[test]
-fn where_engines_page_all_gateways_together_keep_to_a_part_of_the_memory() {
+fn all_gateways_together_use_a_limited_share_of_the_memory_if_engines_page() {
     for gateways in [64, 300] {
         let settings = Settings {
             gateways,
-            ..crowd()
+            ..many_gateways()
         };
-        let out = memory_out(&settings);
-        assert!((0.6..0.9).contains(&out), "{gateways} gateways: {out}");
+        let memory_share = memory_share_in_flight(&settings);
+        assert!(
+            (0.6..0.9).contains(&memory_share),
+            "{gateways} gateways: {memory_share}"
+        );
     }
 }
 
-/// Without this what waited for cold engines came on top of warm ones, and what was out on warm ones kept rights on cold
-/// engines from being used: six in ten engines were new, and got a seventh of what they could do.
+/// Guards against two faults: a gateway's share of cold engines was used on warm ones, on top of their own share, and
+/// requests in flight on warm engines kept admission tokens from being used. With six of ten engines cold, these got a
+/// seventh of the work that they could do.
 #[test]
-fn cold_engines_are_room_of_their_own_by_rights() {
-    let sent = |cold: u64| {
-        let mut harness = Harness::with_engines(crowd(), 8);
-        answers(&mut harness, 100..=140, 60);
-        // What an earlier life of this gateway sent is over.
+fn cold_engines_are_limited_by_admission_tokens_apart_from_warm_ones() {
+    let sent = |cold_engines: u64| {
+        let mut harness = Harness::with_engines(many_gateways(), 8);
+        answer_requests(&mut harness, 100..=140, 60);
+        // In the first overload window, sends of an earlier process of this gateway are unknown.
         harness.advance(2500);
         let started_at = harness.now;
-        for id in 1..=cold {
-            let started = Engine {
+        for id in 1..=cold_engines {
+            let cold_engine = Engine {
                 started_at,
                 ..engine(id)
             };
-            harness.update_engine(started);
+            harness.update_engine(cold_engine);
         }
-        let ask = |id| sends(&harness.submit(id, LIGHT)).len();
-        let at_once = (1..=60).map(ask).sum::<usize>();
-        // Nothing has ended: what goes out now goes by rights that open.
+        let submit = |id| targets(&harness.submit(id, LIGHT)).len();
+        let at_once = (1..=60).map(submit).sum::<usize>();
+        // No attempt ends, so that all further sends need new admission tokens.
         let mut later = Vec::new();
         for id in 200..=260 {
-            later.extend(sends(&harness.advance(20)));
-            later.extend(sends(&harness.submit(id, LIGHT)));
+            later.extend(targets(&harness.advance(20)));
+            later.extend(targets(&harness.submit(id, LIGHT)));
         }
         (at_once, later)
     };
-    let ((all, none), (few, by_rights)) = (sent(0), sent(6));
+    let ((sent_to_warm, later_to_warm), (sent_with_6_cold, later_by_tokens)) = (sent(0), sent(6));
+    assert!(
+        sent_with_6_cold > 0 && sent_with_6_cold * 2 < sent_to_warm,
+        "{sent_with_6_cold} with 6 of 8 engines cold, {sent_to_warm} with none"
+    );
     assert!(
-        few > 0 && few * 2 < all,
-        "{few} with 6 of 8 cold, else {all}"
+        later_to_warm.is_empty(),
+        "the share of the fleet is in use: {later_to_warm:?}"
     );
-    assert!(none.is_empty(), "its room is full: {none:?}");
-    let cold = |engine: &EngineId| engine.0 <= 6;
+    let is_cold = |engine: &EngineId| engine.0 <= 6;
     assert!(
-        !by_rights.is_empty() && by_rights.iter().all(cold),
-        "{by_rights:?}"
+        !later_by_tokens.is_empty() && later_by_tokens.iter().all(is_cold),
+        "{later_by_tokens:?}"
     );
 }
 
-/// Without this the only request of a tenant with a small share was the one turned away, whoever else waited.
+/// Guards against refusing the only queued request of a tenant with a small share while another tenant has many.
 #[test]
-fn one_waiting_request_of_a_small_tenant_is_not_beyond_its_share() {
-    let share = |share| Tenant {
+fn one_queued_request_of_a_small_tenant_does_not_exceed_its_share() {
+    let tenant = |share| Tenant {
         share,
         ..Tenant::default()
     };
     let settings = Settings {
-        tenants: vec![share(0.9), share(0.1)],
-        ..crowd()
+        tenants: vec![tenant(0.9), tenant(0.1)],
+        ..many_gateways()
     };
     let mut harness = Harness::with_engines(settings, 1);
-    let refused = (1..=20).flat_map(|id| {
+    let actions = (1..=20).flat_map(|id| {
         let query = Query {
             tenant: Some(TenantId(usize::from(id == 10))),
             ..query(id, HEAVY)
         };
         harness.handle(Event::Request(query))
     });
-    let refused = refused.filter_map(|action| match action {
+    let refused = actions.filter_map(|action| match action {
         Action::Refuse { request, .. } => Some(request.0),
         _ => None,
     });
@@ -266,12 +298,13 @@
     assert!(refused.len() > 5 && !refused.contains(&10), "{refused:?}");
 }
 
-/// Without this a gateway that used cold engines took their slowness for a crowd, and its part shrank.
+/// Guards against taking the slowness of cold engines for congestion, which lowered the concurrency limit of gateways
+/// that used them.
 #[test]
-fn answers_of_engines_that_have_just_started_are_no_crowd() {
+fn slow_answers_of_cold_engines_do_not_indicate_congestion() {
     let sent = |started_at: Micros, seed: u64| {
         let mut harness = Harness {
-            gateway: Gateway::new(crowd(), seed),
+            gateway: Gateway::new(many_gateways(), seed),
             now: ms(100_000),
         };
         let engines = (1..=8).map(|id| Engine {
@@ -282,16 +315,16 @@
         harness.advance(3000);
         for id in 100..500 {
             harness.advance(25);
-            answers(&mut harness, id..=id, 120);
+            answer_requests(&mut harness, id..=id, 120);
         }
-        // What it has learned shows on engines that bound nothing by themselves.
+        // New engines have no limit of their own yet, so that the learned limit of the gateway shows.
         harness.set_engines((11..=18).map(engine).collect());
-        sends(&harness.submit(1, HEAVY)).len()
+        targets(&harness.submit(1, HEAVY)).len()
     };
-    let all = |started_at| (1..=40).map(|seed| sent(started_at, seed)).sum::<usize>();
-    let (cold, warm) = (all(ms(100_000)), all(Micros(0)));
+    let total_sent = |started_at| (1..=40).map(|seed| sent(started_at, seed)).sum::<usize>();
+    let (cold, warm) = (total_sent(ms(100_000)), total_sent(Micros(0)));
     assert!(
         cold >= 2 * warm,
-        "{cold} after cold engines, {warm} after warm ones"
+        "{cold} sent after cold engines, {warm} after warm ones"
     );
 }
