--- a/tests/health.rs
+++ b/tests/health.rs
@@ -1,39 +1,39 @@
-//! Engine health and further attempts.
+//! Engine health: ejection of failing engines, cancellation of lost attempts and retries on other engines.
 
 mod common;
 
 use common::*;
 use sedgebeam_core::*;
 
-/// Sends single queries and returns to which engines they went; each is answered at once.
-fn probe(harness: &mut Harness, from: u64, count: u64) -> Vec<u64> {
-    let mut seen = Vec::new();
-    for id in from..from + count {
+/// Submits queries one at a time, each answered at once; returns the engines that they were sent to.
+fn answered_targets(harness: &mut Harness, first_id: u64, count: u64) -> Vec<u64> {
+    let mut targets = Vec::new();
+    for id in first_id..first_id + count {
         let query = Query {
             table_group: TableGroupId(id),
             ..query(id, LIGHT)
         };
-        let to = sent_to(&harness.handle(Event::Request(query))).expect("an engine is ready");
-        harness.end_attempt(id, 0, to, Outcome::Ok);
-        seen.push(to);
+        let target = sent_to(&harness.handle(Event::Request(query))).expect("an engine is ready");
+        harness.end_attempt(id, 0, target, Outcome::Ok);
+        targets.push(target);
     }
-    seen
+    targets
 }
 
 #[test]
-fn a_broken_engine_is_set_aside_and_let_back_by_a_trial() {
+fn a_failing_engine_is_ejected_and_returns_after_a_trial() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let first = fails_twice(&mut harness, Outcome::Reset);
-    assert!(!probe(&mut harness, 10, 60).contains(&first));
+    let failing = fail_twice(&mut harness, Outcome::Reset);
+    assert!(!answered_targets(&mut harness, 10, 60).contains(&failing));
     harness.advance(1100);
     assert!(
-        probe(&mut harness, 100, 60).contains(&first),
-        "a trial after its rest"
+        answered_targets(&mut harness, 100, 60).contains(&failing),
+        "a trial follows the ejection"
     );
 }
 
 #[test]
-fn trouble_common_to_all_sets_none_aside_for_good() {
+fn failures_of_all_engines_do_not_eject_them_all() {
     let mut harness = Harness::with_engines(settings(), 3);
     for id in 1..=12 {
         harness.submit(id, LIGHT);
@@ -45,27 +45,32 @@
     }
     assert!(
         sent_to(&harness.submit(50, LIGHT)).is_some(),
-        "the last eligible ones stay"
+        "the last eligible engines stay in use"
     );
 }
 
 #[test]
-fn a_silent_engine_gets_nothing_new_and_its_repeatable_queries_go_elsewhere() {
+fn a_silent_engine_gets_no_new_queries_and_its_repeatable_ones_go_to_another_engine() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let hung = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
-    let done = harness.advance(2600);
+    let silent = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
+    let actions = harness.advance(2600);
     let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
     };
-    assert_eq!(done, vec![cancel], "well before its time-out of 15 s");
-    let again = sent_to(&harness.end_attempt(1, 0, hung, Outcome::Cancelled)).expect("another try");
-    assert_ne!(again, hung);
-    assert!(!probe(&mut harness, 10, 60).contains(&hung));
+    assert_eq!(
+        actions,
+        vec![cancel],
+        "it is cancelled well before its timeout of 15 s"
+    );
+    let retry_target =
+        sent_to(&harness.end_attempt(1, 0, silent, Outcome::Cancelled)).expect("a retry is sent");
+    assert_ne!(retry_target, silent);
+    assert!(!answered_targets(&mut harness, 10, 60).contains(&silent));
 }
 
 #[test]
-fn notes_keep_an_engine_from_counting_as_silent() {
+fn an_engine_that_sends_notes_does_not_count_as_silent() {
     let mut harness = Harness::with_engines(settings(), 3);
     harness.submit(1, HEAVY);
     for step in 1..=5 {
@@ -79,11 +84,11 @@
 }
 
 #[test]
-fn a_bad_plan_is_called_off_and_tried_elsewhere_but_a_load_is_not() {
+fn a_query_with_a_bad_plan_is_cancelled_but_a_load_is_not() {
     let mut harness = Harness::with_engines(settings(), 3);
     for (id, class) in [(1, HEAVY), (2, LOAD)] {
-        let to = sent_to(&harness.submit(id, class)).expect("an engine is ready");
-        let Event::Ended(end) = attempt_ended(id, 0, to, Outcome::Ok, true) else {
+        let target = sent_to(&harness.submit(id, class)).expect("an engine is ready");
+        let Event::Ended(end) = attempt_ended(id, 0, target, Outcome::Ok, true) else {
             unreachable!()
         };
         harness.handle(Event::Ended(AttemptEnded {
@@ -94,23 +99,23 @@
     harness.submit(3, HEAVY);
     harness.submit(4, LOAD);
     harness.now = harness.now + ms(1000);
-    let slow = Note::Progress(0.05);
+    let slow_progress = Note::Progress(0.05);
     let cancel = Action::Cancel {
         request: RequestId(3),
         attempt: AttemptNo(0),
     };
     assert_eq!(
-        harness.handle(Event::Note(RequestId(3), AttemptNo(0), slow)),
+        harness.handle(Event::Note(RequestId(3), AttemptNo(0), slow_progress)),
         vec![cancel]
     );
     assert_eq!(
-        harness.handle(Event::Note(RequestId(4), AttemptNo(0), slow)),
+        harness.handle(Event::Note(RequestId(4), AttemptNo(0), slow_progress)),
         vec![]
     );
 }
 
 #[test]
-fn a_restarted_gateway_serves_from_its_saved_list() {
+fn a_restarted_gateway_uses_its_saved_engine_list() {
     let mut harness = Harness::new(settings());
     harness.handle(Event::List {
         kind: ListKind::Saved,
@@ -120,7 +125,7 @@
 }
 
 #[test]
-fn asks_for_the_list_where_it_must_and_again_after_a_failure() {
+fn the_engine_list_is_subscribed_to_on_request_and_again_after_a_failure() {
     let mut harness = Harness::new(Settings {
         list_mode: ListMode::OnRequest,
         ..settings()
@@ -129,7 +134,7 @@
         harness
             .handle_all(vec![])
             .iter()
-            .filter(|a| **a == Action::SubscribeToEngineList)
+            .filter(|action| **action == Action::SubscribeToEngineList)
             .count(),
         1
     );
@@ -139,13 +144,13 @@
 }
 
 #[test]
-fn zero_and_unknown_settings_do_no_harm() {
-    let bare = Settings {
+fn zero_settings_and_unknown_kinds_and_classes_are_tolerated() {
+    let default_settings = Settings {
         classes: vec![Class::default()],
         kinds: vec![Kind::default()],
         ..Settings::default()
     };
-    let mut harness = Harness::new(bare);
+    let mut harness = Harness::new(default_settings);
     harness.set_engines(vec![
         Engine {
             kind: Some(KindId(9)),
@@ -155,111 +160,130 @@
         engine(3),
     ]);
     assert!(sent_to(&harness.submit(1, 0)).is_some());
-    assert_eq!(harness.submit(2, 7), vec![], "an unknown class");
+    assert_eq!(harness.submit(2, 7), vec![], "the class is unknown");
     harness.advance(100);
-    let mut none = Harness::new(Settings::default());
-    assert_eq!(none.submit(1, 0), vec![]);
+    let mut without_classes = Harness::new(Settings::default());
+    assert_eq!(without_classes.submit(1, 0), vec![]);
 }
 
 #[test]
-fn an_attempt_that_got_lost_is_tried_elsewhere_long_before_its_deadline() {
-    // Guards against incident i1f3ff0: engines that lose a part of what they get and answer the rest.
+fn a_lost_attempt_is_retried_on_another_engine_long_before_its_deadline() {
+    // Guards against engines that lose some of the queries that they get and answer the others.
     let mut harness = Harness::with_engines(settings(), 3);
-    probe(&mut harness, 10, 30);
+    answered_targets(&mut harness, 10, 30);
     let lossy = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
     let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
     };
-    assert_eq!(harness.advance(200), vec![], "four times a fresh one");
+    assert_eq!(
+        harness.advance(200),
+        vec![],
+        "it has taken four times the time of a new attempt"
+    );
     assert_eq!(harness.advance(100), vec![cancel]);
-    let again =
-        sent_to(&harness.end_attempt(1, 0, lossy, Outcome::Cancelled)).expect("another try");
-    assert_ne!(again, lossy);
+    let retry_target =
+        sent_to(&harness.end_attempt(1, 0, lossy, Outcome::Cancelled)).expect("a retry is sent");
+    assert_ne!(retry_target, lossy);
 }
 
-/// The same engine fails two queries that another one answers.
-fn fails_twice(harness: &mut Harness, how: Outcome) -> u64 {
+/// Lets one engine fail two queries that others then answer; returns it.
+fn fail_twice(harness: &mut Harness, outcome: Outcome) -> u64 {
     let failing = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
     for id in [1, 2] {
         if id == 2 {
             assert_eq!(sent_to(&harness.submit(2, LIGHT)), Some(failing));
         }
-        let again = sent_to(&harness.end_attempt(id, 0, failing, how)).expect("another try");
-        assert_ne!(again, failing);
-        harness.end_attempt(id, 1, again, Outcome::Ok);
+        let retry_target =
+            sent_to(&harness.end_attempt(id, 0, failing, outcome)).expect("a retry is sent");
+        assert_ne!(retry_target, failing);
+        harness.end_attempt(id, 1, retry_target, Outcome::Ok);
     }
     failing
 }
 
-/// Without this an error ended an engine's trial and cleared its strikes: one that fails fast drew traffic.
+/// Guards against taking an error for a sign of health, which ended an engine's trial and cleared its consecutive failures:
+/// an engine that failed fast attracted traffic.
 #[test]
-fn an_engine_that_fails_what_others_can_do_is_set_aside() {
+fn an_engine_that_fails_queries_which_others_answer_is_ejected() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let failing = fails_twice(&mut harness, Outcome::Error);
-    assert!(!probe(&mut harness, 10, 60).contains(&failing));
+    let failing = fail_twice(&mut harness, Outcome::Error);
+    assert!(!answered_targets(&mut harness, 10, 60).contains(&failing));
 }
 
-/// Without this bad clients had all engines set aside in turn, and the rest got all the traffic.
+/// Guards against ejecting engines for the errors of invalid requests: the engines were ejected one after another, and the
+/// remaining ones got all the traffic.
 #[test]
-fn a_request_that_no_engine_can_use_sets_none_aside() {
+fn a_request_that_fails_on_every_engine_ejects_none() {
     let mut harness = Harness::with_engines(settings(), 3);
     for id in 1..=6 {
-        let to = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
-        let next = sent_to(&harness.end_attempt(id, 0, to, Outcome::Error)).expect("another try");
+        let target = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
+        let next =
+            sent_to(&harness.end_attempt(id, 0, target, Outcome::Error)).expect("a retry is sent");
         harness.end_attempt(id, 1, next, Outcome::Error);
         harness.handle(Event::ClientLeft(RequestId(id)));
-        assert!(probe(&mut harness, 100 * id, 60).contains(&to), "{id}");
+        assert!(
+            answered_targets(&mut harness, 100 * id, 60).contains(&target),
+            "request {id}"
+        );
     }
 }
 
 #[test]
-fn what_stands_still_behind_the_load_of_another_gateway_goes_elsewhere() {
+fn a_query_that_waits_for_the_load_of_another_gateway_goes_to_another_engine() {
     let mut settings = settings();
     settings.classes[HEAVY].waits_for_load = true;
     let mut harness = Harness::with_engines(settings, 3);
-    let held = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
+    let loading = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
     let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
     };
     let note = Event::Note(RequestId(1), AttemptNo(0), Note::WaitsForLoad);
     assert_eq!(harness.handle(note), vec![cancel]);
-    let again = sent_to(&harness.end_attempt(1, 0, held, Outcome::Cancelled));
-    assert!(again.is_some_and(|again| again != held), "{again:?}");
+    let retry_target = sent_to(&harness.end_attempt(1, 0, loading, Outcome::Cancelled));
+    assert!(
+        retry_target.is_some_and(|target| target != loading),
+        "{retry_target:?}"
+    );
     let next = sent_to(&harness.submit(2, HEAVY));
-    assert!(next.is_some_and(|next| next != held), "{next:?}");
+    assert!(next.is_some_and(|target| target != loading), "{next:?}");
 }
 
-/// Without this a request that an engine lost was waited for until its deadline: lookups may wait for loads.
+/// Guards against exempting queries that may wait for loads from the search for lost attempts: one that its engine had
+/// lost stayed in flight until its deadline. Without a note it does not wait for a load.
 #[test]
-fn what_has_said_nothing_got_lost_also_where_a_load_might_hold_it() {
+fn an_attempt_without_notes_is_lost_even_if_it_may_wait_for_a_load() {
     let mut settings = settings();
     settings.classes[LIGHT].waits_for_load = true;
     let mut harness = Harness::with_engines(settings, 3);
-    probe(&mut harness, 10, 30);
+    answered_targets(&mut harness, 10, 30);
     harness.submit(1, LIGHT);
     let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
     };
-    assert_eq!(harness.advance(350), vec![], "seven times a fresh one");
+    assert_eq!(
+        harness.advance(350),
+        vec![],
+        "it has taken seven times the time of a new attempt"
+    );
     assert_eq!(harness.advance(100), vec![cancel]);
 }
 
-/// Without this an attempt that its engine lost, while it answers the others, was waited for till its deadline.
+/// Guards against an attempt that stayed in flight until its deadline after its engine, which answered others, lost it.
 #[test]
-fn an_attempt_of_which_a_well_engine_tells_nothing_is_lost() {
+fn an_attempt_without_notes_from_a_healthy_engine_is_lost() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let to = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
-    let mut done = Vec::new();
+    let target = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
+    let mut actions = Vec::new();
     for _ in 0..6 {
-        harness.handle(Event::Probed(EngineId(to), Outcome::Ok, None));
-        done.extend(harness.advance(500));
+        harness.handle(Event::Probed(EngineId(target), Outcome::Ok, None));
+        actions.extend(harness.advance(500));
     }
     let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
     };
-    assert_eq!(done, vec![cancel]);
+    assert_eq!(actions, vec![cancel]);
 }
