--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,11 +1,12 @@
-//! Two processes of one gateway: what the one holds counts for the other.
+//! Two processes of one gateway during an upgrade: each counts the usage of the other as its own.
 
 mod common;
 
 use common::*;
 use sedgebeam_core::*;
 
-fn held(engine: u64, threads: f64, work: f64) -> HandoverState {
+/// The state of a process with `threads` in flight on the engine, which sent `work_core_s` to it at 100 s.
+fn usage_of_engine(engine: u64, threads: f64, work_core_s: f64) -> HandoverState {
     HandoverState {
         engines: vec![EngineHandover {
             engine: EngineId(engine),
@@ -13,7 +14,7 @@
                 threads,
                 ..EngineUsage::default()
             },
-            recent_sends: vec![(ms(100_000), work)],
+            recent_sends: vec![(ms(100_000), work_core_s)],
             ..EngineHandover::default()
         }],
         ..HandoverState::default()
@@ -21,21 +22,25 @@
 }
 
 #[test]
-fn what_another_process_has_out_on_an_engine_counts_as_own() {
-    // A budget of 32 threads, as nothing is pressed; the other has all of it.
+fn threads_in_flight_of_the_peer_process_count_as_own() {
+    // Without pressure the budget is 32 threads, and the peer process uses all of it.
     let mut harness = Harness::with_engines(settings(), 1);
     harness
         .gateway
-        .set_peer_process_usage(harness.now, &held(1, 32.0, 0.0), true);
+        .set_peer_process_usage(harness.now, &usage_of_engine(1, 32.0, 0.0), true);
     assert_eq!(sent_to(&harness.submit(1, HEAVY)), None);
     harness
         .gateway
         .set_peer_process_usage(harness.now, &HandoverState::default(), true);
-    assert_eq!(sent_to(&harness.advance(10)), Some(1), "the other has gone");
+    assert_eq!(
+        sent_to(&harness.advance(10)),
+        Some(1),
+        "the peer process has ended"
+    );
 }
 
-/// An engine that started a second ago.
-fn cold(now: Micros) -> Engine {
+/// An engine that started one second before `now`.
+fn cold_engine(now: Micros) -> Engine {
     Engine {
         started_at: now - ms(1000),
         ..engine(1)
@@ -43,15 +48,15 @@
 }
 
 #[test]
-fn cold_engines_get_nothing_while_another_process_sends_to_them_nor_a_window_later() {
+fn cold_engines_get_nothing_while_the_peer_process_may_use_them_nor_one_window_later() {
     let window = settings().overload_window;
     let mut harness = Harness::new(settings());
     harness.now = harness.now + window;
-    let started = cold(harness.now);
+    let started = cold_engine(harness.now);
     harness.set_engines(vec![started]);
-    let mut last = harness.now;
+    let mut last_denied_at = harness.now;
     for _ in 0..30 {
-        last = harness.now;
+        last_denied_at = harness.now;
         harness
             .gateway
             .set_peer_process_usage(harness.now, &HandoverState::default(), false);
@@ -65,85 +70,94 @@
     while sent_to(&harness.submit(id, LIGHT)).is_none() {
         id += 1;
         harness.advance(10);
-        assert!(harness.now < last + window + ms(100), "it may again");
+        assert!(
+            harness.now < last_denied_at + window + ms(100),
+            "it may use cold engines again"
+        );
     }
     assert!(
-        harness.now >= last + window,
-        "{:?} after {last:?}",
+        harness.now >= last_denied_at + window,
+        "{:?} after {last_denied_at:?}",
         harness.now
     );
 }
 
 #[test]
-fn work_that_another_process_sent_to_a_cold_engine_counts_in_its_window() {
+fn work_that_the_peer_process_sent_to_a_cold_engine_counts_in_the_overload_window() {
     let mut harness = Harness::new(settings());
-    let started = cold(harness.now);
+    let started = cold_engine(harness.now);
     harness.set_engines(vec![started]);
     harness.now = harness.now + settings().overload_window;
-    let all = held(1, 0.0, 1e6);
+    let peer_usage = usage_of_engine(1, 0.0, 1e6);
     harness
         .gateway
-        .set_peer_process_usage(ms(100_001), &all, true);
+        .set_peer_process_usage(ms(100_001), &peer_usage, true);
     assert_eq!(sent_to(&harness.submit(1, LIGHT)), None);
     harness
         .gateway
-        .set_peer_process_usage(ms(200_000), &all, true);
+        .set_peer_process_usage(ms(200_000), &peer_usage, true);
     assert_eq!(
         sent_to(&harness.submit(2, LIGHT)),
         Some(1),
-        "it is long ago"
+        "the window has passed"
     );
 }
 
 #[test]
-fn a_process_begins_with_what_the_one_before_it_learned() {
+fn a_new_process_adopts_the_statistics_of_the_old_one() {
     let mut old = Harness::with_engines(settings(), 2);
-    let to = sent_to(&old.submit(1, LIGHT)).expect("an engine is ready");
-    // Refused connects set an engine aside.
-    old.end_attempt(1, 0, to, Outcome::ConnectFailed);
+    let target = sent_to(&old.submit(1, LIGHT)).expect("an engine is ready");
+    // Refused connections eject an engine.
+    old.end_attempt(1, 0, target, Outcome::ConnectFailed);
     old.submit(2, LIGHT);
-    while let Some(again) = sent_to(&old.submit(old.now.0, LIGHT)) {
-        if again == to {
-            old.end_attempt(old.now.0, 0, to, Outcome::ConnectFailed);
+    while let Some(next_target) = sent_to(&old.submit(old.now.0, LIGHT)) {
+        if next_target == target {
+            old.end_attempt(old.now.0, 0, target, Outcome::ConnectFailed);
         }
         old.now = old.now + ms(1);
         if old
             .gateway
             .ejected_engines()
             .iter()
-            .any(|(id, _)| id.0 == to)
+            .any(|(id, _)| id.0 == target)
         {
             break;
         }
     }
-    let learned = old.gateway.handover_state();
+    let state = old.gateway.handover_state();
     let mut new = Harness::with_engines(settings(), 2);
     new.now = old.now;
-    new.gateway.restore(&learned);
-    let avoided = new.gateway.ejected_engines();
-    assert_eq!(avoided.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [to]);
+    new.gateway.restore(&state);
+    let ejected = new.gateway.ejected_engines();
+    assert_eq!(
+        ejected.iter().map(|(id, _)| id.0).collect::<Vec<_>>(),
+        [target]
+    );
     for id in 10..14 {
-        assert_ne!(sent_to(&new.submit(id, LIGHT)), Some(to));
+        assert_ne!(sent_to(&new.submit(id, LIGHT)), Some(target));
     }
-    let (was, is) = (
-        learned.classes[LIGHT].accepted_requests,
+    let (accepted_before, restored) = (
+        state.classes[LIGHT].accepted_requests,
         new.gateway.handover_state(),
     );
-    assert_eq!(is.classes[LIGHT].accepted_requests, was + 4.0);
+    assert_eq!(
+        restored.classes[LIGHT].accepted_requests,
+        accepted_before + 4.0
+    );
 }
 
 #[test]
-fn the_last_call_answers_everything_once() {
+fn shutdown_answers_every_request_once() {
     let mut harness = Harness::with_engines(settings(), 1);
     harness.submit(1, LIGHT);
     harness.submit(2, LOAD);
-    let full = held(1, 32.0, 0.0);
+    let peer_usage = usage_of_engine(1, 32.0, 0.0);
     harness
         .gateway
-        .set_peer_process_usage(harness.now, &full, true);
+        .set_peer_process_usage(harness.now, &peer_usage, true);
     harness.submit(3, HEAVY);
-    let done = harness.handle(Event::Shutdown);
-    // What may have run must not be said to be harmless.
-    assert!(is_refused(&done, 1) && is_failed(&done, 2) && is_refused(&done, 3));
+    let actions = harness.handle(Event::Shutdown);
+    // A load that may have run must fail rather than be refused.
+    assert!(is_refused(&actions, 1) && is_failed(&actions, 2) && is_refused(&actions, 3));
     assert_eq!(harness.handle(Event::Shutdown), vec![]);
 }
--- a/tests/priorities.rs
+++ b/tests/priorities.rs
@@ -1,10 +1,10 @@
-//! Classes that go ahead of others on an engine, where engines heed priorities, seen by one of many gateways.
+//! Light classes that run ahead of others on engines that heed priorities, as used by one of many gateways.
 
 mod common;
 use common::*;
 use sedgebeam_core::*;
 
-/// Many gateways before engines that tell their load with each answer.
+/// Many gateways; engines report their load in each answer.
 fn settings_with_reports(takes_priorities: bool) -> Settings {
     Settings {
         gateways: 64,
@@ -14,8 +14,8 @@
     }
 }
 
-/// A gateway that has been told so much load by all of its engines.
-fn bench_told(settings: Settings, load: LoadReport) -> Harness {
+/// A gateway to which all engines have reported this load.
+fn harness_with_reported_load(settings: Settings, load: LoadReport) -> Harness {
     let mut harness = Harness::with_engines(settings, 8);
     for id in 1000..1016 {
         if let Some(engine) = sent_to(&harness.submit(id, LIGHT)) {
@@ -29,11 +29,11 @@
 }
 
 fn is_sent(settings: Settings, load: LoadReport, class: usize) -> bool {
-    let mut harness = bench_told(settings, load);
+    let mut harness = harness_with_reported_load(settings, load);
     sent_to(&harness.submit(1, class)).is_some()
 }
 
-/// Every core has work: what goes ahead of it is still served at once.
+/// All cores are busy: only queries that run ahead of others are still served at once.
 const BUSY: LoadReport = LoadReport {
     busy_cores_share: Some(1.0),
     active_queries: None,
@@ -41,24 +41,24 @@
     granted_memory_share: None,
 };
 
-/// Without this the light class was hardly served while heavy queries kept all engines busy.
+/// Guards against holding light queries back while heavy ones keep all engines busy: they were then hardly served.
 #[test]
-fn a_light_class_goes_to_engines_that_heavy_queries_keep_busy() {
+fn a_light_class_is_sent_to_engines_that_heavy_queries_keep_busy() {
     assert!(is_sent(settings_with_reports(true), BUSY, LIGHT));
     assert!(!is_sent(settings_with_reports(true), BUSY, HEAVY));
 }
 
 #[test]
-fn where_priorities_are_not_heeded_no_class_goes_ahead() {
+fn no_class_runs_ahead_if_engines_ignore_priorities() {
     assert!(!is_sent(settings_with_reports(false), BUSY, LIGHT));
 }
 
-/// Many more queries than cores are no room for anybody.
+/// An engine with far more queries than cores has no free slot for any class.
 #[test]
-fn a_light_class_waits_where_far_more_runs_than_the_engine_bears() {
-    let crowded = LoadReport {
+fn a_light_class_waits_if_engines_run_far_more_queries_than_cores() {
+    let overloaded = LoadReport {
         active_queries: Some(64.0),
         ..BUSY
     };
-    assert!(!is_sent(settings_with_reports(true), crowded, LIGHT));
+    assert!(!is_sent(settings_with_reports(true), overloaded, LIGHT));
 }
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,33 +1,33 @@
-//! New settings while requests are under way.
+//! New settings while requests are queued or in flight.
 
 mod common;
 
 use common::*;
 use sedgebeam_core::*;
 
-fn with_attempts(max_attempts: u32) -> Settings {
+fn with_max_attempts(max_attempts: u32) -> Settings {
     Settings {
         max_attempts,
         ..settings()
     }
 }
 
-/// How often a request is sent whose every attempt ends in an error, with other settings after the first.
-fn sends_in_all(before: Settings, after: Settings, class: usize) -> usize {
+/// Number of attempts of a request that always gets an error; the settings change after the first attempt.
+fn count_attempts(before: Settings, after: Settings, class: usize) -> usize {
     let mut harness = Harness::with_engines(before, 4);
-    let mut to = sent_to(&harness.submit(1, class));
+    let mut target = sent_to(&harness.submit(1, class));
     harness.gateway.reconfigure(after);
     let mut count = 0;
-    while let Some(engine) = to {
+    while let Some(engine) = target {
         count += 1;
-        to = sent_to(&harness.end_attempt(1, count as u32 - 1, engine, Outcome::Error));
+        target = sent_to(&harness.end_attempt(1, count as u32 - 1, engine, Outcome::Error));
     }
     count
 }
 
 #[test]
-fn a_request_has_the_fewest_attempts_that_were_allowed_since_it_came() {
-    for (before, after, sends) in [
+fn a_request_gets_the_lowest_attempt_limit_since_its_arrival() {
+    for (before, after, expected) in [
         (3, 3, 3),
         (3, 1, 1),
         (3, 2, 2),
@@ -35,14 +35,14 @@
         (0, 2, 2),
         (2, 0, 2),
     ] {
-        let sent = sends_in_all(with_attempts(before), with_attempts(after), LIGHT);
-        assert_eq!(sent, sends, "{before} attempts, then {after}");
+        let sent = count_attempts(with_max_attempts(before), with_max_attempts(after), LIGHT);
+        assert_eq!(sent, expected, "limit of {before} attempts, then {after}");
     }
 }
 
 #[test]
-fn a_request_ends_under_the_effect_under_which_it_was_taken() {
-    // The light class vanishes, and another of its name, which must never run twice, stands behind the others.
+fn a_request_keeps_the_effect_that_its_class_had_on_arrival() {
+    // The light class is replaced by a class of the same name at the end of the list, which may run at most once.
     let mut after = settings();
     let once = Class {
         effect: Effect::Once,
@@ -50,15 +50,18 @@
     };
     after.classes[LIGHT].retired = true;
     after.classes.push(once);
-    assert_eq!(sends_in_all(settings(), after.clone(), LIGHT), 5);
+    assert_eq!(count_attempts(settings(), after.clone(), LIGHT), 5);
     let mut harness = Harness::with_engines(settings(), 4);
     harness.gateway.reconfigure(after);
-    let to = sent_to(&harness.submit(2, 3)).expect("the new class is served");
-    assert!(is_failed(&harness.end_attempt(2, 0, to, Outcome::Error), 2));
+    let target = sent_to(&harness.submit(2, 3)).expect("the new class is served");
+    assert!(is_failed(
+        &harness.end_attempt(2, 0, target, Outcome::Error),
+        2
+    ));
 }
 
 #[test]
-fn what_waits_is_sent_and_answered_after_classes_and_tenants_have_come() {
+fn queued_requests_are_sent_and_answered_after_classes_and_tenants_were_added() {
     let mut harness = Harness::new(settings());
     for (id, class) in [(1, LIGHT), (2, HEAVY), (3, LOAD)] {
         assert_eq!(harness.submit(id, class), vec![]);
@@ -71,9 +74,9 @@
         requests_per_second: 0.0,
     }];
     harness.gateway.reconfigure(after);
-    let mut newcomer = query(4, 3);
-    newcomer.tenant = Some(TenantId(0));
-    harness.handle(Event::Request(newcomer));
+    let mut new_class_query = query(4, 3);
+    new_class_query.tenant = Some(TenantId(0));
+    harness.handle(Event::Request(new_class_query));
     let mut sent = sends(&harness.set_engines((1..=4).map(engine).collect()));
     sent.sort();
     assert_eq!(
@@ -83,12 +86,13 @@
     for (id, engine) in sent {
         harness.end_attempt(id, 0, engine, Outcome::Ok);
     }
-    assert_eq!(harness.advance(20_000), vec![], "nothing is left of them");
+    assert_eq!(harness.advance(20_000), vec![], "no request remains");
 }
 
-/// Guards against a load that is let go as none: its table group would stay held on its engine for ever.
+/// Guards against ending a load of a retired class as if it were no load: its engine would be marked as loading the table
+/// group for ever.
 #[test]
-fn a_load_that_is_retired_lets_its_group_go() {
+fn a_load_of_a_retired_class_releases_its_table_group() {
     let mut harness = Harness::with_engines(settings(), 1);
     let load = Query {
         table_group: TableGroupId(7),
@@ -102,26 +106,26 @@
         ..class(15.0, 2.0, 3000, 25000)
     });
     harness.gateway.reconfigure(after);
-    let next = Query {
+    let next_load = Query {
         table_group: TableGroupId(7),
         ..query(2, 3)
     };
     assert_eq!(
-        sent_to(&harness.handle(Event::Request(next))),
+        sent_to(&harness.handle(Event::Request(next_load))),
         None,
-        "it is held"
+        "a load holds the table group"
     );
-    let done = harness.end_attempt(1, 0, 1, Outcome::Ok);
-    assert_eq!(sends(&done), [(2, 1)]);
+    let actions = harness.end_attempt(1, 0, 1, Outcome::Ok);
+    assert_eq!(sends(&actions), [(2, 1)]);
 }
 
-/// A file that names fewer gateways makes each one's part larger from then on. Without this every gateway had the rights
-/// of the larger part for the whole life of a cold engine at once, and one request at each pushed it over.
+/// With fewer gateways in the settings, the share of each is larger from then on. Guards against granting the tokens of the
+/// larger share for the whole time since a cold engine's start at once: one request of each gateway overloaded it.
 #[test]
-fn fewer_gateways_told_of_give_nobody_rights_for_the_time_before() {
-    let of = |gateways, me| Settings {
+fn fewer_gateways_in_the_settings_grant_no_admission_tokens_for_the_time_before() {
+    let settings_of = |gateways, gateway_index| Settings {
         gateways,
-        gateway_index: Some(me),
+        gateway_index: Some(gateway_index),
         overload_multiple: 4.0,
         classes: vec![class(1.0, 1.0, 300, 1500)],
         tenants: vec![Tenant {
@@ -130,25 +134,30 @@
         }],
         ..settings()
     };
-    let begin = ms(100_000);
+    let started_at = ms(100_000);
     let cold = Engine {
-        started_at: begin,
+        started_at,
         ..engine(1)
     };
-    let sent = (0..100).filter(|me| {
-        let mut harness = Harness::new(of(1000, *me));
-        harness.now = begin;
+    let sent = (0..100).filter(|gateway_index| {
+        let mut harness = Harness::new(settings_of(1000, *gateway_index));
+        harness.now = started_at;
         harness.set_engines(vec![cold.clone()]);
-        // Rights grow as time passes; nobody asks.
+        // Tokens accrue over time, without requests.
         for _ in 0..100 {
             harness.now = harness.now + ms(100);
             harness.handle(Event::Timer(TimerId(0)));
         }
-        harness.gateway.reconfigure(of(100, *me));
+        harness
+            .gateway
+            .reconfigure(settings_of(100, *gateway_index));
         harness.now = harness.now + ms(10);
         harness.handle(Event::Timer(TimerId(0)));
         sent_to(&harness.submit(1, LIGHT)).is_some()
     });
     let sent = sent.count();
-    assert!(sent < 30, "{sent} of 100 at one moment");
+    assert!(
+        sent < 30,
+        "{sent} of 100 gateways sent a request at the same time"
+    );
 }
--- a/tests/stalled_engines.rs
+++ b/tests/stalled_engines.rs
@@ -1,11 +1,12 @@
-//! Engines on which everything stands nearly still, seen by one of many gateways.
+//! Stalled engines, on which queries hardly progress, as detected by one of many gateways.
 
 mod common;
 use common::*;
 use sedgebeam_core::*;
 
-fn crowd() -> Settings {
-    let waits = |class: Class| Class {
+/// 64 gateways that may probe engines; queries of every class wait for loads of their table group.
+fn many_gateways() -> Settings {
+    let waits_for_load = |class: Class| Class {
         waits_for_load: true,
         ..class
     };
@@ -14,13 +15,13 @@
         gateways: 64,
         may_probe: true,
         load_reports: LoadReportMode::InProbes,
-        classes: settings.classes.into_iter().map(waits).collect(),
+        classes: settings.classes.into_iter().map(waits_for_load).collect(),
         ..settings
     }
 }
 
-/// Eight engines, of which the gateway knows how long its queries usually take.
-fn experienced(settings: Settings) -> Harness {
+/// A gateway with eight engines that has learned how long light queries usually take.
+fn trained_harness(settings: Settings) -> Harness {
     let mut harness = Harness::with_engines(settings, 8);
     for id in 1000..1020 {
         harness.submit(id, LIGHT);
@@ -31,175 +32,179 @@
     harness
 }
 
-/// Without this a jammed engine, which is told of as idle since what waits for its disks takes no cores, was
-/// sent more than any other, and never got over it.
+/// Guards against trusting the load report of a stalled engine: it looks idle, as queries that wait for its disks use no
+/// cores. It was sent more queries than any other engine and never recovered.
 #[test]
-fn an_engine_on_which_queries_hardly_move_is_left_alone_and_they_go_elsewhere() {
-    let mut harness = experienced(crowd());
-    let jammed = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
+fn a_stalled_engine_is_ejected_and_its_queries_go_to_other_engines() {
+    let mut harness = trained_harness(many_gateways());
+    let stalled = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
     harness.now = harness.now + ms(700);
-    let hardly = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.01));
+    let slow_note = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.01));
     let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
     };
-    assert_eq!(harness.handle(hardly), vec![cancel]);
-    let again = sent_to(&harness.end_attempt(1, 0, jammed, Outcome::Cancelled));
-    assert!(again.is_some_and(|to| to != jammed), "{again:?}");
-    harness.end_attempt(1, 1, again.unwrap_or_default(), Outcome::Ok);
-    // It answers when asked, and has nothing to do by what it tells.
+    assert_eq!(harness.handle(slow_note), vec![cancel]);
+    let retry_target = sent_to(&harness.end_attempt(1, 0, stalled, Outcome::Cancelled));
+    assert!(
+        retry_target.is_some_and(|target| target != stalled),
+        "{retry_target:?}"
+    );
+    harness.end_attempt(1, 1, retry_target.unwrap_or_default(), Outcome::Ok);
+    // It replies to probes and reports almost no load.
     let idle = LoadReport {
         busy_cores_share: Some(0.05),
         ..LoadReport::default()
     };
-    harness.handle(Event::Probed(EngineId(jammed), Outcome::Ok, Some(idle)));
+    harness.handle(Event::Probed(EngineId(stalled), Outcome::Ok, Some(idle)));
     for id in 10..60 {
-        let to = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
-        assert_ne!(to, jammed);
-        harness.end_attempt(id, 0, to, Outcome::Ok);
+        let target = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
+        assert_ne!(target, stalled);
+        harness.end_attempt(id, 0, target, Outcome::Ok);
     }
-    // It is tried again once it has rested.
-    let mut tried = false;
+    // It gets a trial after the ejection.
+    let mut had_trial = false;
     for id in 100..400 {
         harness.advance(100);
-        let to = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
-        tried |= to == jammed;
-        harness.end_attempt(id, 0, to, Outcome::Ok);
+        let target = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
+        had_trial |= target == stalled;
+        harness.end_attempt(id, 0, target, Outcome::Ok);
     }
-    assert!(tried);
+    assert!(had_trial);
 }
 
-/// An engine that tells of each beginning at once has said nothing of how it goes on.
+/// A note of the start of an attempt says nothing about its further progress.
 #[test]
-fn what_has_only_begun_is_not_stuck() {
-    let mut harness = experienced(crowd());
+fn an_attempt_that_has_only_started_is_not_stalled() {
+    let mut harness = trained_harness(many_gateways());
     harness.submit(1, LIGHT);
     harness.now = harness.now + ms(6);
-    let begun = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.0));
-    assert_eq!(harness.handle(begun), vec![]);
+    let started = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.0));
+    assert_eq!(harness.handle(started), vec![]);
 }
 
-/// What is heavy, or on a busy engine, moves too slowly for its client but is not stuck.
+/// A heavy query, or one on a busy engine, may progress too slowly for its client although the engine is not stalled.
 #[test]
-fn a_query_that_moves_is_left_where_it_is() {
-    let mut harness = experienced(crowd());
+fn a_query_that_progresses_is_not_cancelled() {
+    let mut harness = trained_harness(many_gateways());
     harness.submit(1, LIGHT);
     harness.now = harness.now + ms(200);
-    let half = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.8));
-    assert_eq!(harness.handle(half), vec![]);
+    let progress = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.8));
+    assert_eq!(harness.handle(progress), vec![]);
 }
 
-/// Where a probe costs a good part of what a request is worth, fewer are sent, and not again while it waits.
+/// If a probe costs a considerable share of a request's worth, fewer are sent, and they are not repeated while the request
+/// waits.
 #[test]
-fn the_dearer_a_probe_the_fewer_are_asked() {
-    let probes = |price: f64| {
+fn the_more_a_probe_costs_the_fewer_are_sent() {
+    let probe_count = |probe_cost: f64| {
         let settings = Settings {
-            probe_cost: price,
-            ..crowd()
+            probe_cost,
+            ..many_gateways()
         };
-        let mut harness = experienced(settings);
-        let mut done = harness.submit(1, HEAVY);
-        done.extend(harness.advance(1000));
-        done.iter()
+        let mut harness = trained_harness(settings);
+        let mut actions = harness.submit(1, HEAVY);
+        actions.extend(harness.advance(1000));
+        actions
+            .iter()
             .filter(|action| matches!(action, Action::Probe { .. }))
             .count()
     };
-    let counts = [0.0, 0.01, 0.08, 1.0].map(probes);
+    let counts = [0.0, 0.01, 0.08, 1.0].map(probe_count);
     assert!(counts.is_sorted_by(|a, b| a >= b), "{counts:?}");
     assert!(counts[0] > 3 && counts[3] == 0, "{counts:?}");
     assert!((1..=3).contains(&counts[2]), "{counts:?}");
 }
 
-/// Without this one stuck attempt took an engine from one of three gateways, and a third of its room with it.
+/// Guards against ejecting an engine for one stalled attempt if gateways are few: one of three gateways lost the engine,
+/// and with it a third of the capacity that it could use.
 #[test]
-fn one_of_few_gateways_sets_no_engine_aside_for_one_stuck_attempt() {
-    let few = Settings {
+fn one_of_few_gateways_ejects_no_engine_for_one_stalled_attempt() {
+    let few_gateways = Settings {
         gateways: 3,
-        ..crowd()
+        ..many_gateways()
     };
-    let mut harness = experienced(few);
+    let mut harness = trained_harness(few_gateways);
     harness.submit(1, LIGHT);
     harness.now = harness.now + ms(700);
-    let hardly = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.01));
-    assert_eq!(harness.handle(hardly), vec![]);
+    let slow_note = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.01));
+    assert_eq!(harness.handle(slow_note), vec![]);
 }
 
-/// Without this a look-up whose like had taken half a millisecond was called off after three, each time it was
-/// tried, and refused while its answer was on the way.
+/// Guards against limits shorter than the interval of checks: a look-up of a class that usually takes half a millisecond
+/// was cancelled after three milliseconds, on every retry, and refused while its answer was on the way.
 #[test]
-fn what_is_answered_between_two_looks_is_not_overdue_soon() {
+fn an_attempt_is_not_overdue_within_a_few_check_intervals() {
     let mut harness = Harness::with_engines(settings(), 2);
     for id in 1..=40 {
-        let sent = sent_to(&harness.submit(id, LIGHT)).expect("is sent");
-        let Event::Ended(end) = attempt_ended(id, 0, sent, Outcome::Ok, true) else {
+        let target = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
+        let Event::Ended(end) = attempt_ended(id, 0, target, Outcome::Ok, true) else {
             unreachable!()
         };
-        let took = Micros(500);
-        harness.handle(Event::Ended(AttemptEnded {
-            elapsed: took,
-            ..end
-        }));
+        let elapsed = Micros(500);
+        harness.handle(Event::Ended(AttemptEnded { elapsed, ..end }));
     }
     assert!(sent_to(&harness.submit(100, LIGHT)).is_some());
-    let done: Actions = (0..4).flat_map(|_| harness.advance(10)).collect();
-    let called_off = |action: &Action| matches!(action, Action::Cancel { .. });
-    assert!(!done.iter().any(called_off), "{done:?}");
+    let actions: Actions = (0..4).flat_map(|_| harness.advance(10)).collect();
+    let is_cancel = |action: &Action| matches!(action, Action::Cancel { .. });
+    assert!(!actions.iter().any(is_cancel), "{actions:?}");
 }
 
-/// A note by which the first attempt of a request has hardly begun.
-fn hardly_moves(id: u64) -> Event {
+/// A note that the first attempt of a request has done only a hundredth of its work.
+fn slow_progress_note(id: u64) -> Event {
     Event::Note(RequestId(id), AttemptNo(0), Note::Progress(0.01))
 }
 
-/// Without this each bad plan of a class that has many took an engine from the gateway for seconds.
+/// Guards against taking a bad plan for a stalled engine: in a class with many bad plans, each one ejected an engine
+/// for seconds.
 #[test]
-fn a_bad_plan_on_an_engine_that_answers_others_quickly_sets_no_engine_aside() {
-    let mut harness = experienced(crowd());
+fn a_bad_plan_on_an_engine_that_answers_others_quickly_ejects_no_engine() {
+    let mut harness = trained_harness(many_gateways());
     let engine = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
     let other = (2..40).find(|id| sent_to(&harness.submit(*id, LIGHT)) == Some(engine));
-    let other = other.expect("one of many goes to the same engine");
+    let other = other.expect("one of many requests goes to the same engine");
     harness.now = harness.now + ms(50);
     harness.end_attempt(other, 0, engine, Outcome::Ok);
     harness.now = harness.now + ms(650);
-    let called_off = Action::Cancel {
+    let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
     };
     assert_eq!(
-        harness.handle(hardly_moves(1)),
-        vec![called_off],
-        "it goes elsewhere"
+        harness.handle(slow_progress_note(1)),
+        vec![cancel],
+        "the query is cancelled, to be retried"
     );
     assert_eq!(
         harness.gateway.ejected_engines(),
         vec![],
-        "no engine is set aside"
+        "no engine is ejected"
     );
 }
 
-/// An answer from before the attempt tells nothing of how the engine is now.
+/// An answer from before the attempt does not show how the engine is now.
 #[test]
-fn an_answer_from_before_the_attempt_is_no_sign_that_the_engine_is_well() {
-    let mut harness = experienced(crowd());
+fn an_answer_from_before_the_attempt_does_not_prove_that_the_engine_is_healthy() {
+    let mut harness = trained_harness(many_gateways());
     harness.submit(1, LIGHT);
     harness.now = harness.now + ms(700);
-    harness.handle(hardly_moves(1));
+    harness.handle(slow_progress_note(1));
     assert_eq!(harness.gateway.ejected_engines().len(), 1);
 }
 
-/// Without this an engine that had just started was set aside for being as slow as one that has just started.
+/// Guards against ejecting an engine that has just started for being as slow as a cold engine is.
 #[test]
-fn what_moves_as_fast_as_a_starting_engine_can_is_not_stuck() {
-    let stuck_at = |started_ago: Option<u64>| {
-        let mut harness = Harness::with_engines(crowd(), 8);
+fn an_attempt_as_fast_as_a_cold_engine_allows_is_not_stalled() {
+    let is_ejected = |started_ms_ago: Option<u64>| {
+        let mut harness = Harness::with_engines(many_gateways(), 8);
         for id in 1000..1020 {
             let engine = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
             harness.end_attempt(id, 0, engine, Outcome::Ok);
         }
         let engine = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
-        if let Some(ago) = started_ago {
-            // The list names its start only now.
-            let started_at = Micros(harness.now.0 - ms(ago).0);
+        if let Some(started_ms_ago) = started_ms_ago {
+            // The list contains the time of its start only from now on.
+            let started_at = Micros(harness.now.0 - ms(started_ms_ago).0);
             harness.update_engine(Engine {
                 started_at,
                 ..common::engine(engine)
@@ -210,6 +215,12 @@
         harness.handle(note);
         !harness.gateway.ejected_engines().is_empty()
     };
-    assert!(stuck_at(None), "it would have been answered six times over");
-    assert!(!stuck_at(Some(0)), "it does a third of what it will");
+    assert!(
+        is_ejected(None),
+        "six such queries would usually have been answered in this time"
+    );
+    assert!(
+        !is_ejected(Some(0)),
+        "a cold engine has a third of its capacity"
+    );
 }
