--- a/tests/bounded_state.rs
+++ b/tests/bounded_state.rs
@@ -1,4 +1,4 @@
-//! What a long run leaves behind: many requests, and ten thousand engines that come and go.
+//! The state of a gateway stays bounded during a long run with many requests and ten thousand engines, listed in turn.
 
 mod common;
 use common::*;
@@ -6,13 +6,13 @@
 
 const REQUESTS: u64 = 200_000;
 const ENGINES: u64 = 10_000;
-/// Engines that are listed at once.
-const LISTED: u64 = 20;
+/// Number of engines that are listed at the same time.
+const LISTED_ENGINES: u64 = 20;
 
-/// Requests that come, are sent, end in each way there is or are left, with keys, groups and cold engines; at its end
-/// nothing of it is remembered but what is listed and lately happened.
+/// Submits requests with keys and table groups, and ends their attempts with various outcomes or a client that leaves; half
+/// of the engines are cold. In the end no request and only listed engines remain in the state.
 #[test]
-fn many_requests_and_ten_thousand_engines_leave_nothing_behind() {
+fn the_state_stays_bounded_with_many_requests_and_ten_thousand_engines() {
     let settings = Settings {
         gateways: 30,
         gateway_index: Some(3),
@@ -25,24 +25,24 @@
         ..settings()
     };
     let mut harness = Harness::new(settings);
-    let waves = ENGINES / LISTED;
-    let (mut most, mut attempts) = (StateSizes::default(), Attempts::new());
+    let waves = ENGINES / LISTED_ENGINES;
+    let (mut max_sizes, mut attempt_counts) = (StateSizes::default(), AttemptCounts::new());
     for wave in 0..waves {
         let started_at = harness.now;
-        let listed = (0..LISTED).map(|place| Engine {
-            started_at: if place % 2 == 0 {
+        let entries = (0..LISTED_ENGINES).map(|index| Engine {
+            started_at: if index % 2 == 0 {
                 started_at
             } else {
                 Micros(0)
             },
-            ..engine(1 + wave * LISTED + place)
+            ..engine(1 + wave * LISTED_ENGINES + index)
         });
         let list = Event::List {
             kind: ListKind::Complete,
-            engines: listed.collect(),
+            engines: entries.collect(),
         };
-        let done = harness.handle_all(vec![list]);
-        end(&mut harness, done, &mut attempts);
+        let actions = harness.handle_all(vec![list]);
+        end_attempts(&mut harness, actions, &mut attempt_counts);
         for number in 0..REQUESTS / waves {
             let id = wave * (REQUESTS / waves) + number + 1;
             harness.now = harness.now + Micros(1500);
@@ -52,69 +52,84 @@
                 table_group: TableGroupId(id % 5000),
                 ..query(id, class)
             };
-            let done = harness.handle_all(vec![Event::Request(query)]);
-            end(&mut harness, done, &mut attempts);
+            let actions = harness.handle_all(vec![Event::Request(query)]);
+            end_attempts(&mut harness, actions, &mut attempt_counts);
         }
-        let kept = harness.gateway.state_sizes();
-        most.engines = most.engines.max(kept.engines);
-        most.requests = most.requests.max(kept.requests);
-        most.keys = most.keys.max(kept.keys);
-        most.recent_entries = most.recent_entries.max(kept.recent_entries);
+        let sizes = harness.gateway.state_sizes();
+        max_sizes.engines = max_sizes.engines.max(sizes.engines);
+        max_sizes.requests = max_sizes.requests.max(sizes.requests);
+        max_sizes.keys = max_sizes.keys.max(sizes.keys);
+        max_sizes.recent_entries = max_sizes.recent_entries.max(sizes.recent_entries);
     }
-    assert!(most.engines <= 2 * LISTED as usize, "{most:?}");
     assert!(
-        most.requests < 200 && most.keys < 200 && most.recent_entries < 2000,
-        "{most:?}"
+        max_sizes.engines <= 2 * LISTED_ENGINES as usize,
+        "{max_sizes:?}"
     );
-    // All that waited has had its time.
+    assert!(
+        max_sizes.requests < 200 && max_sizes.keys < 200 && max_sizes.recent_entries < 2000,
+        "{max_sizes:?}"
+    );
+    // After a minute every queued request has passed its deadline.
     harness.now = harness.now + ms(60_000);
-    let done = harness.handle_all(vec![Event::Timer(TimerId(0))]);
-    end(&mut harness, done, &mut attempts);
-    let left = harness.gateway.state_sizes();
-    assert_eq!((left.requests, left.queued_requests), (0, 0), "{left:?}");
-    assert!(left.engines <= LISTED as usize, "{left:?}");
+    let actions = harness.handle_all(vec![Event::Timer(TimerId(0))]);
+    end_attempts(&mut harness, actions, &mut attempt_counts);
+    let remaining = harness.gateway.state_sizes();
+    assert_eq!(
+        (remaining.requests, remaining.queued_requests),
+        (0, 0),
+        "{remaining:?}"
+    );
+    assert!(
+        remaining.engines <= LISTED_ENGINES as usize,
+        "{remaining:?}"
+    );
 }
 
-/// Attempts made, by request.
-type Attempts = std::collections::HashMap<u64, u32>;
+/// Number of attempts of each request.
+type AttemptCounts = std::collections::HashMap<u64, u32>;
 
-/// Ends what was sent, one request in twenty each with an error, a time-out, a reset or a client that leaves.
-fn end(harness: &mut Harness, done: Vec<Action>, attempts: &mut Attempts) {
-    let mut sent: Vec<(u64, u32, u64)> = Vec::new();
-    let mut actions = done;
+/// Ends all attempts in flight: one in twenty each with an error, a timeout, a reset, a failed connection and a client that
+/// leaves, the others with an answer.
+fn end_attempts(
+    harness: &mut Harness,
+    initial_actions: Vec<Action>,
+    attempt_counts: &mut AttemptCounts,
+) {
+    let mut in_flight: Vec<(u64, u32, u64)> = Vec::new();
+    let mut actions = initial_actions;
     loop {
         for action in actions {
             if let Action::Send {
                 request, engine, ..
             } = action
             {
-                let count = attempts.entry(request.0).or_insert(0);
-                sent.push((request.0, *count, engine.0));
+                let count = attempt_counts.entry(request.0).or_insert(0);
+                in_flight.push((request.0, *count, engine.0));
                 *count += 1;
             }
         }
-        let Some((id, attempt, engine)) = sent.pop() else {
+        let Some((id, attempt, engine)) = in_flight.pop() else {
             return;
         };
-        let mut more = Vec::new();
-        let how = match splitmix64(id ^ u64::from(attempt) << 40) % 20 {
+        let mut new_actions = Vec::new();
+        let outcome = match splitmix64(id ^ u64::from(attempt) << 40) % 20 {
             0 => Outcome::Error,
             1 => Outcome::TimedOut,
             2 => Outcome::Reset,
             3 => Outcome::ConnectFailed,
             4 => {
-                more = harness.handle_all(vec![Event::ClientLeft(RequestId(id))]);
+                new_actions = harness.handle_all(vec![Event::ClientLeft(RequestId(id))]);
                 Outcome::Cancelled
             }
             _ => Outcome::Ok,
         };
-        more.extend(harness.handle_all(vec![attempt_ended(
+        new_actions.extend(harness.handle_all(vec![attempt_ended(
             id,
             attempt,
             engine,
-            how,
-            how == Outcome::Ok,
+            outcome,
+            outcome == Outcome::Ok,
         )]));
-        actions = more;
+        actions = new_actions;
     }
 }
