--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,6 +22,8 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { engine: EngineId(1), .. })));
 //! ```
 
+#![deny(clippy::too_many_lines)]
+
 mod fleet_scan;
 mod handover;
 mod interface;
