--- a/src/fleet_scan/tests.rs
+++ b/src/fleet_scan/tests.rs
@@ -1,5 +1,5 @@
-//! Skipping a scan of the engines must not change a decision: a gateway that scans in each call must act the same as one
-//! that scans only after changes.
+//! Skipping a scan of the engines must not change a decision: a gateway that scans in each call must act the
+//! same as one that scans only after changes.
 
 use crate::interface::*;
 use crate::policy::Gateway;
@@ -58,8 +58,13 @@
     }
 }
 
-/// Random events of engines and clients after the attempts that were sent.
-fn events(random: &mut Random, now: Micros, in_flight: &mut VecDeque<AttemptEnded>) -> Vec<Event> {
+/// Draws random events: new requests, outcomes of the oldest attempts in flight, changes of the engine list,
+/// replies to probes.
+fn random_events(
+    random: &mut Random,
+    now: Micros,
+    in_flight: &mut VecDeque<AttemptEnded>,
+) -> Vec<Event> {
     let mut events = Vec::new();
     for _ in 0..random.below(3) {
         let class = ClassId(random.below(3) as usize);
@@ -76,19 +81,19 @@
         events.push(Event::Request(query));
     }
     for _ in 0..random.below(3) {
-        let Some(mut end) = in_flight.pop_front() else {
+        let Some(mut attempt) = in_flight.pop_front() else {
             break;
         };
-        end.outcome = match random.below(8) {
+        attempt.outcome = match random.below(8) {
             0 => Outcome::Reset,
             1 => Outcome::ConnectFailed,
             2 => Outcome::TimedOut,
             3 => Outcome::Rejected,
             _ => Outcome::Ok,
         };
-        end.request_finished = end.outcome == Outcome::Ok;
-        end.elapsed = Micros::from_millis(5 + random.below(900));
-        events.push(Event::Ended(end));
+        attempt.request_finished = attempt.outcome == Outcome::Ok;
+        attempt.elapsed = Micros::from_millis(5 + random.below(900));
+        events.push(Event::Ended(attempt));
     }
     if random.below(20) == 0 {
         let id = 1 + random.below(12);
@@ -110,6 +115,7 @@
     events
 }
 
+/// Feeds the same events to both gateways and compares their actions and ejected engines.
 fn compare_gateways(seed: u64, gateways: u32) {
     let mut random = Random(seed);
     let (mut always_scans, mut scans_on_change) = (
@@ -117,19 +123,19 @@
         Gateway::new(settings(gateways), seed),
     );
     let mut now = Micros::from_millis(10_000);
-    let listed = (1..=10).map(|id| engine(id, EngineState::Ready, Micros(0)));
-    let mut next = vec![Event::List {
+    let entries = (1..=10).map(|id| engine(id, EngineState::Ready, Micros(0)));
+    let mut next_events = vec![Event::List {
         kind: ListKind::Complete,
-        engines: listed.collect(),
+        engines: entries.collect(),
     }];
     let mut in_flight = VecDeque::new();
     let mut sent = 0;
     for _ in 0..1500 {
         always_scans.scan.is_outdated = true;
-        let actions = always_scans.handle(now, next.clone());
+        let actions = always_scans.handle(now, next_events.clone());
         assert_eq!(
             actions,
-            scans_on_change.handle(now, next),
+            scans_on_change.handle(now, next_events),
             "seed {seed} at {now:?}"
         );
         assert_eq!(
@@ -145,12 +151,12 @@
                 sent += 1;
                 let earlier = in_flight
                     .iter()
-                    .filter(|end: &&AttemptEnded| end.request == *request);
+                    .filter(|attempt: &&AttemptEnded| attempt.request == *request);
                 assert_eq!(earlier.count(), 0, "two attempts are in flight");
-                let known = &always_scans.requests[request];
+                let request_state = &always_scans.requests[request];
                 in_flight.push_back(AttemptEnded {
                     request: *request,
-                    attempt: AttemptNo(known.attempts.len() as u32 - 1),
+                    attempt: AttemptNo(request_state.attempts.len() as u32 - 1),
                     engine: *engine,
                     outcome: Outcome::Ok,
                     elapsed: Micros(0),
@@ -161,9 +167,9 @@
             }
         }
         now = now + Micros(random.below(40 * MS));
-        next = events(&mut random, now, &mut in_flight);
+        next_events = random_events(&mut random, now, &mut in_flight);
     }
-    assert!(sent > 100, "{sent}");
+    assert!(sent > 100, "only {sent} sends");
 }
 
 #[test]
