--- a/tests/bounded_state.rs
+++ b/tests/bounded_state.rs
@@ -1,4 +1,5 @@
-//! The state of a gateway stays bounded during a long run with many requests and ten thousand engines, listed in turn.
+//! The state of a gateway stays bounded during a long run with many requests and ten thousand engines, listed
+//! in turn.
 
 mod common;
 use common::*;
@@ -9,8 +10,9 @@
 /// Number of engines that are listed at the same time.
 const LISTED_ENGINES: u64 = 20;
 
-/// Submits requests with keys and table groups, and ends their attempts with various outcomes or a client that leaves; half
-/// of the engines are cold. In the end no request and only listed engines remain in the state.
+/// Submits requests with keys and table groups, and ends their attempts with various outcomes or a client
+/// that leaves; half of the engines are cold. In the end no request and only listed engines remain in the
+/// state.
 #[test]
 fn the_state_stays_bounded_with_many_requests_and_ten_thousand_engines() {
     let settings = Settings {
@@ -88,8 +90,8 @@
 /// Number of attempts of each request.
 type AttemptCounts = std::collections::HashMap<u64, u32>;
 
-/// Ends all attempts in flight: one in twenty each with an error, a timeout, a reset, a failed connection and a client that
-/// leaves, the others with an answer.
+/// Ends all attempts in flight: one in twenty each with an error, a timeout, a reset, a failed connection and
+/// a client that leaves, the others with an answer.
 fn end_attempts(
     harness: &mut Harness,
     initial_actions: Vec<Action>,
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -202,8 +202,8 @@
     failing
 }
 
-/// Guards against taking an error for a sign of health, which ended an engine's trial and cleared its consecutive failures:
-/// an engine that failed fast attracted traffic.
+/// Guards against taking an error for a sign of health, which ended an engine's trial and cleared its
+/// consecutive failures: an engine that failed fast attracted traffic.
 #[test]
 fn an_engine_that_fails_queries_which_others_answer_is_ejected() {
     let mut harness = Harness::with_engines(settings(), 3);
@@ -211,8 +211,8 @@
     assert!(!answered_targets(&mut harness, 10, 60).contains(&failing));
 }
 
-/// Guards against ejecting engines for the errors of invalid requests: the engines were ejected one after another, and the
-/// remaining ones got all the traffic.
+/// Guards against ejecting engines for the errors of invalid requests: the engines were ejected one after
+/// another, and the remaining ones got all the traffic.
 #[test]
 fn a_request_that_fails_on_every_engine_ejects_none() {
     let mut harness = Harness::with_engines(settings(), 3);
@@ -250,8 +250,8 @@
     assert!(next.is_some_and(|target| target != loading), "{next:?}");
 }
 
-/// Guards against exempting queries that may wait for loads from the search for lost attempts: one that its engine had
-/// lost stayed in flight until its deadline. Without a note it does not wait for a load.
+/// Guards against exempting queries that may wait for loads from the search for lost attempts: one that its
+/// engine had lost stayed in flight until its deadline. Without a note it does not wait for a load.
 #[test]
 fn an_attempt_without_notes_is_lost_even_if_it_may_wait_for_a_load() {
     let mut settings = settings();
@@ -271,7 +271,8 @@
     assert_eq!(harness.advance(100), vec![cancel]);
 }
 
-/// Guards against an attempt that stayed in flight until its deadline after its engine, which answered others, lost it.
+/// Guards against an attempt that stayed in flight until its deadline after its engine, which answered
+/// others, lost it.
 #[test]
 fn an_attempt_without_notes_from_a_healthy_engine_is_lost() {
     let mut harness = Harness::with_engines(settings(), 3);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -90,8 +90,8 @@
     assert_eq!(harness.end_attempt(1, 0, target, Outcome::Ok), vec![]);
 }
 
-/// Sends a keyed load to engine 1 or 4 and returns which; then lists engines 1 to 5. Engines 1 and 2 share a cell, 3 is
-/// in another cell of their zone; 4 and 5 share a cell of a second zone.
+/// Sends a keyed load to engine 1 or 4 and returns which; then lists engines 1 to 5. Engines 1 and 2 share a
+/// cell, 3 is in another cell of their zone; 4 and 5 share a cell of a second zone.
 fn harness_with_keyed_load(scope: DedupScope) -> (Harness, u64) {
     let mut settings = settings();
     settings.classes[LOAD].effect = Effect::Keyed(scope);
@@ -150,8 +150,9 @@
     }
 }
 
-/// Connecting may take longer than the rest of the deduplication window; the retry must then not start. The window
-/// begins with the first attempt that may have run, and a window too short for a send to arrive allows no retry.
+/// Connecting may take longer than the rest of the deduplication window; the retry must then not start. The
+/// window begins with the first attempt that may have run, and a window too short for a send to arrive allows
+/// no retry.
 #[test]
 fn a_keyed_retry_carries_the_time_by_which_it_must_start() {
     let starts_by = |actions: &[Action]| {
@@ -178,7 +179,8 @@
         );
         let first_sent_at = harness.now;
         let target = sent_to(&first).expect("an engine is ready");
-        // This attempt never ran, so the window does not begin; it begins with the next one, which may have run.
+        // This attempt never ran, so the window does not begin; it begins with the next one, which may have
+        // run.
         let retry_actions = harness.end_attempt(1, 0, target, Outcome::ConnectFailed);
         assert_eq!(starts_by(&retry_actions), Some(None));
         harness.now = harness.now + ms(100);
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -1,5 +1,5 @@
-//! One of many gateways on shared engines: its share of an engine is less than one query, so that it is limited by its
-//! share of the whole fleet.
+//! One of many gateways on shared engines: its share of an engine is less than one query, so that it is
+//! limited by its share of the whole fleet.
 
 mod common;
 use common::*;
@@ -22,7 +22,8 @@
     actions.iter().filter_map(engine).collect()
 }
 
-/// Guards against a gateway that may always have one query on every engine: the gateways together then had no limit.
+/// Guards against a gateway that may always have one query on every engine: the gateways together then had no
+/// limit.
 #[test]
 fn a_gateway_is_limited_by_its_share_of_the_fleet_if_its_share_of_an_engine_is_under_one_query() {
     let mut harness = Harness::with_engines(many_gateways(), 8);
@@ -32,7 +33,8 @@
     assert!((1..8).contains(&sent), "{sent} queries sent at once");
 }
 
-/// Guards against a common engine order of a table group: all gateways then sent a hot group to the same engine.
+/// Guards against a common engine order of a table group: all gateways then sent a hot group to the same
+/// engine.
 #[test]
 fn gateways_prefer_different_engines_for_the_same_table_group() {
     let preferred = |seed| {
@@ -88,7 +90,8 @@
     assert_eq!(sent, [probed[1]]);
 }
 
-/// Submits requests and answers each one after `elapsed_ms`. Clients of requests that are not sent at once give up.
+/// Submits requests and answers each one after `elapsed_ms`. Clients of requests that are not sent at once
+/// give up.
 fn answer_requests(harness: &mut Harness, ids: std::ops::RangeInclusive<u64>, elapsed_ms: u64) {
     for id in ids {
         let Some(sent) = targets(&harness.submit(id, LIGHT)).first().copied() else {
@@ -108,8 +111,8 @@
     }
 }
 
-/// Guards against a fixed limit, which refused random bursts at single gateways while engines were idle, and against a
-/// limit that only grew, which overcommitted every engine's memory many times over.
+/// Guards against a fixed limit, which refused random bursts at single gateways while engines were idle, and
+/// against a limit that only grew, which overcommitted every engine's memory many times over.
 #[test]
 fn the_concurrency_limit_grows_while_answers_are_quick_and_shrinks_when_they_indicate_congestion() {
     let mut harness = Harness::with_engines(many_gateways(), 8);
@@ -140,7 +143,8 @@
         congested <= 2,
         "{congested}: more than the share of the fleet"
     );
-    // The limit stays bounded however long answers are quick: engines must bear a burst of all gateways at once.
+    // The limit stays bounded however long answers are quick: engines must bear a burst of all gateways at
+    // once.
     answer_requests(&mut harness, 241..=500, 60);
     let after_long_calm = burst(&mut harness, 4000);
     assert!(
@@ -149,7 +153,8 @@
     );
 }
 
-/// Guards against counting heavy queries in flight against light ones: half of the look-ups were then refused.
+/// Guards against counting heavy queries in flight against light ones: half of the look-ups were then
+/// refused.
 #[test]
 fn heavy_queries_in_flight_do_not_delay_light_ones() {
     let mut harness = Harness::with_engines(many_gateways(), 8);
@@ -159,8 +164,8 @@
     assert_eq!(targets(&harness.submit(20, LIGHT)).len(), 1);
 }
 
-/// Guards against taking the queue for memory, which costs an engine no work, for congestion: the concurrency limit then
-/// stayed at one share, and heavy queries were refused.
+/// Guards against taking the queue for memory, which costs an engine no work, for congestion: the concurrency
+/// limit then stayed at one share, and heavy queries were refused.
 #[test]
 fn the_concurrency_limit_stays_at_two_shares_or_more_if_engines_queue_for_memory() {
     let sent_after_slow_answers = |queues_for_memory| {
@@ -184,8 +189,8 @@
     );
 }
 
-/// Share of the fleet's memory that all gateways together have in flight after quick answers, when each gets far more
-/// requests than it may send. Each query is counted as one 250th of that memory.
+/// Share of the fleet's memory that all gateways together have in flight after quick answers, when each gets
+/// far more requests than it may send. Each query is counted as one 250th of that memory.
 fn memory_share_in_flight(settings: &Settings) -> f64 {
     let sent = |gateway_index: u32| {
         let settings = Settings {
@@ -209,9 +214,9 @@
     (0..settings.gateways).map(sent).sum::<usize>() as f64 / 250.0
 }
 
-/// Guards against two faults: without a limit that holds however quick earlier answers were, a burst filled the memory of
-/// all engines at once; with one query always allowed, hundreds of gateways used more memory than the engines have. With
-/// 300 gateways a gateway's share is less than one query, with 64 it is several.
+/// Guards against two faults: without a limit that holds however quick earlier answers were, a burst filled
+/// the memory of all engines at once; with one query always allowed, hundreds of gateways used more memory
+/// than the engines have. With 300 gateways a gateway's share is less than one query, with 64 it is several.
 #[test]
 fn all_gateways_together_use_a_limited_share_of_the_memory_if_engines_page() {
     for gateways in [64, 300] {
@@ -227,9 +232,9 @@
     }
 }
 
-/// Guards against two faults: a gateway's share of cold engines was used on warm ones, on top of their own share, and
-/// requests in flight on warm engines kept admission tokens from being used. With six of ten engines cold, these got a
-/// seventh of the work that they could do.
+/// Guards against two faults: a gateway's share of cold engines was used on warm ones, on top of their own
+/// share, and requests in flight on warm engines kept admission tokens from being used. With six of ten
+/// engines cold, these got a seventh of the work that they could do.
 #[test]
 fn cold_engines_are_limited_by_admission_tokens_apart_from_warm_ones() {
     let sent = |cold_engines: u64| {
@@ -271,7 +276,8 @@
     );
 }
 
-/// Guards against refusing the only queued request of a tenant with a small share while another tenant has many.
+/// Guards against refusing the only queued request of a tenant with a small share while another tenant has
+/// many.
 #[test]
 fn one_queued_request_of_a_small_tenant_does_not_exceed_its_share() {
     let tenant = |share| Tenant {
@@ -298,8 +304,8 @@
     assert!(refused.len() > 5 && !refused.contains(&10), "{refused:?}");
 }
 
-/// Guards against taking the slowness of cold engines for congestion, which lowered the concurrency limit of gateways
-/// that used them.
+/// Guards against taking the slowness of cold engines for congestion, which lowered the concurrency limit of
+/// gateways that used them.
 #[test]
 fn slow_answers_of_cold_engines_do_not_indicate_congestion() {
     let sent = |started_at: Micros, seed: u64| {
--- a/tests/priorities.rs
+++ b/tests/priorities.rs
@@ -41,7 +41,8 @@
     granted_memory_share: None,
 };
 
-/// Guards against holding light queries back while heavy ones keep all engines busy: they were then hardly served.
+/// Guards against holding light queries back while heavy ones keep all engines busy: they were then hardly
+/// served.
 #[test]
 fn a_light_class_is_sent_to_engines_that_heavy_queries_keep_busy() {
     assert!(is_sent(settings_with_reports(true), BUSY, LIGHT));
--- a/tests/randomized_events.rs
+++ b/tests/randomized_events.rs
@@ -1,5 +1,5 @@
-//! Feeds a gateway seeded random events, valid and invalid ones, and checks its actions against the seven invariants of
-//! `tests/invariants.rs` with records that are independent of the gateway's state.
+//! Feeds a gateway seeded random events, valid and invalid ones, and checks its actions against the seven
+//! invariants of `tests/invariants.rs` with records that are independent of the gateway's state.
 
 mod common;
 
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,5 @@
-//! Scheduling of requests: immediate sends, queues and credit, thread budget, queue bounds and choice of the engine.
+//! Scheduling of requests: immediate sends, queues and credit, thread budget, queue bounds and choice of the
+//! engine.
 
 mod common;
 
@@ -46,7 +47,8 @@
     }
 }
 
-/// Keeps three requests of each class and tenant queued; returns how many of each were sent in `rounds` releases.
+/// Keeps three requests of each class and tenant queued; returns how many of each were sent in `rounds`
+/// releases.
 fn count_releases(
     harness: &mut Harness,
     classes: usize,
@@ -149,7 +151,8 @@
 
 #[test]
 fn a_light_release_costs_less_credit_so_that_heavy_queries_do_not_starve_light_ones() {
-    // Guards against a price of one credit per release, whatever its work: the light class then got one release in 21.
+    // Guards against a price of one credit per release, whatever its work: the light class then got one
+    // release in 21.
     let mut settings = classes_by_worth(&[1.0, 20.0]);
     settings.classes[1].threads = 2.0;
     let mut harness = harness_under_pressure(settings);
--- a/tests/stalled_engines.rs
+++ b/tests/stalled_engines.rs
@@ -32,8 +32,8 @@
     harness
 }
 
-/// Guards against trusting the load report of a stalled engine: it looks idle, as queries that wait for its disks use no
-/// cores. It was sent more queries than any other engine and never recovered.
+/// Guards against trusting the load report of a stalled engine: it looks idle, as queries that wait for its
+/// disks use no cores. It was sent more queries than any other engine and never recovered.
 #[test]
 fn a_stalled_engine_is_ejected_and_its_queries_go_to_other_engines() {
     let mut harness = trained_harness(many_gateways());
@@ -83,7 +83,8 @@
     assert_eq!(harness.handle(started), vec![]);
 }
 
-/// A heavy query, or one on a busy engine, may progress too slowly for its client although the engine is not stalled.
+/// A heavy query, or one on a busy engine, may progress too slowly for its client although the engine is not
+/// stalled.
 #[test]
 fn a_query_that_progresses_is_not_cancelled() {
     let mut harness = trained_harness(many_gateways());
@@ -93,8 +94,8 @@
     assert_eq!(harness.handle(progress), vec![]);
 }
 
-/// If a probe costs a considerable share of a request's worth, fewer are sent, and they are not repeated while the request
-/// waits.
+/// If a probe costs a considerable share of a request's worth, fewer are sent, and they are not repeated
+/// while the request waits.
 #[test]
 fn the_more_a_probe_costs_the_fewer_are_sent() {
     let probe_count = |probe_cost: f64| {
@@ -116,8 +117,8 @@
     assert!((1..=3).contains(&counts[2]), "{counts:?}");
 }
 
-/// Guards against ejecting an engine for one stalled attempt if gateways are few: one of three gateways lost the engine,
-/// and with it a third of the capacity that it could use.
+/// Guards against ejecting an engine for one stalled attempt if gateways are few: one of three gateways lost
+/// the engine, and with it a third of the capacity that it could use.
 #[test]
 fn one_of_few_gateways_ejects_no_engine_for_one_stalled_attempt() {
     let few_gateways = Settings {
@@ -131,8 +132,9 @@
     assert_eq!(harness.handle(slow_note), vec![]);
 }
 
-/// Guards against limits shorter than the interval of checks: a look-up of a class that usually takes half a millisecond
-/// was cancelled after three milliseconds, on every retry, and refused while its answer was on the way.
+/// Guards against limits shorter than the interval of checks: a look-up of a class that usually takes half a
+/// millisecond was cancelled after three milliseconds, on every retry, and refused while its answer was on
+/// the way.
 #[test]
 fn an_attempt_is_not_overdue_within_a_few_check_intervals() {
     let mut harness = Harness::with_engines(settings(), 2);
@@ -155,8 +157,8 @@
     Event::Note(RequestId(id), AttemptNo(0), Note::Progress(0.01))
 }
 
-/// Guards against taking a bad plan for a stalled engine: in a class with many bad plans, each one ejected an engine
-/// for seconds.
+/// Guards against taking a bad plan for a stalled engine: in a class with many bad plans, each one ejected an
+/// engine for seconds.
 #[test]
 fn a_bad_plan_on_an_engine_that_answers_others_quickly_ejects_no_engine() {
     let mut harness = trained_harness(many_gateways());
