--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,11 +1,12 @@
-//! Two processes of one gateway: what the one holds counts for the other.
+//! Two processes of one gateway during an upgrade: each counts the usage of the other as its own.
 
 mod common;
 
 use common::*;
 use sedgebeam_core::*;
 
-fn held(engine: u64, threads: f64, work: f64) -> HandoverState {
+/// The state of a process with `threads` in flight on the engine, which sent `work_core_s` to it at 100 s.
+fn usage_of_engine(engine: u64, threads: f64, work_core_s: f64) -> HandoverState {
     HandoverState {
         engines: vec![EngineHandover {
             engine: EngineId(engine),
@@ -13,7 +14,7 @@
                 threads,
                 ..EngineUsage::default()
             },
-            recent_sends: vec![(ms(100_000), work)],
+            recent_sends: vec![(ms(100_000), work_core_s)],
             ..EngineHandover::default()
         }],
         ..HandoverState::default()
@@ -21,21 +22,25 @@
 }
 
 #[test]
-fn what_another_process_has_out_on_an_engine_counts_as_own() {
-    // A budget of 32 threads, as nothing is pressed; the other has all of it.
-    let mut bench = Bench::with_engines(settings(), 1);
-    bench
+fn threads_in_flight_of_the_peer_process_count_as_own() {
+    // Without pressure the budget is 32 threads, and the peer process uses all of it.
+    let mut harness = Harness::with_engines(settings(), 1);
+    harness
         .gateway
-        .set_peer_process_usage(bench.now, &held(1, 32.0, 0.0), true);
-    assert_eq!(sent_to(&bench.request(1, HEAVY)), None);
-    bench
+        .set_peer_process_usage(harness.now, &usage_of_engine(1, 32.0, 0.0), true);
+    assert_eq!(sent_to(&harness.submit(1, HEAVY)), None);
+    harness
         .gateway
-        .set_peer_process_usage(bench.now, &HandoverState::default(), true);
-    assert_eq!(sent_to(&bench.wait(10)), Some(1), "the other has gone");
+        .set_peer_process_usage(harness.now, &HandoverState::default(), true);
+    assert_eq!(
+        sent_to(&harness.advance(10)),
+        Some(1),
+        "the peer process has ended"
+    );
 }
 
-/// An engine that started a second ago.
-fn cold(now: Micros) -> Engine {
+/// An engine that started one second before `now`.
+fn cold_engine(now: Micros) -> Engine {
     Engine {
         started_at: now - ms(1000),
         ..engine(1)
@@ -43,97 +48,116 @@
 }
 
 #[test]
-fn cold_engines_get_nothing_while_another_process_sends_to_them_nor_a_window_later() {
+fn cold_engines_get_nothing_while_the_peer_process_may_use_them_nor_one_window_later() {
     let window = settings().overload_window;
-    let mut bench = Bench::new(settings());
-    bench.now = bench.now + window;
-    let started = cold(bench.now);
-    bench.list(vec![started]);
-    let mut last = bench.now;
+    let mut harness = Harness::new(settings());
+    harness.now = harness.now + window;
+    let started = cold_engine(harness.now);
+    harness.set_engines(vec![started]);
+    let mut last_denied_at = harness.now;
     for _ in 0..30 {
-        last = bench.now;
-        bench
+        last_denied_at = harness.now;
+        harness
             .gateway
-            .set_peer_process_usage(bench.now, &HandoverState::default(), false);
-        assert_eq!(bench.request(bench.now.0, LIGHT), vec![]);
-        bench.wait(100);
+            .set_peer_process_usage(harness.now, &HandoverState::default(), false);
+        assert_eq!(harness.submit(harness.now.0, LIGHT), vec![]);
+        harness.advance(100);
     }
-    bench
+    harness
         .gateway
-        .set_peer_process_usage(bench.now, &HandoverState::default(), true);
+        .set_peer_process_usage(harness.now, &HandoverState::default(), true);
     let mut id = 1;
-    while sent_to(&bench.request(id, LIGHT)).is_none() {
+    while sent_to(&harness.submit(id, LIGHT)).is_none() {
         id += 1;
-        bench.wait(10);
-        assert!(bench.now < last + window + ms(100), "it may again");
+        harness.advance(10);
+        assert!(
+            harness.now < last_denied_at + window + ms(100),
+            "it may use cold engines again"
+        );
     }
-    assert!(bench.now >= last + window, "{:?} after {last:?}", bench.now);
+    assert!(
+        harness.now >= last_denied_at + window,
+        "{:?} after {last_denied_at:?}",
+        harness.now
+    );
 }
 
 #[test]
-fn work_that_another_process_sent_to_a_cold_engine_counts_in_its_window() {
-    let mut bench = Bench::new(settings());
-    let started = cold(bench.now);
-    bench.list(vec![started]);
-    bench.now = bench.now + settings().overload_window;
-    let all = held(1, 0.0, 1e6);
-    bench
+fn work_that_the_peer_process_sent_to_a_cold_engine_counts_in_the_overload_window() {
+    let mut harness = Harness::new(settings());
+    let started = cold_engine(harness.now);
+    harness.set_engines(vec![started]);
+    harness.now = harness.now + settings().overload_window;
+    let peer_usage = usage_of_engine(1, 0.0, 1e6);
+    harness
         .gateway
-        .set_peer_process_usage(ms(100_001), &all, true);
-    assert_eq!(sent_to(&bench.request(1, LIGHT)), None);
-    bench
+        .set_peer_process_usage(ms(100_001), &peer_usage, true);
+    assert_eq!(sent_to(&harness.submit(1, LIGHT)), None);
+    harness
         .gateway
-        .set_peer_process_usage(ms(200_000), &all, true);
-    assert_eq!(sent_to(&bench.request(2, LIGHT)), Some(1), "it is long ago");
+        .set_peer_process_usage(ms(200_000), &peer_usage, true);
+    assert_eq!(
+        sent_to(&harness.submit(2, LIGHT)),
+        Some(1),
+        "the window has passed"
+    );
 }
 
 #[test]
-fn a_process_begins_with_what_the_one_before_it_learned() {
-    let mut old = Bench::with_engines(settings(), 2);
-    let to = sent_to(&old.request(1, LIGHT)).expect("an engine is ready");
-    // Refused connects set an engine aside.
-    old.ends(1, 0, to, Outcome::ConnectFailed);
-    old.request(2, LIGHT);
-    while let Some(again) = sent_to(&old.request(old.now.0, LIGHT)) {
-        if again == to {
-            old.ends(old.now.0, 0, to, Outcome::ConnectFailed);
+fn a_new_process_adopts_the_statistics_of_the_old_one() {
+    let mut old = Harness::with_engines(settings(), 2);
+    let target = sent_to(&old.submit(1, LIGHT)).expect("an engine is ready");
+    // Refused connections eject an engine.
+    old.end_attempt(1, 0, target, Outcome::ConnectFailed);
+    old.submit(2, LIGHT);
+    while let Some(next_target) = sent_to(&old.submit(old.now.0, LIGHT)) {
+        if next_target == target {
+            old.end_attempt(old.now.0, 0, target, Outcome::ConnectFailed);
         }
         old.now = old.now + ms(1);
         if old
             .gateway
             .ejected_engines()
             .iter()
-            .any(|(id, _)| id.0 == to)
+            .any(|(id, _)| id.0 == target)
         {
             break;
         }
     }
-    let learned = old.gateway.handover_state();
-    let mut new = Bench::with_engines(settings(), 2);
+    let state = old.gateway.handover_state();
+    let mut new = Harness::with_engines(settings(), 2);
     new.now = old.now;
-    new.gateway.restore(&learned);
-    let avoided = new.gateway.ejected_engines();
-    assert_eq!(avoided.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [to]);
+    new.gateway.restore(&state);
+    let ejected = new.gateway.ejected_engines();
+    assert_eq!(
+        ejected.iter().map(|(id, _)| id.0).collect::<Vec<_>>(),
+        [target]
+    );
     for id in 10..14 {
-        assert_ne!(sent_to(&new.request(id, LIGHT)), Some(to));
+        assert_ne!(sent_to(&new.submit(id, LIGHT)), Some(target));
     }
-    let (was, is) = (
-        learned.classes[LIGHT].accepted_requests,
+    let (accepted_before, restored) = (
+        state.classes[LIGHT].accepted_requests,
         new.gateway.handover_state(),
     );
-    assert_eq!(is.classes[LIGHT].accepted_requests, was + 4.0);
+    assert_eq!(
+        restored.classes[LIGHT].accepted_requests,
+        accepted_before + 4.0
+    );
 }
 
 #[test]
-fn the_last_call_answers_everything_once() {
-    let mut bench = Bench::with_engines(settings(), 1);
-    bench.request(1, LIGHT);
-    bench.request(2, LOAD);
-    let full = held(1, 32.0, 0.0);
-    bench.gateway.set_peer_process_usage(bench.now, &full, true);
-    bench.request(3, HEAVY);
-    let done = bench.on(Event::Shutdown);
-    // What may have run must not be said to be harmless.
-    assert!(refused(&done, 1) && failed(&done, 2) && refused(&done, 3));
-    assert_eq!(bench.on(Event::Shutdown), vec![]);
+fn shutdown_answers_every_request_once() {
+    let mut harness = Harness::with_engines(settings(), 1);
+    harness.submit(1, LIGHT);
+    harness.submit(2, LOAD);
+    let peer_usage = usage_of_engine(1, 32.0, 0.0);
+    harness
+        .gateway
+        .set_peer_process_usage(harness.now, &peer_usage, true);
+    harness.submit(3, HEAVY);
+    let actions = harness.handle(Event::Shutdown);
+    // A load that may have run must fail rather than be refused.
+    assert!(is_refused(&actions, 1) && is_failed(&actions, 2) && is_refused(&actions, 3));
+    assert_eq!(harness.handle(Event::Shutdown), vec![]);
 }
