--- a/dispatcher/tests/under_load.rs
+++ b/dispatcher/tests/under_load.rs
@@ -356,7 +356,7 @@
 /// A platform with one engine, and clients that ask throughout.
 struct Field {
     platform: Platform,
-    seen: Arc<engine::Seen>,
+    seen: Arc<engine::LoadCounts>,
     told: Arc<Told>,
     clients: Vec<tokio::task::JoinHandle<()>>,
 }
@@ -366,7 +366,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let seen = Arc::new(engine::Seen::default());
+        let seen = Arc::new(engine::LoadCounts::default());
         tokio::spawn(engine::serve(listener, seen.clone()));
         let platform = Platform::new(number, address);
         let told = Arc::new(Told::default());
@@ -412,7 +412,7 @@
         assert_eq!(told.lost(), Vec::<String>::new(), "seed {seed}");
     }
     finish(&told, clients).await;
-    assert_eq!(seen.doubled(), 0, "a load was sent twice");
+    assert_eq!(seen.take_duplicates(), 0, "a load was sent twice");
     let served = told.served.load(Ordering::Relaxed);
     assert!(served > 20 * count, "{served} served in {count} upgrades");
     println!(
@@ -484,7 +484,7 @@
             assert!(answer.starts_with("200") && serving.call("PING").await.starts_with("200"));
         }
         finish(&told, clients).await;
-        assert_eq!(seen.doubled(), 0, "a load was sent twice");
+        assert_eq!(seen.take_duplicates(), 0, "a load was sent twice");
     });
 }
 
--- a/lab/src/door.rs
+++ b/lab/src/control_latency.rs
@@ -1,10 +1,10 @@
 //! The experiment on the door: how long operators wait for an answer while the program is asked for more than
 //! it can do, and while callers connect and finish nothing.
 
-use crate::cores::{FIRMS, World};
-use crate::load::{self, Play};
-use crate::plan::Traffic;
-use crate::program::{Program, Setting};
+use crate::dispatcher_process::{DispatcherOptions, DispatcherProcess};
+use crate::load_generator::{self, LoadOptions};
+use crate::traffic::Traffic;
+use crate::worker_scaling::{TENANTS, Testbed};
 use clap::Args;
 use hdrhistogram::Histogram;
 use std::io;
@@ -19,7 +19,7 @@
 const CALL_EVERY: Duration = Duration::from_millis(10);
 
 #[derive(Args)]
-pub struct Door {
+pub struct ControlLatency {
     /// The program.
     #[arg(long, default_value = "target/release/sedgebeam")]
     program: PathBuf,
@@ -36,7 +36,7 @@
     seed: u64,
 }
 
-impl Door {
+impl ControlLatency {
     pub fn run(&self) -> io::Result<()> {
         println!("rate/s   answered/s   call   calls   p50 ms   p99 ms   most ms   wrong");
         for rate in &self.rates {
@@ -46,9 +46,9 @@
     }
 
     fn at(&self, rate: f64) -> io::Result<()> {
-        let world = World::new(4, 2)?;
-        let firms = FIRMS.iter().map(|(name, part)| (name.to_string(), *part));
-        let setting = Setting {
+        let world = Testbed::new(4, 2)?;
+        let firms = TENANTS.iter().map(|(name, part)| (name.to_string(), *part));
+        let setting = DispatcherOptions {
             workers: 1,
             shards: None,
             pin: false,
@@ -58,20 +58,20 @@
             firms: firms.collect(),
         };
         world.runtime.block_on(async {
-            let program = Program::start(&self.program, &setting).await?;
+            let program = DispatcherProcess::start(&self.program, &setting).await?;
             let door = program.control.ok_or(io::ErrorKind::NotFound)?;
             let length = Duration::from_secs_f64(self.seconds);
             let traffic = Traffic {
                 seed: self.seed,
                 rate,
                 length,
-                firms: FIRMS.iter().map(|(_, part)| *part).collect(),
+                firms: TENANTS.iter().map(|(_, part)| *part).collect(),
                 groups: 64,
                 service: [Duration::from_millis(1); 3],
             };
-            let play = Play {
+            let play = LoadOptions {
                 address: program.address,
-                firms: FIRMS.iter().map(|(name, _)| name.to_string()).collect(),
+                firms: TENANTS.iter().map(|(name, _)| name.to_string()).collect(),
                 sessions: 200,
                 warm_up: Duration::from_millis(500),
                 limit: Duration::from_secs(5),
@@ -80,13 +80,13 @@
             let mutes = tokio::spawn(async move { callers_that_finish_nothing(door, mute).await });
             let pings = tokio::spawn(calls(door, "PING", "200", length));
             let infos = tokio::spawn(calls(door, "INFO", "EOF", length));
-            let loaded = load::play(traffic.jobs(), play).await?;
+            let loaded = load_generator::generate(traffic.schedule(), play).await?;
             for (call, told) in [("PING", pings), ("INFO", infos)] {
                 let (times, wrong) = told.await.map_err(io::Error::other)??;
                 let at = |percent| times.value_at_percentile(percent) as f64 / 1000.0;
                 println!(
                     "{rate:>6.0} {:>12.0}   {call}  {:>6} {:>8.2} {:>8.2} {:>9.2} {wrong:>7}",
-                    (loaded.all_served() + loaded.refused + loaded.failed) as f64 / self.seconds,
+                    (loaded.served_total() + loaded.refused + loaded.failed) as f64 / self.seconds,
                     times.len(),
                     at(50.0),
                     at(99.0),
--- a/lab/src/decide.rs
+++ b/lab/src/decision_throughput.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 #[derive(Args)]
-pub struct Decide {
+pub struct DecisionThroughput {
     /// Numbers of threads.
     #[arg(long, value_delimiter = ',', default_value = "1,2,4,8")]
     threads: Vec<usize>,
@@ -154,7 +154,7 @@
     }
 }
 
-impl Decide {
+impl DecisionThroughput {
     pub fn run(&self) -> io::Result<()> {
         println!("{} cores", thread::available_parallelism()?.get());
         println!("threads  decisions/s: one behind a lock     shards with a ledger");
--- a/lab/src/program.rs
+++ b/lab/src/dispatcher_process.rs
@@ -13,7 +13,7 @@
 
 /// What it is told.
 #[derive(Clone, Debug)]
-pub struct Setting {
+pub struct DispatcherOptions {
     pub workers: usize,
     pub shards: Option<usize>,
     pub pin: bool,
@@ -26,7 +26,7 @@
     pub firms: Vec<(String, f64)>,
 }
 
-pub struct Program {
+pub struct DispatcherProcess {
     child: Child,
     pub address: SocketAddr,
     /// Where operators call.
@@ -34,7 +34,7 @@
     folder: PathBuf,
 }
 
-impl Setting {
+impl DispatcherOptions {
     fn config(&self) -> serde_json::Value {
         let engines = self.engines.iter().enumerate().map(|(place, address)| {
             serde_json::json!({
@@ -87,9 +87,9 @@
     }
 }
 
-impl Program {
+impl DispatcherProcess {
     /// Starts it and waits until it takes clients.
-    pub async fn start(path: &Path, setting: &Setting) -> io::Result<Program> {
+    pub async fn start(path: &Path, setting: &DispatcherOptions) -> io::Result<DispatcherProcess> {
         let folder = std::env::temp_dir().join(format!("sedgebeam-lab-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let file = folder.join(format!("workers-{}.json", setting.workers));
@@ -128,7 +128,7 @@
                 }
             }
         });
-        Ok(Program {
+        Ok(DispatcherProcess {
             child,
             address,
             control,
@@ -137,9 +137,9 @@
     }
 
     /// Processor time that it has used, of all its threads.
-    pub fn cpu(&self) -> io::Result<Duration> {
+    pub fn cpu_time(&self) -> io::Result<Duration> {
         let id = self.child.id().ok_or(io::ErrorKind::NotFound)?;
-        cpu_of(&id.to_string())
+        process_cpu_time(&id.to_string())
     }
 
     pub async fn stop(mut self) -> io::Result<()> {
@@ -147,7 +147,7 @@
     }
 }
 
-impl Drop for Program {
+impl Drop for DispatcherProcess {
     fn drop(&mut self) {
         // What is left behind is a file in the temporary folder.
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -155,7 +155,7 @@
 }
 
 /// Processor time that a process has used, by its number or `self`.
-pub fn cpu_of(process: &str) -> io::Result<Duration> {
+pub fn process_cpu_time(process: &str) -> io::Result<Duration> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
     // Behind the name, which may hold spaces: user and system time are the 12th and 13th field.
     let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
--- a/lab/src/engine.rs
+++ b/lab/src/engine.rs
@@ -14,18 +14,18 @@
 
 /// What all engines have seen: loads by their names, for a second copy.
 #[derive(Default)]
-pub struct Seen {
+pub struct LoadCounts {
     loads: Mutex<HashMap<Bytes, u32>>,
 }
 
-impl Seen {
+impl LoadCounts {
     fn load(&self, id: Bytes) {
         let mut loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         *loads.entry(id).or_default() += 1;
     }
 
     /// Loads that came more than once since this was asked last, to whichever engine.
-    pub fn doubled(&self) -> usize {
+    pub fn take_duplicates(&self) -> usize {
         let mut loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         let loads = std::mem::take(&mut *loads);
         loads.values().filter(|count| **count > 1).count()
@@ -37,7 +37,7 @@
 const ROW: &[u8] = b"2026-11-30\t42\tposted\n";
 
 /// Takes connections for ever.
-pub async fn serve(listener: TcpListener, seen: Arc<Seen>) {
+pub async fn serve(listener: TcpListener, seen: Arc<LoadCounts>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -52,7 +52,7 @@
     }
 }
 
-async fn connection(stream: TcpStream, seen: Arc<Seen>) -> io::Result<()> {
+async fn connection(stream: TcpStream, seen: Arc<LoadCounts>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut read, mut write) = stream.into_split();
     let (answers, mut waiting) = mpsc::channel::<Vec<u8>>(WAITING);
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet_scenarios.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 #[derive(Args)]
-pub struct Fleet {
+pub struct FleetScenarios {
     /// Sizes, as GATEWAYS/ENGINES.
     #[arg(long, value_delimiter = ',', default_value = "300/80")]
     sizes: Vec<String>,
@@ -35,7 +35,7 @@
     io::Error::new(io::ErrorKind::InvalidInput, what.to_string())
 }
 
-impl Fleet {
+impl FleetScenarios {
     pub fn run(&self) -> io::Result<()> {
         println!(
             "size kind seed   worth  att/r  cold  falls   class: served late refused at-once/waiting/after failed lost"
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,12 +1,12 @@
 //! Stand-in engines, open-loop load and experiments on the dispatcher, on loopback.
 
-pub mod cores;
-pub mod decide;
-pub mod door;
+pub mod control_latency;
+pub mod decision_throughput;
+pub mod dispatcher_process;
 pub mod engine;
-pub mod fleet;
-pub mod load;
-pub mod plan;
-pub mod program;
-pub mod search;
+pub mod fleet_scenarios;
+pub mod load_generator;
+pub mod rate_search;
+pub mod traffic;
 pub mod wire;
+pub mod worker_scaling;
--- a/lab/src/load.rs
+++ b/lab/src/load_generator.rs
@@ -2,7 +2,7 @@
 //! earlier ones, and their latency counts from when they were due. One that finds no free session waits,
 //! and that wait counts.
 
-use crate::plan::{CLASSES, Job};
+use crate::traffic::{CLASSES, ScheduledRequest};
 use crate::wire;
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
@@ -15,7 +15,7 @@
 
 /// How a run is played.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct LoadOptions {
     pub address: SocketAddr,
     pub firms: Vec<String>,
     /// Sessions of each firm.
@@ -28,7 +28,7 @@
 
 /// What became of the requests that counted, by class and firm.
 #[derive(Clone)]
-pub struct Result {
+pub struct LoadResult {
     /// From when a request was due until it was served, in microseconds.
     pub latency: Histogram<u64>,
     pub served: Vec<Vec<u64>>,
@@ -37,10 +37,10 @@
     pub due: u64,
 }
 
-impl Result {
-    fn new(firms: usize) -> io::Result<Result> {
+impl LoadResult {
+    fn new(firms: usize) -> io::Result<LoadResult> {
         let latency = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        Ok(Result {
+        Ok(LoadResult {
             latency,
             served: vec![vec![0; firms]; CLASSES.len()],
             refused: 0,
@@ -49,7 +49,7 @@
         })
     }
 
-    fn add(&mut self, other: &Result) -> io::Result<()> {
+    fn add(&mut self, other: &LoadResult) -> io::Result<()> {
         self.latency.add(&other.latency).map_err(io::Error::other)?;
         for (sum, more) in self
             .served
@@ -65,12 +65,12 @@
         Ok(())
     }
 
-    pub fn all_served(&self) -> u64 {
+    pub fn served_total(&self) -> u64 {
         self.served.iter().flatten().sum()
     }
 
     /// A percentile of the latency, in milliseconds.
-    pub fn percentile(&self, percent: f64) -> f64 {
+    pub fn latency_percentile_ms(&self, percent: f64) -> f64 {
         self.latency.value_at_percentile(percent) as f64 / 1000.0
     }
 }
@@ -83,14 +83,14 @@
 }
 
 /// Plays the jobs and waits for their answers.
-pub async fn play(jobs: Vec<Job>, play: Play) -> io::Result<Result> {
+pub async fn generate(jobs: Vec<ScheduledRequest>, play: LoadOptions) -> io::Result<LoadResult> {
     let mut queues = Vec::new();
     let mut sessions = Vec::new();
     let start = Instant::now() + Duration::from_millis(200);
     for firm in 0..play.firms.len() {
         // Unbounded on purpose: what is due must never wait for what was due before. It holds no more than
         // the jobs that were drawn.
-        let (queue, jobs) = async_channel::unbounded::<Job>();
+        let (queue, jobs) = async_channel::unbounded::<ScheduledRequest>();
         for _ in 0..play.sessions {
             sessions.push(tokio::spawn(session(jobs.clone(), play.clone(), start)));
         }
@@ -107,7 +107,7 @@
         }
     }
     drop(queues);
-    let mut sum = Result::new(play.firms.len())?;
+    let mut sum = LoadResult::new(play.firms.len())?;
     for session in sessions {
         sum.add(&session.await.map_err(io::Error::other)??)?;
     }
@@ -116,11 +116,11 @@
 
 /// One session: takes what is due, one after the other, on a connection that it makes anew when it broke.
 async fn session(
-    jobs: async_channel::Receiver<Job>,
-    play: Play,
+    jobs: async_channel::Receiver<ScheduledRequest>,
+    play: LoadOptions,
     start: Instant,
-) -> io::Result<Result> {
-    let mut result = Result::new(play.firms.len())?;
+) -> io::Result<LoadResult> {
+    let mut result = LoadResult::new(play.firms.len())?;
     let mut connection = Connection::open(play.address).await.ok();
     while let Ok(job) = jobs.recv().await {
         let due = start + job.due;
@@ -166,7 +166,12 @@
         Ok(connection)
     }
 
-    async fn ask(&mut self, job: &Job, play: &Play, due: Instant) -> io::Result<Answer> {
+    async fn ask(
+        &mut self,
+        job: &ScheduledRequest,
+        play: &LoadOptions,
+        due: Instant,
+    ) -> io::Result<Answer> {
         let limit = play.limit.saturating_sub(due.elapsed());
         if limit.is_zero() {
             // It has waited for a session until its time was up.
@@ -197,7 +202,7 @@
     }
 }
 
-fn statement(job: &Job, play: &Play, limit: Duration) -> String {
+fn statement(job: &ScheduledRequest, play: &LoadOptions, limit: Duration) -> String {
     let (class, _, threads) = CLASSES[job.class];
     let work = job.service.as_secs_f64() * 1000.0 * f64::from(threads);
     let (group, takes) = (job.group, job.service.as_micros());
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The laboratory's command line.
 
 use clap::{Parser, Subcommand};
-use sedgebeam_lab::{cores, decide, door, fleet};
+use sedgebeam_lab::{control_latency, decision_throughput, fleet_scenarios, worker_scaling};
 use std::process::ExitCode;
 
 /// Experiments on the dispatcher: the real program between stand-in engines and open-loop load, on loopback.
@@ -15,21 +15,25 @@
 #[derive(Subcommand)]
 enum Experiment {
     /// Throughput, latency, CPU and fairness by the number of workers.
-    Cores(cores::Cores),
+    #[command(name = "cores")]
+    WorkerScaling(worker_scaling::WorkerScaling),
     /// What decisions cost by themselves: one gateway behind a lock, and shards with a ledger.
-    Decide(decide::Decide),
+    #[command(name = "decide")]
+    DecisionThroughput(decision_throughput::DecisionThroughput),
     /// How long operators wait at the door while the program is asked for more than it can do.
-    Door(door::Door),
+    #[command(name = "door")]
+    ControlLatency(control_latency::ControlLatency),
     /// What whole fleets serve in virtual time when some of it breaks, and which door turned the rest away.
-    Fleet(fleet::Fleet),
+    #[command(name = "fleet")]
+    FleetScenarios(fleet_scenarios::FleetScenarios),
 }
 
 fn main() -> ExitCode {
     let ran = match Arguments::parse().experiment {
-        Experiment::Cores(cores) => cores.run(),
-        Experiment::Decide(decide) => decide.run(),
-        Experiment::Door(door) => door.run(),
-        Experiment::Fleet(fleet) => fleet.run(),
+        Experiment::WorkerScaling(experiment) => experiment.run(),
+        Experiment::DecisionThroughput(experiment) => experiment.run(),
+        Experiment::ControlLatency(experiment) => experiment.run(),
+        Experiment::FleetScenarios(experiment) => experiment.run(),
     };
     match ran {
         Ok(()) => ExitCode::SUCCESS,
--- a/lab/src/search.rs
+++ b/lab/src/rate_search.rs
@@ -2,7 +2,7 @@
 
 /// Grows a rate until it is not held any more, and then halves the distance in between.
 #[derive(Debug)]
-pub struct Search {
+pub struct RateSearch {
     held: f64,
     missed: Option<f64>,
     next: f64,
@@ -13,9 +13,9 @@
 /// By this factor a rate grows while it is held.
 const GROWTH: f64 = 1.5;
 
-impl Search {
-    pub fn new(first: f64, steps: u32) -> Search {
-        Search {
+impl RateSearch {
+    pub fn new(first: f64, steps: u32) -> RateSearch {
+        RateSearch {
             held: 0.0,
             missed: None,
             next: first,
@@ -24,11 +24,11 @@
     }
 
     /// The rate to try next; `None` once the search is over.
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_rate(&self) -> Option<f64> {
         (self.steps > 0).then_some(self.next)
     }
 
-    pub fn tell(&mut self, held: bool) {
+    pub fn record(&mut self, held: bool) {
         if held {
             self.held = self.next;
         } else {
@@ -44,7 +44,7 @@
     }
 
     /// The highest rate that was held.
-    pub fn held(&self) -> f64 {
+    pub fn highest_sustained(&self) -> f64 {
         self.held
     }
 }
@@ -56,14 +56,14 @@
     #[test]
     fn the_highest_rate_is_found_to_within_its_steps() {
         for truth in [130.0, 1000.0, 4321.0, 90_000.0] {
-            let mut search = Search::new(500.0, 6);
+            let mut search = RateSearch::new(500.0, 6);
             let mut tries = 0;
-            while let Some(rate) = search.next() {
-                search.tell(rate <= truth);
+            while let Some(rate) = search.next_rate() {
+                search.record(rate <= truth);
                 tries += 1;
             }
             assert!(
-                search.held() <= truth && search.held() > truth * 0.93,
+                search.highest_sustained() <= truth && search.highest_sustained() > truth * 0.93,
                 "{search:?}"
             );
             assert!(tries < 25);
--- a/lab/src/plan.rs
+++ b/lab/src/traffic.rs
@@ -14,7 +14,7 @@
 
 /// A request that is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Job {
+pub struct ScheduledRequest {
     /// From the start of the run.
     pub due: Duration,
     pub id: u64,
@@ -55,7 +55,7 @@
 
 impl Traffic {
     /// The requests in the order in which they are due: arrivals that don't wait for one another (Poisson).
-    pub fn jobs(&self) -> Vec<Job> {
+    pub fn schedule(&self) -> Vec<ScheduledRequest> {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         // A rate that is no number sends nothing.
         let Ok(gaps) = Exp::new(self.rate) else {
@@ -71,7 +71,7 @@
             let class = place(CLASSES.map(|(_, share, _)| share), random.random());
             // Between half of the mean and one and a half: spread, but without a tail of its own.
             let service = self.service[class].mul_f64(random.random_range(0.5..1.5));
-            jobs.push(Job {
+            jobs.push(ScheduledRequest {
                 due: Duration::from_secs_f64(due),
                 id: random.random(),
                 class,
@@ -100,17 +100,17 @@
 
     #[test]
     fn a_seed_draws_the_same_traffic_again_and_another_draws_other() {
-        assert_eq!(traffic().jobs(), traffic().jobs());
+        assert_eq!(traffic().schedule(), traffic().schedule());
         let other = Traffic {
             seed: 8,
             ..traffic()
         };
-        assert_ne!(traffic().jobs(), other.jobs());
+        assert_ne!(traffic().schedule(), other.schedule());
     }
 
     #[test]
     fn rates_and_shares_are_those_asked_for() {
-        let jobs = traffic().jobs();
+        let jobs = traffic().schedule();
         let part = |count: usize| count as f64 / jobs.len() as f64;
         assert!((jobs.len() as f64 / 20_000.0 - 1.0).abs() < 0.03);
         assert!(jobs.is_sorted_by_key(|job| job.due));
--- a/lab/src/cores.rs
+++ b/lab/src/worker_scaling.rs
@@ -1,11 +1,11 @@
 //! The experiment on several cores: for each number of workers the highest throughput held, latency at half
 //! of it, processor time for a request, and how far shares under overload are from what is owed.
 
-use crate::engine::{self, Seen};
-use crate::load::{self, Play};
-use crate::plan::{CLASSES, Traffic};
-use crate::program::{self, Program, Setting};
-use crate::search::Search;
+use crate::dispatcher_process::{self, DispatcherOptions, DispatcherProcess};
+use crate::engine::{self, LoadCounts};
+use crate::load_generator::{self, LoadOptions};
+use crate::rate_search::RateSearch;
+use crate::traffic::{CLASSES, Traffic};
 use clap::Args;
 use serde::Serialize;
 use std::io;
@@ -17,7 +17,7 @@
 use tokio::runtime::{Builder, Runtime};
 
 /// Firms and their shares.
-pub const FIRMS: [(&str, f64); 3] = [
+pub const TENANTS: [(&str, f64); 3] = [
     ("fraser-cpa", 0.62),
     ("island-ledger", 0.26),
     ("kootenay-books", 0.12),
@@ -30,7 +30,7 @@
 const STEPS: u32 = 4;
 
 #[derive(Args)]
-pub struct Cores {
+pub struct WorkerScaling {
     /// Numbers of workers, in the order in which they are measured.
     #[arg(long, value_delimiter = ',', default_value = "1,2,4,8")]
     workers: Vec<usize>,
@@ -113,26 +113,26 @@
     apart.fold(0.0, f64::max)
 }
 
-pub struct World {
+pub struct Testbed {
     pub runtime: Runtime,
     pub engines: Vec<SocketAddr>,
-    seen: Arc<Seen>,
+    seen: Arc<LoadCounts>,
 }
 
-impl World {
-    pub fn new(threads: usize, engines: usize) -> io::Result<World> {
+impl Testbed {
+    pub fn new(threads: usize, engines: usize) -> io::Result<Testbed> {
         let runtime = Builder::new_multi_thread()
             .worker_threads(threads)
             .enable_all()
             .build()?;
-        let seen = Arc::new(Seen::default());
+        let seen = Arc::new(LoadCounts::default());
         let mut addresses = Vec::new();
         for _ in 0..engines {
             let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0"))?;
             addresses.push(listener.local_addr()?);
             runtime.spawn(engine::serve(listener, seen.clone()));
         }
-        Ok(World {
+        Ok(Testbed {
             runtime,
             engines: addresses,
             seen,
@@ -142,7 +142,7 @@
 
 /// A run and the processor time that the program used for it.
 struct Run {
-    result: load::Result,
+    result: load_generator::LoadResult,
     cpu: Duration,
     rate: f64,
     /// What part of their threads' time the load and the engines used: near one, they gave in themselves.
@@ -152,12 +152,12 @@
 
 impl Run {
     fn holds(&self, p99_ms: f64) -> bool {
-        let served = self.result.all_served() as f64 >= SERVED * self.result.due as f64;
-        served && self.result.percentile(99.0) <= p99_ms
+        let served = self.result.served_total() as f64 >= SERVED * self.result.due as f64;
+        served && self.result.latency_percentile_ms(99.0) <= p99_ms
     }
 }
 
-impl Cores {
+impl WorkerScaling {
     pub fn run(&self) -> io::Result<()> {
         let machine_cores = std::thread::available_parallelism()?.get();
         println!(
@@ -165,7 +165,7 @@
             self.load_threads
         );
         println!(
-            "workers     held/s   cpu us     p50     p99   p99.9  firms off  class off  doubled loads"
+            "workers     held/s   cpu us     p50     p99   p99.9  firms off  class off  take_duplicates loads"
         );
         let mut rows = Vec::new();
         for workers in &self.workers {
@@ -206,10 +206,10 @@
     }
 
     fn row(&self, workers: usize) -> io::Result<Row> {
-        let world = World::new(self.load_threads, 8)?;
-        let mut search = Search::new(self.rate, STEPS);
+        let world = Testbed::new(self.load_threads, 8)?;
+        let mut search = RateSearch::new(self.rate, STEPS);
         let (mut best, mut doubled_loads): (Option<Run>, usize) = (None, 0);
-        while let Some(rate) = search.next() {
+        while let Some(rate) = search.next_rate() {
             let mut run = self.play(&world, workers, rate, 64, &self.light(rate))?;
             doubled_loads += run.doubled_loads;
             if !run.holds(self.p99) {
@@ -220,8 +220,8 @@
             let held = run.holds(self.p99);
             eprintln!(
                 "  {workers} workers at {rate:.0}/s: p99 {:.1} ms, {} of {} served, load {:.0}% busy, program {:.1} cores{}",
-                run.result.percentile(99.0),
-                run.result.all_served(),
+                run.result.latency_percentile_ms(99.0),
+                run.result.served_total(),
                 run.result.due,
                 100.0 * run.load_busy,
                 run.cpu.as_secs_f64() / self.seconds,
@@ -230,10 +230,10 @@
             if held {
                 best = Some(run);
             }
-            search.tell(held);
+            search.record(held);
         }
         let best = best.ok_or_else(|| io::Error::other("not even the first rate is held"))?;
-        let half = search.held() / 2.0;
+        let half = search.highest_sustained() / 2.0;
         let half = self.play(&world, workers, half, 64, &self.light(half))?;
         let shares = if self.no_shares {
             None
@@ -244,9 +244,9 @@
             workers,
             held_per_s: best.rate,
             cpu_us: best.cpu.as_secs_f64() * 1e6 / (best.rate * self.seconds),
-            p50_ms: half.result.percentile(50.0),
-            p99_ms: half.result.percentile(99.0),
-            p999_ms: half.result.percentile(99.9),
+            p50_ms: half.result.latency_percentile_ms(50.0),
+            p99_ms: half.result.latency_percentile_ms(99.0),
+            p999_ms: half.result.latency_percentile_ms(99.9),
             shares,
             doubled_loads,
         })
@@ -258,7 +258,7 @@
             seed: self.seed,
             rate,
             length: Duration::from_secs_f64(self.seconds),
-            firms: FIRMS.map(|(_, share)| share).to_vec(),
+            firms: TENANTS.map(|(_, share)| share).to_vec(),
             groups: 40,
             service: [2, 4, 4].map(Duration::from_millis),
         }
@@ -266,51 +266,54 @@
 
     fn play(
         &self,
-        world: &World,
+        world: &Testbed,
         workers: usize,
         rate: f64,
         engine_cores: u32,
         traffic: &Traffic,
     ) -> io::Result<Run> {
-        let setting = Setting {
+        let setting = DispatcherOptions {
             workers,
             shards: self.shards,
             pin: self.pin,
             control: false,
             engines: world.engines.clone(),
             engine_cores,
-            firms: FIRMS
+            firms: TENANTS
                 .map(|(name, share)| (name.to_string(), share))
                 .to_vec(),
         };
         world.runtime.block_on(async {
-            let program = Program::start(&self.program, &setting).await?;
-            let (before, own) = (program.cpu()?, program::cpu_of("self")?);
-            let play = Play {
+            let program = DispatcherProcess::start(&self.program, &setting).await?;
+            let (before, own) = (
+                program.cpu_time()?,
+                dispatcher_process::process_cpu_time("self")?,
+            );
+            let play = LoadOptions {
                 address: program.address,
-                firms: FIRMS.map(|(name, _)| name.to_string()).to_vec(),
+                firms: TENANTS.map(|(name, _)| name.to_string()).to_vec(),
                 sessions: 600,
                 warm_up: WARM_UP,
                 limit: Duration::from_secs(4),
             };
-            let result = load::play(traffic.jobs(), play).await?;
-            let cpu = program.cpu()? - before;
+            let result = load_generator::generate(traffic.schedule(), play).await?;
+            let cpu = program.cpu_time()? - before;
             program.stop().await?;
-            let own = program::cpu_of("self")? - own;
+            let own = dispatcher_process::process_cpu_time("self")? - own;
             let most = traffic.length.as_secs_f64() * self.load_threads as f64;
             Ok(Run {
                 result,
                 cpu,
                 rate,
                 load_busy: own.as_secs_f64() / most,
-                doubled_loads: world.seen.doubled(),
+                doubled_loads: world.seen.take_duplicates(),
             })
         })
     }
 
     /// Three times what the engines' slots allow, from three firms alike: what each gets is its share.
     fn shares(&self, workers: usize) -> io::Result<Shares> {
-        let world = World::new(self.load_threads, 4)?;
+        let world = Testbed::new(self.load_threads, 4)?;
         let seconds = 12.0;
         let rate = 7000.0;
         let traffic = Traffic {
@@ -337,14 +340,14 @@
         let firm = |firm: usize| points(times.iter().map(|class| class[firm]).sum());
         Ok(Shares {
             asked_per_s: rate,
-            served_per_s: run.result.all_served() as f64 / (seconds - WARM_UP.as_secs_f64()),
+            served_per_s: run.result.served_total() as f64 / (seconds - WARM_UP.as_secs_f64()),
             refused: run.result.refused,
             failed: run.result.failed,
             by_class: times
                 .iter()
                 .map(|class| points(class.iter().sum()))
                 .collect(),
-            by_firm: (0..FIRMS.len()).map(firm).collect(),
+            by_firm: (0..TENANTS.len()).map(firm).collect(),
             class_error: 0.0,
             firm_error: 0.0,
         })
--- a/virtual/src/clients.rs
+++ b/virtual/src/clients.rs
@@ -22,7 +22,7 @@
 /// How much traffic there is, and how it is spread over the gateways.
 pub(crate) struct Traffic {
     /// Multiple of the deployment's usual traffic.
-    pub multiple: f64,
+    pub multiplier: f64,
     /// By gateway.
     weights: Vec<f64>,
 }
@@ -34,7 +34,7 @@
             _ => 1.0,
         };
         Traffic {
-            multiple: 1.0,
+            multiplier: 1.0,
             weights: (0..gateways).map(weight).collect(),
         }
     }
@@ -54,7 +54,7 @@
     /// Has this step's requests of all classes arrive.
     pub(crate) fn generate_arrivals(&mut self) {
         for class in 0..self.deployment.profiles.len() {
-            let rate = self.deployment.rate(class) * self.traffic.multiple;
+            let rate = self.deployment.rate(class) * self.traffic.multiplier;
             let mean = rate * STEP.0 as f64 / 1e6;
             let arrivals =
                 Poisson::new(mean).map_or(0.0, |poisson| poisson.sample(&mut self.rng)) as u64;
--- a/virtual/src/deployment.rs
+++ b/virtual/src/deployment.rs
@@ -1,6 +1,6 @@
 //! Deployments: how many gateways and engines, what is asked of them, and by which settings.
 
-use crate::engine_model::{CORES, MEMORY_MB};
+use crate::engine_model::{ENGINE_CORES, ENGINE_MEMORY_MB};
 use sedgebeam_core::{
     Class, DedupScope, Effect, Kind, LoadReportMode, Micros, Settings, Tenant, ZoneId,
 };
@@ -71,8 +71,8 @@
             classes: vec![class("light", 1.0, 1.0, 300, 1500), heavy, load],
             tenants: vec![tenant("a", 0.5), tenant("b", 0.3), tenant("c", 0.2)],
             kinds: vec![Kind {
-                cores: CORES,
-                memory_mb: MEMORY_MB,
+                cores: ENGINE_CORES,
+                memory_mb: ENGINE_MEMORY_MB,
             }],
             max_attempts: 3,
             may_cancel: true,
@@ -160,7 +160,7 @@
     /// Requests a second of a class, over all gateways.
     pub fn rate(&self, class: usize) -> f64 {
         let profile = self.profiles[class];
-        let offered_cores = self.offered_load * self.engines as f64 * CORES;
+        let offered_cores = self.offered_load * self.engines as f64 * ENGINE_CORES;
         offered_cores * profile.work_share / profile.mean_work
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// The settings of one gateway.
-    pub fn settings_of(&self, number: u32) -> Settings {
+    pub fn gateway_settings(&self, number: u32) -> Settings {
         Settings {
             gateway_index: Some(number),
             zone: Some(self.zone(u64::from(number))),
--- a/virtual/src/engine_model.rs
+++ b/virtual/src/engine_model.rs
@@ -13,8 +13,8 @@
 use std::collections::BTreeMap;
 
 /// Cores and memory of every engine.
-pub const CORES: f64 = 12.0;
-pub const MEMORY_MB: f64 = 24576.0;
+pub const ENGINE_CORES: f64 = 12.0;
+pub const ENGINE_MEMORY_MB: f64 = 24576.0;
 /// Threads a core beyond which more threads lower the throughput.
 const THRASHING_THREADS_PER_CORE: f64 = 1.8;
 /// How much each further thread a core lowers it.
@@ -146,7 +146,7 @@
         if !self.is_cold(now, settings) {
             return 0.0;
         }
-        let capacity = CORES * self.warm_share(now, settings);
+        let capacity = ENGINE_CORES * self.warm_share(now, settings);
         let allowed_work = capacity * settings.overload_multiple * window.0 as f64 / 1e6;
         let allowed = allowed_work / mean_work.max(1e-9);
         let arrived = self.recent_arrivals.work() / mean_work.max(1e-9);
@@ -194,16 +194,16 @@
 
     /// Memory that is missing, as a multiple of what there is.
     fn memory_shortage(&self) -> f64 {
-        (self.memory_mb() / MEMORY_MB - 1.0).max(0.0)
+        (self.memory_mb() / ENGINE_MEMORY_MB - 1.0).max(0.0)
     }
 
     /// Core seconds done in a second, by all that runs.
     fn throughput(&self, now: Micros, settings: &Settings) -> f64 {
-        let excess_threads = (self.threads() / CORES - THRASHING_THREADS_PER_CORE).max(0.0);
+        let excess_threads = (self.threads() / ENGINE_CORES - THRASHING_THREADS_PER_CORE).max(0.0);
         let thrashing = 1.0 + THRASHING_COST * excess_threads;
         let paging = 1.0 + PAGING_COST * self.memory_shortage();
         let slowdown = self.impairment.slowdown.max(1.0);
-        CORES * self.warm_share(now, settings) / thrashing / paging / slowdown
+        ENGINE_CORES * self.warm_share(now, settings) / thrashing / paging / slowdown
     }
 
     /// Table groups that are locked by loads.
@@ -258,8 +258,8 @@
         LoadReport {
             active_queries: Some(self.running.len() as f64),
             queries_waiting_for_memory: Some(0.0),
-            busy_cores_share: Some((self.threads() / CORES).min(1.0) / paging),
-            granted_memory_share: Some((self.memory_mb() / MEMORY_MB).min(1.0)),
+            busy_cores_share: Some((self.threads() / ENGINE_CORES).min(1.0) / paging),
+            granted_memory_share: Some((self.memory_mb() / ENGINE_MEMORY_MB).min(1.0)),
         }
     }
 }
--- a/virtual/src/engines.rs
+++ b/virtual/src/engines.rs
@@ -1,6 +1,6 @@
 //! The simulated engines: what they run in a step, and how attempts end.
 
-use crate::engine_model::{CORES, EngineModel, QueryReport, RunningQuery};
+use crate::engine_model::{ENGINE_CORES, EngineModel, QueryReport, RunningQuery};
 use crate::requests::OpenRequest;
 use crate::rules::Rule;
 use crate::simulation::{START, STEP, Simulation};
@@ -73,7 +73,7 @@
             return;
         }
         if engine.is_cold(now, settings) && !engine.draining {
-            let capacity = CORES * engine.warm_share(now, settings);
+            let capacity = ENGINE_CORES * engine.warm_share(now, settings);
             self.metrics.cold_capacity += capacity * STEP.0 as f64 / 1e6;
         }
         let (zone, silent) = (engine.zone, engine.impairment.silent);
--- a/virtual/src/fault_injection.rs
+++ b/virtual/src/fault_injection.rs
@@ -21,11 +21,15 @@
             Fault::ImpairEngines { share, impairment } => self.impair_engines(share, impairment),
             Fault::ZoneOutage { zone, duration } => self.stop_zone(zone, duration),
             Fault::ZonePartition { zone, duration } => self.partition_zone(zone, duration),
-            Fault::RestartGateways { from, to, downtime } => {
-                self.restart_gateways(from, to, downtime);
+            Fault::RestartGateways {
+                from_share,
+                to_share,
+                downtime,
+            } => {
+                self.restart_gateways(from_share, to_share, downtime);
             }
             Fault::ResetConnections { share } => self.reset_connections(share),
-            Fault::Traffic { multiple } => self.traffic.multiple = multiple,
+            Fault::Traffic { multiplier } => self.traffic.multiplier = multiplier,
             Fault::ReloadSettings { gateways } => self.reload_settings(gateways),
         }
     }
@@ -105,9 +109,9 @@
         self.schedule(heals_at, ScheduledEvent::PartitionHeals(zone));
     }
 
-    fn restart_gateways(&mut self, from: f64, to: f64, downtime: Micros) {
+    fn restart_gateways(&mut self, from_share: f64, to_share: f64, downtime: Micros) {
         let count = self.gateways.len() as f64;
-        let (first, end) = ((from * count).round(), (to * count).round());
+        let (first, end) = ((from_share * count).round(), (to_share * count).round());
         for gateway in first as usize..end as usize {
             self.stop_gateway(gateway);
             let starts_at = self.now + downtime;
@@ -131,7 +135,7 @@
         self.deployment.settings.gateways = gateways;
         for (number, node) in self.gateways.iter_mut().enumerate() {
             node.logic
-                .retune(self.deployment.settings_of(number as u32));
+                .reconfigure(self.deployment.gateway_settings(number as u32));
         }
     }
 }
--- a/virtual/src/faults.rs
+++ b/virtual/src/faults.rs
@@ -19,20 +19,20 @@
     ZonePartition { zone: ZoneId, duration: Micros },
     /// Gateways from this share to that one stop at once and start again after a while, knowing only the list.
     RestartGateways {
-        from: f64,
-        to: f64,
+        from_share: f64,
+        to_share: f64,
         downtime: Micros,
     },
     /// Connections break under this share of the attempts in flight.
     ResetConnections { share: f64 },
     /// So many times the usual traffic, from now on.
-    Traffic { multiple: f64 },
+    Traffic { multiplier: f64 },
     /// New settings reach all gateways: they name so many gateways.
     ReloadSettings { gateways: u32 },
 }
 
 /// Faults by the time since the start.
-pub type Script = Vec<(Micros, Fault)>;
+pub type FaultScript = Vec<(Micros, Fault)>;
 
 /// The scenarios that [`scenario`] knows.
 pub const SCENARIOS: [&str; 11] = [
@@ -50,7 +50,7 @@
 }
 
 /// The script of a scenario; `None` where there is none of this name.
-pub fn scenario(name: &str) -> Option<Script> {
+pub fn scenario(name: &str) -> Option<FaultScript> {
     let once = |fault: Fault| vec![(FAULT_AT, fault)];
     let impaired = |impairment: Impairment| {
         once(Fault::ImpairEngines {
@@ -63,7 +63,7 @@
         ..Impairment::default()
     };
     Some(match name {
-        "calm" => Script::new(),
+        "calm" => FaultScript::new(),
         "replaced" => Fault::replacement(0.6, 4, 2000, 400),
         "rolled" => [
             Fault::rolling_restart(2000, 500),
@@ -71,8 +71,8 @@
         ]
         .concat(),
         "killed" => once(Fault::RestartGateways {
-            from: 0.0,
-            to: 0.7,
+            from_share: 0.0,
+            to_share: 0.7,
             downtime: ms(500),
         }),
         "lost" => once(Fault::ZoneOutage {
@@ -107,7 +107,7 @@
 
 impl Fault {
     /// A share of the engines is replaced in steps; times in milliseconds.
-    pub fn replacement(share: f64, steps: u64, from: u64, interval: u64) -> Script {
+    pub fn replacement(share: f64, steps: u64, from: u64, interval: u64) -> FaultScript {
         let step = Fault::ReplaceEngines {
             share: share / steps as f64,
         };
@@ -116,10 +116,10 @@
     }
 
     /// All gateways restart, a tenth at a time; times in milliseconds.
-    pub fn rolling_restart(from: u64, interval: u64) -> Script {
+    pub fn rolling_restart(from: u64, interval: u64) -> FaultScript {
         let tenth = |number: u64| Fault::RestartGateways {
-            from: number as f64 / 10.0,
-            to: (number + 1) as f64 / 10.0,
+            from_share: number as f64 / 10.0,
+            to_share: (number + 1) as f64 / 10.0,
             downtime: ms(300),
         };
         let tenths = 0..10;
@@ -129,16 +129,16 @@
     }
 
     /// So many times the traffic for a while; times in milliseconds.
-    pub fn burst(multiple: f64, from: u64, duration: u64) -> Script {
-        let traffic = |multiple| Fault::Traffic { multiple };
+    pub fn burst(multiplier: f64, from: u64, duration: u64) -> FaultScript {
+        let traffic = |multiplier| Fault::Traffic { multiplier };
         vec![
-            (ms(from), traffic(multiple)),
+            (ms(from), traffic(multiplier)),
             (ms(from + duration), traffic(1.0)),
         ]
     }
 
     /// Connections break several times, half a second apart.
-    fn repeated_resets(count: u64, share: f64) -> Script {
+    fn repeated_resets(count: u64, share: f64) -> FaultScript {
         let at = |number: u64| FAULT_AT + ms(500 * number);
         let reset = Fault::ResetConnections { share };
         (0..count)
--- a/virtual/src/gateway_logic.rs
+++ b/virtual/src/gateway_logic.rs
@@ -8,7 +8,7 @@
     fn handle(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action>;
 
     /// Takes new settings, where it can.
-    fn retune(&mut self, _settings: Settings) {}
+    fn reconfigure(&mut self, _settings: Settings) {}
 }
 
 impl GatewayLogic for Gateway {
@@ -16,7 +16,7 @@
         Gateway::handle(self, now, events)
     }
 
-    fn retune(&mut self, settings: Settings) {
+    fn reconfigure(&mut self, settings: Settings) {
         Gateway::reconfigure(self, settings);
     }
 }
--- a/virtual/src/gateways.rs
+++ b/virtual/src/gateways.rs
@@ -81,7 +81,7 @@
 impl Simulation {
     /// A gateway that has just started and is told the list as it is.
     pub(crate) fn new_gateway(&mut self, number: u32, incarnation: u32) -> GatewayNode {
-        let settings = self.deployment.settings_of(number);
+        let settings = self.deployment.gateway_settings(number);
         let zone = settings.zone.unwrap_or_default();
         let seed = self.rng.random();
         let mut node = GatewayNode {
--- a/virtual/src/lib.rs
+++ b/virtual/src/lib.rs
@@ -23,8 +23,8 @@
 mod simulation;
 
 pub use deployment::{Deployment, QueryProfile};
-pub use engine_model::{CORES, Impairment, MEMORY_MB};
-pub use faults::{Fault, SCENARIOS, Script, scenario};
+pub use engine_model::{ENGINE_CORES, ENGINE_MEMORY_MB, Impairment};
+pub use faults::{Fault, FaultScript, SCENARIOS, scenario};
 pub use faulty_gateway::{Defect, FaultyGateway};
 pub use gateway_logic::GatewayLogic;
 pub use metrics::{ClassCounts, Metrics, RefusalCounts, WorthPerSecond};
--- a/virtual/src/simulation.rs
+++ b/virtual/src/simulation.rs
@@ -7,7 +7,7 @@
 use crate::deployment::Deployment;
 use crate::engine_model::EngineModel;
 use crate::events::{EventQueue, ScheduledEvent};
-use crate::faults::Script;
+use crate::faults::FaultScript;
 use crate::gateway_logic::GatewayLogic;
 use crate::gateways::GatewayNode;
 use crate::metrics::Metrics;
@@ -51,7 +51,7 @@
 
 impl Simulation {
     /// A simulation of the product's gateways.
-    pub fn new(deployment: Deployment, seed: u64, script: Script) -> Simulation {
+    pub fn new(deployment: Deployment, seed: u64, script: FaultScript) -> Simulation {
         let factory: GatewayFactory =
             Box::new(|settings, seed| Box::new(Gateway::new(settings, seed)));
         Simulation::with_gateways(deployment, seed, script, factory)
@@ -61,7 +61,7 @@
     pub fn with_gateways(
         deployment: Deployment,
         seed: u64,
-        script: Script,
+        script: FaultScript,
         gateway_factory: GatewayFactory,
     ) -> Simulation {
         let mut simulation = Simulation {
--- a/virtual/tests/days.rs
+++ b/virtual/tests/scenarios.rs
@@ -101,8 +101,8 @@
                     vec![(
                         ms(3000),
                         Fault::RestartGateways {
-                            from: 0.0,
-                            to: 0.7,
+                            from_share: 0.0,
+                            to_share: 0.7,
                             downtime: ms(300),
                         },
                     )],
