--- a/virtual/src/actions.rs
+++ b/virtual/src/actions.rs
@@ -1,4 +1,4 @@
-//! What gateways do: attempts, cancellations, probes and final answers, each checked against the rules.
+//! Carries out the actions of gateways (attempts, cancellations, probes, final answers) and checks them against the rules.
 
 use crate::engine_model::RunningQuery;
 use crate::events::ScheduledEvent;
@@ -7,15 +7,15 @@
 use crate::simulation::{STEP, Simulation};
 use sedgebeam_core::{Action, AttemptNo, Effect, EngineId, Event, Micros, Outcome, RequestId};
 
-/// A connection into a zone that is partitioned off fails after this.
+/// Time after which a connection into a partitioned zone fails.
 const CONNECT_TIMEOUT: Micros = Micros::from_millis(250);
 
-/// A final answer other than a result.
+/// A final answer without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Rejection {
-    /// Nothing ran: it is harmless to try again.
+enum ErrorAnswer {
+    /// Nothing ran, so that a retry is safe.
     Refused,
-    /// It may have run.
+    /// The request may have run.
     Failed,
 }
 
@@ -46,15 +46,19 @@
                 timeout,
             }),
             Action::Cancel { request, attempt } => self.cancel(request, attempt),
-            Action::Refuse { request, .. } => self.reject(gateway, request, Rejection::Refused),
-            Action::Fail { request } => self.reject(gateway, request, Rejection::Failed),
+            Action::Refuse { request, .. } => {
+                self.answer_with_error(gateway, request, ErrorAnswer::Refused)
+            }
+            Action::Fail { request } => {
+                self.answer_with_error(gateway, request, ErrorAnswer::Failed)
+            }
             Action::Timer { at, .. } => self.gateways[gateway].set_timer(at),
             Action::Probe { engine } => self.probe(gateway, engine),
             Action::SubscribeToEngineList | Action::Log(_) => {}
         }
     }
 
-    /// Sets the priority of a request's next attempts and of the one in flight.
+    /// Sets the priority of the attempt in flight and of later attempts.
     fn set_priority(&mut self, id: RequestId, priority: usize) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -77,14 +81,14 @@
 
     fn probe(&mut self, gateway: usize, id: EngineId) {
         let engine = self.engines.get(&id);
-        let load = engine
+        let load_report = engine
             .filter(|engine| engine.is_up(self.now))
-            .map(|engine| engine.load());
-        let outcome = match load {
+            .map(|engine| engine.load_report());
+        let outcome = match load_report {
             Some(_) => Outcome::Ok,
             None => Outcome::TimedOut,
         };
-        let probed = Event::Probed(id, outcome, load);
+        let probed = Event::Probed(id, outcome, load_report);
         self.deliver_at(self.now + STEP, gateway, probed);
     }
 
@@ -99,7 +103,7 @@
 
     // ---- Final answers ----
 
-    fn reject(&mut self, gateway: usize, id: RequestId, rejection: Rejection) {
+    fn answer_with_error(&mut self, gateway: usize, id: RequestId, answer: ErrorAnswer) {
         let request = self.requests.get(&id);
         if request.is_none_or(|request| request.gateway != gateway) {
             let detail = format!("request {} of gateway {gateway}", id.0);
@@ -109,14 +113,14 @@
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        if rejection == Rejection::Refused {
+        if answer == ErrorAnswer::Refused {
             self.check_refusal(id, &request);
         }
-        self.count_rejection(&request, rejection);
+        self.count_error_answer(&request, answer);
         self.abandon_attempt(id, &request);
     }
 
-    /// A refusal promises that nothing ran.
+    /// Checks that a refused request has not run: a refusal tells the client that a retry is safe.
     fn check_refusal(&mut self, id: RequestId, request: &OpenRequest) {
         let effect = self.deployment.settings.classes[request.class].effect;
         let may_have_run = request.may_have_run || request.in_flight.is_some();
@@ -127,46 +131,46 @@
         }
     }
 
-    fn count_rejection(&mut self, request: &OpenRequest, rejection: Rejection) {
+    fn count_error_answer(&mut self, request: &OpenRequest, answer: ErrorAnswer) {
         let counts = &mut self.metrics.classes[request.class];
         let waited = self.now > request.arrived_at + STEP;
-        match rejection {
-            Rejection::Failed => counts.failed += 1,
-            Rejection::Refused if request.attempts > 0 => counts.refused.after_attempt += 1,
-            Rejection::Refused if waited => counts.refused.while_waiting += 1,
-            Rejection::Refused => counts.refused.on_arrival += 1,
+        match answer {
+            ErrorAnswer::Failed => counts.failed += 1,
+            ErrorAnswer::Refused if request.attempts > 0 => counts.refused.after_attempt += 1,
+            ErrorAnswer::Refused if waited => counts.refused.while_waiting += 1,
+            ErrorAnswer::Refused => counts.refused.on_arrival += 1,
         }
     }
 
     // ---- Attempts ----
 
-    fn send(&mut self, new: NewAttempt) {
-        if !self.check_send(new) {
+    fn send(&mut self, new_attempt: NewAttempt) {
+        if !self.check_send(new_attempt) {
             return;
         }
-        let Some(request) = self.requests.get_mut(&new.request) else {
+        let Some(request) = self.requests.get_mut(&new_attempt.request) else {
             return;
         };
-        let attempt = request.begin_attempt(new.engine, self.now);
+        let attempt = request.start_attempt(new_attempt.engine, self.now);
         self.metrics.classes[request.class].attempts += 1;
-        match self.connect_failure(new.gateway, new.engine) {
-            Some(after) => {
-                let at = self.now + after;
-                self.fail_attempt_at(at, new.request, attempt, Outcome::ConnectFailed);
+        match self.connect_failure(new_attempt.gateway, new_attempt.engine) {
+            Some(delay) => {
+                let at = self.now + delay;
+                self.fail_attempt_at(at, new_attempt.request, attempt, Outcome::ConnectFailed);
             }
             None => {
-                self.start_query(new, attempt);
-                let at = self.now + new.timeout;
-                self.fail_attempt_at(at, new.request, attempt, Outcome::TimedOut);
+                self.start_query(new_attempt, attempt);
+                let at = self.now + new_attempt.timeout;
+                self.fail_attempt_at(at, new_attempt.request, attempt, Outcome::TimedOut);
             }
         }
     }
 
-    /// Checks an attempt against the rules; false if there is nothing to send.
-    fn check_send(&mut self, new: NewAttempt) -> bool {
+    /// Checks an attempt against the rules. Returns false if it must not be sent.
+    fn check_send(&mut self, new_attempt: NewAttempt) -> bool {
         let (now, settings) = (self.now, &self.deployment.settings);
-        let (gateway, id) = (new.gateway, new.request.0);
-        let request = self.requests.get(&new.request);
+        let (gateway, id) = (new_attempt.gateway, new_attempt.request.0);
+        let request = self.requests.get(&new_attempt.request);
         let Some(request) = request.filter(|request| request.gateway == gateway) else {
             let detail = format!("request {id} is sent after its end");
             self.violations.record(Rule::SingleAnswer, now, detail);
@@ -182,15 +186,16 @@
             let detail = format!("request {id} is sent again");
             self.violations.record(Rule::NoUnsafeRetry, now, detail);
         }
-        let withdrawn = self.gateways[gateway].withdrawn_at(new.engine);
-        if withdrawn.is_some_and(|told| told + settings.drain_grace + STEP < now) {
-            let detail = format!("gateway {gateway} to engine {:x}", new.engine.0);
+        let withdrawn_at = self.gateways[gateway].withdrawn_at(new_attempt.engine);
+        if withdrawn_at.is_some_and(|withdrawn_at| withdrawn_at + settings.drain_grace + STEP < now)
+        {
+            let detail = format!("gateway {gateway} to engine {:x}", new_attempt.engine.0);
             self.violations.record(Rule::NoSendAfterDrain, now, detail);
         }
         true
     }
 
-    /// After how long a connection to the engine fails; none where it does not.
+    /// Time until a connection to the engine fails; `None` if it succeeds.
     fn connect_failure(&self, gateway: usize, engine: EngineId) -> Option<Micros> {
         let Some(engine) = self.engines.get(&engine) else {
             return Some(STEP);
@@ -201,14 +206,14 @@
         (!engine.is_up(self.now)).then_some(STEP)
     }
 
-    fn start_query(&mut self, new: NewAttempt, attempt: u32) {
+    fn start_query(&mut self, new_attempt: NewAttempt, attempt: u32) {
         let (now, settings) = (self.now, &self.deployment.settings);
-        let request = self.requests.get(&new.request);
-        let Some((request, engine)) = request.zip(self.engines.get_mut(&new.engine)) else {
+        let request = self.requests.get(&new_attempt.request);
+        let Some((request, engine)) = request.zip(self.engines.get_mut(&new_attempt.engine)) else {
             return;
         };
         let query = RunningQuery {
-            gateway: new.gateway,
+            gateway: new_attempt.gateway,
             attempt,
             class: request.class,
             group: request.group,
@@ -216,14 +221,14 @@
             memory_mb: request.memory_mb,
             priority: request.priority,
             work: request.work,
-            work_left: request.work,
+            remaining_work: request.work,
             last_note_at: now,
             started_at: now,
         };
         if engine.is_cold(now, settings) {
             self.metrics.cold_work[query.class] += query.work;
         }
-        let knows_start = self.gateways[new.gateway].knows_start(engine);
-        engine.start(now, new.request, query, knows_start);
+        let knows_latest_start = self.gateways[new_attempt.gateway].knows_latest_start(engine);
+        engine.start(now, new_attempt.request, query, knows_latest_start);
     }
 }
--- a/virtual/src/deployment.rs
+++ b/virtual/src/deployment.rs
@@ -1,29 +1,29 @@
-//! Deployments: how many gateways and engines, what is asked of them, and by which settings.
+//! Deployments: the numbers of gateways and engines, the traffic and the settings.
 
 use crate::engine_model::{ENGINE_CORES, ENGINE_MEMORY_MB};
 use sedgebeam_core::{
     Class, DedupScope, Effect, Kind, LoadReportMode, Micros, Settings, Tenant, ZoneId,
 };
 
-/// What the queries of a class are like.
+/// Characteristics of the queries of a class.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryProfile {
     /// Mean work, in core seconds.
     pub mean_work: f64,
     pub mean_memory_mb: f64,
-    /// Share of the traffic's work that is of this class.
+    /// Share of the total work that this class accounts for.
     pub work_share: f64,
 }
 
-/// One deployment. Its settings lack a gateway's own number and zone.
+/// One deployment. Its settings are common to all gateways: they do not contain a gateway's index and zone.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub gateways: u32,
     pub engines: u64,
     pub zones: usize,
-    /// By class.
+    /// Indexed by class.
     pub profiles: Vec<QueryProfile>,
-    /// Offered load, as a share of all engines' cores.
+    /// Offered load, as a fraction of the cores of all engines.
     pub offered_load: f64,
     pub settings: Settings,
 }
@@ -45,7 +45,8 @@
 }
 
 impl Deployment {
-    /// Light, heavy and once-only classes, three tenants and three zones, engines that page.
+    /// A light, a heavy and a non-repeatable class, three tenants and three zones, on engines that slow down when memory is
+    /// overcommitted.
     pub fn standard(gateways: u32, engines: u64) -> Deployment {
         let load = Class {
             effect: Effect::Once,
@@ -104,13 +105,13 @@
         .with_allowances()
     }
 
-    /// Sets the offered load, as a share of all engines' cores.
+    /// Sets the offered load, as a fraction of the cores of all engines.
     pub fn set_offered_load(&mut self, offered_load: f64) {
         self.offered_load = offered_load;
         self.update_allowances();
     }
 
-    /// Sets tenants' allowances to what they send.
+    /// Sets the allowance of each tenant to its request rate.
     fn update_allowances(&mut self) {
         let rate: f64 = self.rates().sum();
         for tenant in &mut self.settings.tenants {
@@ -123,7 +124,7 @@
         self
     }
 
-    /// Light queries alone.
+    /// The standard deployment with the light class only.
     pub fn single_class(gateways: u32, engines: u64) -> Deployment {
         let mut deployment = Deployment::standard(gateways, engines);
         deployment.settings.classes.truncate(1);
@@ -132,7 +133,7 @@
         deployment.with_allowances()
     }
 
-    /// No tenants, zones, priorities or notes: the least that settings may hold.
+    /// The minimal settings: no tenants, a single zone, no priorities and no progress notes.
     pub fn minimal(gateways: u32, engines: u64) -> Deployment {
         let mut deployment = Deployment::standard(gateways, engines);
         deployment.zones = 1;
@@ -142,7 +143,8 @@
         deployment
     }
 
-    /// Load reports, by probes that are free or in answers.
+    /// The standard deployment with load reports, in probes or in answers; gateways may probe engines only in the
+    /// former case.
     pub fn with_load_reports(gateways: u32, engines: u64, reports: LoadReportMode) -> Deployment {
         let mut deployment = Deployment::standard(gateways, engines);
         deployment.settings.load_reports = reports;
@@ -150,26 +152,26 @@
         deployment
     }
 
-    /// Heavy queries whose repeats their zone drops.
+    /// The standard deployment, with heavy queries whose duplicates are dropped within a zone.
     pub fn with_deduplication(gateways: u32, engines: u64) -> Deployment {
         let mut deployment = Deployment::standard(gateways, engines);
         deployment.settings.classes[1].effect = Effect::Keyed(DedupScope::Zone);
         deployment
     }
 
-    /// Requests a second of a class, over all gateways.
+    /// Requests per second of a class, over all gateways.
     pub fn rate(&self, class: usize) -> f64 {
         let profile = self.profiles[class];
         let offered_cores = self.offered_load * self.engines as f64 * ENGINE_CORES;
         offered_cores * profile.work_share / profile.mean_work
     }
 
-    /// The same of each class.
+    /// Requests per second of each class, over all gateways.
     fn rates(&self) -> impl Iterator<Item = f64> {
         (0..self.profiles.len()).map(|class| self.rate(class))
     }
 
-    /// Core seconds of the mean request.
+    /// Mean work of a request over all classes, in core seconds.
     pub(crate) fn mean_work(&self) -> f64 {
         let profiles = self.profiles.iter().zip(self.rates());
         let work: f64 = profiles
@@ -178,7 +180,7 @@
         work / self.rates().sum::<f64>().max(1e-9)
     }
 
-    /// The settings of one gateway.
+    /// The settings of one gateway, with its index and zone.
     pub fn gateway_settings(&self, number: u32) -> Settings {
         Settings {
             gateway_index: Some(number),
@@ -187,7 +189,7 @@
         }
     }
 
-    /// The zone of the gateway, or of the engine, of this number.
+    /// The zone of the gateway or engine with this number.
     pub fn zone(&self, number: u64) -> ZoneId {
         ZoneId((number % self.zones.max(1) as u64) as usize)
     }
--- a/virtual/src/engine_model.rs
+++ b/virtual/src/engine_model.rs
@@ -1,5 +1,5 @@
-//! A model of one engine: queries share its cores by priority, too many threads or too much memory slow all of them,
-//! a started engine warms up, and one that is sent far more than it can do crashes. It is not fitted to a real engine.
+//! A model of one engine, not fitted to a real one. Queries share the cores by priority, and excess threads or memory slow
+//! all of them down. A started engine warms up, and a cold engine that gets far more work than it can handle crashes.
 
 mod arrivals;
 #[cfg(test)]
@@ -12,67 +12,67 @@
 };
 use std::collections::BTreeMap;
 
-/// Cores and memory of every engine.
+/// Cores and memory of each engine.
 pub const ENGINE_CORES: f64 = 12.0;
 pub const ENGINE_MEMORY_MB: f64 = 24576.0;
-/// Threads a core beyond which more threads lower the throughput.
+/// Threads per core above which additional threads reduce the throughput.
 const THRASHING_THREADS_PER_CORE: f64 = 1.8;
-/// How much each further thread a core lowers it.
+/// Relative increase of execution times for each additional thread per core above that.
 const THRASHING_COST: f64 = 0.7;
-/// How many times slower all queries run for each whole memory that is missing.
+/// Relative increase of execution times for each multiple of the engine's memory that is missing.
 const PAGING_COST: f64 = 6.0;
-/// Weights in the shares of cores, by priority.
+/// Weights by which cores are shared, indexed by priority.
 const PRIORITY_WEIGHTS: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
-/// Where the settings allow N queries of mean work in a window, a cold engine bears so many roots of N more, and so many
-/// queries more: arrivals scatter by chance.
+/// If the settings allow a cold engine N queries of mean work in a window, the engine tolerates `TOLERATED_ROOTS` times the
+/// square root of N plus `TOLERATED_QUERIES` more, because random arrivals fluctuate.
 const TOLERATED_ROOTS: f64 = 2.0;
 const TOLERATED_QUERIES: f64 = 2.0;
-/// An engine that has crashed is down for so long.
+/// Time for which a crashed engine is down.
 const CRASH_DOWNTIME: Micros = Micros::from_millis(3000);
 
-/// What is wrong with an engine.
+/// The impairment of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Impairment {
-    /// It works so many times slower; zero and one are healthy.
+    /// Factor by which all work is slower; zero and one mean healthy.
     pub slowdown: f64,
-    /// Share of queries that end in an error at once.
+    /// Share of queries that fail immediately.
     pub error_rate: f64,
-    /// Nothing is heard of it, though it works.
+    /// Whether the engine works, but its reports do not arrive.
     pub silent: bool,
 }
 
-/// One attempt as its engine runs it.
+/// An attempt that runs on an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct RunningQuery {
     pub gateway: usize,
-    /// Tells attempts of one request apart.
+    /// Distinguishes the attempts of one request.
     pub attempt: u32,
     pub class: usize,
     pub group: TableGroupId,
     pub threads: f64,
     pub memory_mb: f64,
     pub priority: usize,
-    /// Core seconds in all.
+    /// Total work in core seconds.
     pub work: f64,
-    /// Core seconds that are left.
-    pub work_left: f64,
+    /// Remaining work in core seconds.
+    pub remaining_work: f64,
     pub last_note_at: Micros,
     pub started_at: Micros,
 }
 
 impl RunningQuery {
-    /// Its weight in the shares of cores.
+    /// The weight by which the query gets its share of the cores.
     fn weight(&self) -> f64 {
-        let highest = PRIORITY_WEIGHTS.len() - 1;
-        self.threads * PRIORITY_WEIGHTS[self.priority.min(highest)]
+        let highest_priority = PRIORITY_WEIGHTS.len() - 1;
+        self.threads * PRIORITY_WEIGHTS[self.priority.min(highest_priority)]
     }
 
     fn is_done(&self) -> bool {
-        self.work_left <= 0.0
+        self.remaining_work <= 0.0
     }
 
-    /// The note of its progress, once an interval has passed since the last one.
-    fn note(&mut self, now: Micros, interval: Micros, blocked: bool) -> Option<Note> {
+    /// The next progress note, if the interval since the last note has passed.
+    fn progress_note(&mut self, now: Micros, interval: Micros, blocked: bool) -> Option<Note> {
         if interval == Micros(0) || now < self.last_note_at + interval {
             return None;
         }
@@ -80,11 +80,11 @@
         if blocked {
             return Some(Note::WaitsForLoad);
         }
-        Some(Note::Progress(1.0 - self.work_left / self.work))
+        Some(Note::Progress(1.0 - self.remaining_work / self.work))
     }
 }
 
-/// What an engine reports of a query.
+/// A report of an engine about a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QueryReport {
     Done,
@@ -92,12 +92,12 @@
     Note(Note),
 }
 
-/// An engine and what it runs.
+/// An engine with its running queries.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineModel {
     pub id: EngineId,
     pub zone: ZoneId,
-    /// Zero for long ago.
+    /// Zero for an engine that has been running for a long time.
     pub started_at: Micros,
     pub down_until: Micros,
     pub removed: bool,
@@ -126,7 +126,7 @@
         !self.removed && now >= self.down_until
     }
 
-    /// Share of its capacity that it has while it warms up.
+    /// Share of the full capacity that is available while the engine warms up.
     pub fn warm_share(&self, now: Micros, settings: &Settings) -> f64 {
         if self.started_at == Micros(0) || settings.warm_after == Micros(0) {
             return 1.0;
@@ -139,7 +139,7 @@
         self.started_at > Micros(0) && now < self.started_at + settings.warm_after
     }
 
-    /// What arrived within the window over what a cold engine bears; zero for a warm one.
+    /// Work that arrived within the window, as a multiple of what a cold engine tolerates; zero for a warm engine.
     pub fn overload(&mut self, now: Micros, settings: &Settings, mean_work: f64) -> f64 {
         let window = settings.overload_window;
         self.recent_arrivals.expire(now, window);
@@ -148,34 +148,36 @@
         }
         let capacity = ENGINE_CORES * self.warm_share(now, settings);
         let allowed_work = capacity * settings.overload_multiple * window.0 as f64 / 1e6;
-        let allowed = allowed_work / mean_work.max(1e-9);
-        let arrived = self.recent_arrivals.work() / mean_work.max(1e-9);
-        arrived / (allowed + TOLERATED_ROOTS * allowed.sqrt() + TOLERATED_QUERIES)
+        let allowed_queries = allowed_work / mean_work.max(1e-9);
+        let arrived_queries = self.recent_arrivals.work() / mean_work.max(1e-9);
+        arrived_queries
+            / (allowed_queries + TOLERATED_ROOTS * allowed_queries.sqrt() + TOLERATED_QUERIES)
     }
 
-    /// Share of what arrived within the window that was sent by gateways that knew of the start.
+    /// Share of the work within the window that was sent by gateways that knew of the engine's latest start.
     pub fn informed_share(&self) -> f64 {
         self.recent_arrivals.informed_share()
     }
 
-    /// Starts a query; its sender knew of the engine's start or did not.
+    /// Starts a query and records whether its sender knew of the engine's latest start.
     pub fn start(
         &mut self,
         now: Micros,
         id: RequestId,
         query: RunningQuery,
-        sender_knew_start: bool,
+        sender_knew_latest_start: bool,
     ) {
-        self.recent_arrivals.add(now, query.work, sender_knew_start);
+        self.recent_arrivals
+            .add(now, query.work, sender_knew_latest_start);
         self.running.insert(id, query);
     }
 
-    /// Crashes: all that runs is lost, and it starts again later.
+    /// Crashes the engine: returns the running queries, which are lost; the engine restarts after a downtime.
     pub fn crash(&mut self, now: Micros) -> Vec<(RequestId, RunningQuery)> {
         self.restart(now, now + CRASH_DOWNTIME)
     }
 
-    /// Stops now and is back, cold, at a time; returns what ran.
+    /// Stops the engine now and restarts it cold at `back_at`. Returns the queries that were running.
     pub fn restart(&mut self, now: Micros, back_at: Micros) -> Vec<(RequestId, RunningQuery)> {
         let back_at = back_at.max(now);
         self.down_until = back_at;
@@ -192,12 +194,12 @@
         self.running.values().map(|query| query.memory_mb).sum()
     }
 
-    /// Memory that is missing, as a multiple of what there is.
+    /// Missing memory, as a multiple of the engine's memory.
     fn memory_shortage(&self) -> f64 {
         (self.memory_mb() / ENGINE_MEMORY_MB - 1.0).max(0.0)
     }
 
-    /// Core seconds done in a second, by all that runs.
+    /// Work of all queries together, in core seconds per second.
     fn throughput(&self, now: Micros, settings: &Settings) -> f64 {
         let excess_threads = (self.threads() / ENGINE_CORES - THRASHING_THREADS_PER_CORE).max(0.0);
         let thrashing = 1.0 + THRASHING_COST * excess_threads;
@@ -206,15 +208,15 @@
         ENGINE_CORES * self.warm_share(now, settings) / thrashing / paging / slowdown
     }
 
-    /// Table groups that are locked by loads.
+    /// Table groups that are locked by running loads.
     fn locked_groups(&self, settings: &Settings) -> Vec<TableGroupId> {
-        let holds = |query: &&RunningQuery| settings.classes[query.class].holds_group;
-        let holders = self.running.values().filter(holds);
+        let holds_group = |query: &&RunningQuery| settings.classes[query.class].holds_group;
+        let holders = self.running.values().filter(holds_group);
         holders.map(|query| query.group).collect()
     }
 
-    /// Lets time pass up to now, and returns what is reported at its end. A load blocks the queries of its group that wait
-    /// for loads.
+    /// Runs the queries for the elapsed time and returns the reports at its end. A load blocks the queries of its table group
+    /// that wait for loads.
     pub fn advance(
         &mut self,
         now: Micros,
@@ -235,16 +237,16 @@
         for (id, query) in &mut self.running {
             let blocked = is_blocked(query);
             if !blocked {
-                let share = work_done * query.weight() / total_weight.max(1e-9);
-                query.work_left -= share.min(seconds * query.threads);
+                let query_work = work_done * query.weight() / total_weight.max(1e-9);
+                query.remaining_work -= query_work.min(seconds * query.threads);
             }
-            let is_new = query.started_at + elapsed >= now;
-            let report = if is_new && rng.random_bool(error_rate) {
+            let is_first_step = query.started_at + elapsed >= now;
+            let report = if is_first_step && rng.random_bool(error_rate) {
                 Some(QueryReport::Failed)
             } else if query.is_done() {
                 Some(QueryReport::Done)
             } else {
-                let note = query.note(now, settings.note_interval, blocked);
+                let note = query.progress_note(now, settings.note_interval, blocked);
                 note.map(QueryReport::Note)
             };
             reports.extend(report.map(|report| (*id, report)));
@@ -252,8 +254,8 @@
         reports
     }
 
-    /// What it tells of its load. One that pages looks idle: its cores wait.
-    pub fn load(&self) -> LoadReport {
+    /// The engine's load report. An engine that pages looks idle, because its cores wait for memory.
+    pub fn load_report(&self) -> LoadReport {
         let paging = 1.0 + self.memory_shortage() * PAGING_COST;
         LoadReport {
             active_queries: Some(self.running.len() as f64),
--- a/virtual/src/engine_model/tests.rs
+++ b/virtual/src/engine_model/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the engine model.
+//! Tests of the engine model: shared cores, slowdown under excess load, and the tolerance of cold engines.
 
 use super::*;
 use crate::Deployment;
@@ -28,14 +28,14 @@
         memory_mb,
         priority,
         work,
-        work_left: work,
+        remaining_work: work,
         last_note_at: ms(0),
         started_at: ms(0),
     }
 }
 
-/// Seconds until a query is done beside so many endless ones, all of this memory.
-fn seconds_beside(others: u64, memory_mb: f64, priority: usize) -> f64 {
+/// Seconds that a query takes while this many endless queries run, all with the same memory.
+fn seconds_with_others(others: u64, memory_mb: f64, priority: usize) -> f64 {
     let mut engine = engine(Micros(0));
     for id in 0..=others {
         let query = if id == 0 {
@@ -53,30 +53,43 @@
         let reports = engine.advance(ms(10 * tick), ms(10), &settings, &mut rng);
         reports.contains(&(RequestId(0), QueryReport::Done))
     });
-    done.expect("it ends") as f64 / 100.0
+    done.expect("the query ends") as f64 / 100.0
 }
 
 #[test]
-fn cores_are_shared_by_priority_and_crowds_and_missing_memory_slow_all() {
-    let alone = seconds_beside(0, 100.0, 1);
+fn cores_are_shared_by_priority_and_excess_threads_or_memory_slow_all_queries() {
+    let alone = seconds_with_others(0, 100.0, 1);
     assert!((alone - 1.0).abs() < 0.02, "{alone}");
     assert!(
-        (seconds_beside(2, 100.0, 1) - 1.0).abs() < 0.02,
-        "three fill the cores"
+        (seconds_with_others(2, 100.0, 1) - 1.0).abs() < 0.02,
+        "three queries of four threads fill the cores"
+    );
+    let (crowded, prioritized) = (
+        seconds_with_others(11, 100.0, 1),
+        seconds_with_others(11, 100.0, 3),
+    );
+    assert!(
+        crowded > 4.5,
+        "excess threads reduce the throughput: {crowded}"
+    );
+    assert!(
+        prioritized < crowded / 2.0,
+        "a higher priority gets more: {prioritized}"
+    );
+    assert!(
+        seconds_with_others(2, 12_000.0, 1) > 3.0,
+        "missing memory slows all queries"
     );
-    let (crowd, first) = (seconds_beside(11, 100.0, 1), seconds_beside(11, 100.0, 3));
-    assert!(crowd > 4.5, "a crowd does less than its cores: {crowd}");
-    assert!(first < crowd / 2.0, "the first by priority: {first}");
-    assert!(seconds_beside(2, 12_000.0, 1) > 3.0, "missing memory");
 }
 
 #[test]
-fn a_cold_engine_can_do_its_part_and_bears_what_the_settings_allow() {
+fn a_cold_engine_has_reduced_capacity_and_tolerates_the_allowed_overload() {
     let settings = settings();
     let mut engine = engine(ms(10_000));
     assert!((engine.warm_share(ms(10_000), &settings) - 0.3).abs() < 1e-9);
     assert!((engine.warm_share(ms(30_000), &settings) - 1.0).abs() < 1e-9);
-    // 12 cores, 0.3 of them, four times that: 3.6 queries of 4 core seconds, 3.8 and 2 more by chance.
+    // 0.3 of 12 cores times the overload multiple of 4 is 3.6 queries of 4 core seconds; 3.8 (two roots of 3.6) and 2 more
+    // are tolerated.
     for id in 0..9 {
         engine.start(ms(10_000), RequestId(id), query(4.0, 1.0, 1), true);
     }
--- a/virtual/src/engines.rs
+++ b/virtual/src/engines.rs
@@ -1,4 +1,4 @@
-//! The simulated engines: what they run in a step, and how attempts end.
+//! Simulated engines: runs their queries in each step and ends attempts.
 
 use crate::engine_model::{ENGINE_CORES, EngineModel, QueryReport, RunningQuery};
 use crate::requests::OpenRequest;
@@ -9,42 +9,44 @@
     RequestId, ZoneId, splitmix64,
 };
 
-/// The overload of a cold engine is the fault of those who knew of its start if they sent more than this share.
-const INFORMED_SHARE_LIMIT: f64 = 2.0 / 3.0;
-/// What a class wants an answer within grows by so many times the time that its work takes alone.
-const ON_TIME_STRETCH: f64 = 4.0;
+/// The overload of a cold engine violates a rule if more than this share of the recent work came from gateways that knew
+/// of the engine's latest start.
+const MAX_INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// The on-time limit of a class is extended by this many times the execution time of the request on an otherwise idle
+/// engine.
+const ON_TIME_EXTENSION: f64 = 4.0;
 
-/// What an engine reports of one of its queries.
+/// A report of an engine about one of its queries.
 struct EngineReport {
     engine: EngineId,
     zone: ZoneId,
-    /// Nothing of it arrives.
+    /// Whether the engine's reports are lost on the way.
     silent: bool,
     request: RequestId,
     report: QueryReport,
 }
 
-/// What comes of a step of all engines.
+/// Results of one step of all engines.
 #[derive(Default)]
 struct StepResults {
     reports: Vec<EngineReport>,
-    /// Queries of engines that have crashed.
+    /// Queries that were running on engines that crashed.
     crashed: Vec<(RequestId, RunningQuery)>,
 }
 
 impl Simulation {
-    /// Starts an engine; at zero, one that has been there for long.
+    /// Starts an engine. A start time of zero means that the engine is already warm.
     pub(crate) fn start_engine(&mut self, started_at: Micros) -> EngineId {
         self.engines_started += 1;
         let number = self.engines_started;
-        // An id tells nothing of zone or age.
+        // Ids are scrambled so that they do not reveal the zone or the age of an engine.
         let id = EngineId(splitmix64(number));
         let engine = EngineModel::new(id, self.deployment.zone(number), started_at);
         self.engines.insert(id, engine);
         id
     }
 
-    /// Lets all engines run for a step, and tells gateways what comes of it.
+    /// Runs all engines for one step and delivers their reports to the gateways.
     pub(crate) fn run_engines(&mut self) {
         let ids: Vec<EngineId> = self.engines.keys().copied().collect();
         let mut results = StepResults::default();
@@ -64,7 +66,7 @@
             return;
         };
         if engine.overload(now, settings, self.mean_work) > 1.0 {
-            if engine.informed_share() > INFORMED_SHARE_LIMIT {
+            if engine.informed_share() > MAX_INFORMED_SHARE {
                 let detail = format!("engine {:x}", id.0);
                 self.violations.record(Rule::NoColdOverload, now, detail);
             }
@@ -117,14 +119,14 @@
         }
     }
 
-    /// Ends attempts whose engine has gone.
+    /// Ends the attempts of queries that were lost with their engine.
     pub(crate) fn reset_queries(&mut self, queries: Vec<(RequestId, RunningQuery)>) {
         for (id, query) in queries {
             self.end_attempt(id, query.attempt, Outcome::Reset);
         }
     }
 
-    /// The engine drops the attempt of a request that is open no more.
+    /// Removes the attempt of a closed request from its engine.
     pub(crate) fn abandon_attempt(&mut self, id: RequestId, request: &OpenRequest) {
         if let Some(in_flight) = &request.in_flight
             && let Some(engine) = self.engines.get_mut(&in_flight.engine)
@@ -133,7 +135,7 @@
         }
     }
 
-    /// An attempt ends, and its gateway hears how; with an answer, the request ends too.
+    /// Ends an attempt and notifies its gateway; a successful attempt closes the request.
     pub(crate) fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -145,7 +147,7 @@
         request.may_have_run |= outcome.may_have_run();
         let served = outcome == Outcome::Ok;
         let (gateway, work) = (request.gateway, Micros((request.work * 1e6) as u64));
-        let load = self.remove_query(ended.engine, id);
+        let load_report = self.remove_query(ended.engine, id);
         let reports_load = self.deployment.settings.load_reports == LoadReportMode::InAnswers;
         let event = Event::Ended(AttemptEnded {
             request: id,
@@ -155,7 +157,7 @@
             elapsed: self.now - ended.sent_at,
             request_finished: served,
             work: served.then_some(work),
-            load_report: load.filter(|_| served && reports_load),
+            load_report: load_report.filter(|_| served && reports_load),
         });
         self.gateways[gateway].inbox.push(event);
         if served {
@@ -163,22 +165,23 @@
         }
     }
 
-    /// Drops a query from its engine and returns the engine's load after it.
+    /// Removes a query from its engine and returns the engine's load afterwards.
     fn remove_query(&mut self, engine: EngineId, id: RequestId) -> Option<LoadReport> {
         let engine = self.engines.get_mut(&engine)?;
         engine.running.remove(&id);
-        Some(engine.load())
+        Some(engine.load_report())
     }
 
-    /// Closes a request that was served, and counts whether it was on time.
+    /// Closes a served request and counts it as on time or late.
     fn close_served(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
         let class = &self.deployment.settings.classes[request.class];
-        let time_alone = request.work / class.threads;
-        let wanted_within = class.on_time + Micros((ON_TIME_STRETCH * time_alone * 1e6) as u64);
-        if self.now - request.arrived_at <= wanted_within {
+        let unloaded_time = request.work / class.threads;
+        let on_time_limit =
+            class.on_time + Micros((ON_TIME_EXTENSION * unloaded_time * 1e6) as u64);
+        if self.now - request.arrived_at <= on_time_limit {
             let arrived_after = request.arrived_at - START;
             self.metrics
                 .count_on_time(request.class, class.worth, arrived_after);
--- a/virtual/src/events.rs
+++ b/virtual/src/events.rs
@@ -1,33 +1,33 @@
-//! The event queue: what is scheduled, ordered by time and, at one time, by when it was scheduled.
+//! The event queue, ordered by due time and, for equal times, by order of scheduling.
 
 use crate::faults::Fault;
 use sedgebeam_core::{EngineId, Event, Micros, Outcome, RequestId, ZoneId};
 use std::collections::BTreeMap;
 
-/// Something that is scheduled to happen.
+/// An event that is scheduled for a later time.
 pub(crate) enum ScheduledEvent {
-    /// An event reaches a gateway, unless that has restarted since.
+    /// An event reaches a gateway, unless the gateway has restarted in the meantime.
     Deliver {
         gateway: usize,
         incarnation: u32,
         event: Box<Event>,
     },
-    /// An attempt ends without an answer, unless it has ended before.
+    /// An attempt ends without an answer, unless it has already ended.
     AttemptFails {
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
     },
-    /// A request must have had its final answer by now.
+    /// The latest time for the final answer to a request has passed.
     AnswerOverdue(RequestId),
     Fault(Fault),
-    /// Engines that were draining are gone.
+    /// Engines that were draining are removed.
     EnginesRemoved(Vec<EngineId>),
     GatewayStarts(usize),
     PartitionHeals(ZoneId),
 }
 
-/// Scheduled events. One counter numbers both events and requests, so that a seed names one run.
+/// Scheduled events. One counter numbers both events and requests, so that a seed determines the whole run.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     scheduled: BTreeMap<(Micros, u64), ScheduledEvent>,
@@ -40,14 +40,14 @@
         self.scheduled.insert((at, number), event);
     }
 
-    /// Removes the first event that is due.
+    /// Removes and returns the first event that is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<ScheduledEvent> {
         let first = self.scheduled.first_entry()?;
         let (at, _) = *first.key();
         (at <= now).then(|| first.remove())
     }
 
-    /// A number that was not given out before.
+    /// Returns a number that was not returned before.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
--- a/virtual/src/fault_injection.rs
+++ b/virtual/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a script.
+//! Injects the scripted faults into a simulation.
 
 use crate::engine_model::Impairment;
 use crate::events::ScheduledEvent;
@@ -7,7 +7,7 @@
 use rand::Rng;
 use sedgebeam_core::{EngineId, Micros, Outcome, RequestId, ZoneId};
 
-/// An engine that is replaced drains for so long before it is gone.
+/// Time for which a replaced engine drains before it is removed.
 const DRAIN_DURATION: Micros = Micros::from_millis(4000);
 
 impl Simulation {
@@ -34,7 +34,8 @@
         }
     }
 
-    /// A share of the engines that take new work. The oldest first: who is replaced is not who has just come.
+    /// A share of the engines that accept new work, the oldest first, so that a replacement does not hit the engines that
+    /// were just started.
     fn oldest_engines(&self, share: f64) -> Vec<EngineId> {
         let engines = self.engines.values();
         let mut serving: Vec<_> = engines
@@ -47,12 +48,15 @@
     }
 
     fn replace_engines(&mut self, share: f64) {
-        let old = self.oldest_engines(share);
-        let new: Vec<EngineId> = old.iter().map(|_| self.start_engine(self.now)).collect();
-        self.drain_engines(&old);
-        self.announce_engines(&new);
+        let replaced = self.oldest_engines(share);
+        let replacements: Vec<EngineId> = replaced
+            .iter()
+            .map(|_| self.start_engine(self.now))
+            .collect();
+        self.drain_engines(&replaced);
+        self.announce_engines(&replacements);
         let removed_at = self.now + DRAIN_DURATION;
-        self.schedule(removed_at, ScheduledEvent::EnginesRemoved(old));
+        self.schedule(removed_at, ScheduledEvent::EnginesRemoved(replaced));
     }
 
     fn drain_engines(&mut self, ids: &[EngineId]) {
@@ -64,7 +68,7 @@
         self.announce_engines(ids);
     }
 
-    /// Removes engines; what still ran there is lost.
+    /// Removes engines; queries that still run on them are lost.
     pub(crate) fn remove_engines(&mut self, ids: &[EngineId]) {
         let mut lost = Vec::new();
         for id in ids {
@@ -96,17 +100,17 @@
             }
         }
         self.reset_queries(lost);
-        // The list tells of the restart some time after it.
+        // The announcement reaches the gateways with the usual delay, so that they learn of the restart only later.
         self.announce_engines(&stopped);
     }
 
     fn partition_zone(&mut self, zone: ZoneId, duration: Micros) {
-        let heals_at = self.now + duration;
+        let healed_at = self.now + duration;
         self.partitioned_zones.push(zone);
         for gateway in self.gateways.iter_mut().filter(|node| node.zone == zone) {
-            gateway.list_delivered_until = gateway.list_delivered_until.max(heals_at);
+            gateway.earliest_list_arrival = gateway.earliest_list_arrival.max(healed_at);
         }
-        self.schedule(heals_at, ScheduledEvent::PartitionHeals(zone));
+        self.schedule(healed_at, ScheduledEvent::PartitionHeals(zone));
     }
 
     fn restart_gateways(&mut self, from_share: f64, to_share: f64, downtime: Micros) {
--- a/virtual/src/faults.rs
+++ b/virtual/src/faults.rs
@@ -1,59 +1,59 @@
-//! Faults, and scripts of when they happen.
+//! Faults and the scripts that schedule them.
 
 use crate::engine_model::Impairment;
 use sedgebeam_core::{Micros, ZoneId};
 
-/// One thing that happens to the fleet. Shares are of all gateways or engines; which ones follows from their age or
-/// number, but for connections, which are drawn.
+/// A fault or another change in the fleet. Shares are fractions of all gateways or engines. The affected ones are selected
+/// by age or number; only broken connections are chosen at random.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Engines drain and, some seconds later, are gone; as many new ones start.
+    /// Engines drain and are removed some seconds later; the same number of new engines start.
     ReplaceEngines { share: f64 },
-    /// Engines drain and stay.
+    /// Engines drain and are not removed.
     DrainEngines { share: f64 },
     /// Engines are impaired from now on.
     ImpairEngines { share: f64, impairment: Impairment },
-    /// A zone's engines stop; they are back, cold, after a while.
+    /// The engines of a zone stop and restart cold after this duration.
     ZoneOutage { zone: ZoneId, duration: Micros },
-    /// Nothing passes between a zone and the others, and its gateways hear of no change of the list.
+    /// A zone is cut off from the others, and its gateways receive no changes of the engine list.
     ZonePartition { zone: ZoneId, duration: Micros },
-    /// Gateways from this share to that one stop at once and start again after a while, knowing only the list.
+    /// The gateways in a range of shares stop at the same time and restart after the downtime, knowing only the engine list.
     RestartGateways {
         from_share: f64,
         to_share: f64,
         downtime: Micros,
     },
-    /// Connections break under this share of the attempts in flight.
+    /// The connections of this share of the attempts in flight are reset.
     ResetConnections { share: f64 },
-    /// So many times the usual traffic, from now on.
+    /// The traffic is a multiple of the normal traffic from now on.
     Traffic { multiplier: f64 },
-    /// New settings reach all gateways: they name so many gateways.
+    /// New settings with this number of gateways are applied to all gateways.
     ReloadSettings { gateways: u32 },
 }
 
-/// Faults by the time since the start.
+/// Faults with the time since the start at which they happen.
 pub type FaultScript = Vec<(Micros, Fault)>;
 
-/// The scenarios that [`scenario`] knows.
+/// The names of the scenarios that [`scenario`] provides.
 pub const SCENARIOS: [&str; 11] = [
     "calm", "replaced", "rolled", "killed", "lost", "cut", "slow", "failing", "silent", "resets",
     "burst",
 ];
 
-/// When the single fault of a scenario happens.
+/// Time of the fault in scenarios with a single fault.
 const FAULT_AT: Micros = Micros::from_millis(2000);
-/// Share of the engines that a scenario impairs.
+/// Share of the engines that are impaired in scenarios with an impairment.
 const IMPAIRED_SHARE: f64 = 0.125;
 
 fn ms(millis: u64) -> Micros {
     Micros::from_millis(millis)
 }
 
-/// The script of a scenario; `None` where there is none of this name.
+/// The script of the scenario with this name; `None` if the name is unknown.
 pub fn scenario(name: &str) -> Option<FaultScript> {
-    let once = |fault: Fault| vec![(FAULT_AT, fault)];
-    let impaired = |impairment: Impairment| {
-        once(Fault::ImpairEngines {
+    let single_fault = |fault: Fault| vec![(FAULT_AT, fault)];
+    let with_impairment = |impairment: Impairment| {
+        single_fault(Fault::ImpairEngines {
             share: IMPAIRED_SHARE,
             impairment,
         })
@@ -70,32 +70,32 @@
             Fault::replacement(0.5, 5, 2500, 800),
         ]
         .concat(),
-        "killed" => once(Fault::RestartGateways {
+        "killed" => single_fault(Fault::RestartGateways {
             from_share: 0.0,
             to_share: 0.7,
             downtime: ms(500),
         }),
-        "lost" => once(Fault::ZoneOutage {
+        "lost" => single_fault(Fault::ZoneOutage {
             zone: ZoneId(1),
             duration: ms(2000),
         }),
         "cut" => [
-            once(Fault::ZonePartition {
+            single_fault(Fault::ZonePartition {
                 zone: ZoneId(0),
                 duration: ms(3000),
             }),
             Fault::replacement(0.3, 3, 2500, 300),
         ]
         .concat(),
-        "slow" => impaired(Impairment {
+        "slow" => with_impairment(Impairment {
             slowdown: 8.0,
             ..healthy
         }),
-        "failing" => impaired(Impairment {
+        "failing" => with_impairment(Impairment {
             error_rate: 0.5,
             ..healthy
         }),
-        "silent" => impaired(Impairment {
+        "silent" => with_impairment(Impairment {
             silent: true,
             ..healthy
         }),
@@ -106,17 +106,17 @@
 }
 
 impl Fault {
-    /// A share of the engines is replaced in steps; times in milliseconds.
-    pub fn replacement(share: f64, steps: u64, from: u64, interval: u64) -> FaultScript {
+    /// Replaces a share of the engines in steps. Times are in milliseconds.
+    pub fn replacement(share: f64, steps: u64, start_ms: u64, interval_ms: u64) -> FaultScript {
         let step = Fault::ReplaceEngines {
             share: share / steps as f64,
         };
-        let times = (0..steps).map(|number| ms(from + number * interval));
+        let times = (0..steps).map(|number| ms(start_ms + number * interval_ms));
         times.map(|at| (at, step.clone())).collect()
     }
 
-    /// All gateways restart, a tenth at a time; times in milliseconds.
-    pub fn rolling_restart(from: u64, interval: u64) -> FaultScript {
+    /// Restarts all gateways, a tenth at a time. Times are in milliseconds.
+    pub fn rolling_restart(start_ms: u64, interval_ms: u64) -> FaultScript {
         let tenth = |number: u64| Fault::RestartGateways {
             from_share: number as f64 / 10.0,
             to_share: (number + 1) as f64 / 10.0,
@@ -124,20 +124,20 @@
         };
         let tenths = 0..10;
         tenths
-            .map(|number| (ms(from + number * interval), tenth(number)))
+            .map(|number| (ms(start_ms + number * interval_ms), tenth(number)))
             .collect()
     }
 
-    /// So many times the traffic for a while; times in milliseconds.
-    pub fn burst(multiplier: f64, from: u64, duration: u64) -> FaultScript {
+    /// Multiplies the traffic for some time. Times are in milliseconds.
+    pub fn burst(multiplier: f64, start_ms: u64, duration_ms: u64) -> FaultScript {
         let traffic = |multiplier| Fault::Traffic { multiplier };
         vec![
-            (ms(from), traffic(multiplier)),
-            (ms(from + duration), traffic(1.0)),
+            (ms(start_ms), traffic(multiplier)),
+            (ms(start_ms + duration_ms), traffic(1.0)),
         ]
     }
 
-    /// Connections break several times, half a second apart.
+    /// Resets a share of the connections several times, half a second apart.
     fn repeated_resets(count: u64, share: f64) -> FaultScript {
         let at = |number: u64| FAULT_AT + ms(500 * number);
         let reset = Fault::ResetConnections { share };
--- a/virtual/src/faulty_gateway.rs
+++ b/virtual/src/faulty_gateway.rs
@@ -1,4 +1,4 @@
-//! Gateways that each violate one rule, to show that the checks notice it.
+//! Gateways that each violate one rule, which shows that the checks detect the violation.
 
 use crate::gateway_logic::GatewayLogic;
 use sedgebeam_core::{
@@ -7,23 +7,23 @@
 };
 use std::collections::BTreeSet;
 
-/// Time limit of an attempt that a defect makes.
+/// Time limit of attempts that a defect sends.
 const RETRY_TIMEOUT: Micros = Micros::from_millis(1000);
 
-/// What a faulty gateway does wrong.
+/// The defect of a faulty gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// It answers twice.
+    /// Sends two final answers for each refused request.
     AnswersTwice,
-    /// It gives no answer where it gives a request up.
+    /// Sends no final answer where it would refuse or fail a request.
     NeverAnswers,
-    /// It sends each attempt twice.
+    /// Sends each attempt twice.
     SendsTwice,
-    /// It retries loads that may have run.
+    /// Retries loads that may have run.
     RetriesLoads,
-    /// It goes on sending to an engine that drains.
+    /// Sends all attempts to a draining engine.
     SendsToDraining,
-    /// It sends everything to the engine that started last.
+    /// Sends all attempts to the engine that started last.
     OverloadsColdEngine,
 }
 
@@ -34,7 +34,7 @@
     defect: Defect,
     loads: BTreeSet<RequestId>,
     draining: Option<EngineId>,
-    /// The engine that started last, and when.
+    /// The engine with the latest start time, and that time.
     newest: Option<(Micros, EngineId)>,
 }
 
@@ -68,15 +68,15 @@
     }
 
     fn observe_engine(&mut self, engine: &Engine) {
-        let newest_start = self.newest.map_or(Micros(0), |(started_at, _)| started_at);
+        let latest_start = self.newest.map_or(Micros(0), |(started_at, _)| started_at);
         if engine.state != EngineState::Ready {
             self.draining = Some(engine.id);
-        } else if engine.started_at > newest_start {
+        } else if engine.started_at > latest_start {
             self.newest = Some((engine.started_at, engine.id));
         }
     }
 
-    /// A retry of a load whose connection was reset.
+    /// The retry of a load whose connection was reset.
     fn unsafe_retry(&self, event: &Event) -> Option<Action> {
         let Event::Ended(ended) = event else {
             return None;
@@ -85,7 +85,7 @@
         is_reset.then(|| Action::send(ended.request, ended.engine, RETRY_TIMEOUT))
     }
 
-    /// The same attempt on another engine.
+    /// Sends the attempt of an action to another engine, if there is one.
     fn redirect(action: Action, other: Option<EngineId>) -> Action {
         match action {
             Action::Send {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// What becomes of an action of the sound gateway.
+    /// Applies the defect to an action of the correct gateway.
     fn distort(&self, action: Action, retries: &[Action]) -> Vec<Action> {
         match (self.defect, action) {
             (Defect::AnswersTwice, Action::Refuse { request, .. }) => {
--- a/virtual/src/gateway_logic.rs
+++ b/virtual/src/gateway_logic.rs
@@ -1,13 +1,13 @@
-//! What the simulation needs of a gateway: the product's, or one that a test puts in its place.
+//! The interface between the simulation and a gateway: the product's gateway or a substitute in a test.
 
 use sedgebeam_core::{Action, Event, Gateway, Micros, Settings};
 
-/// Decides what a gateway does.
+/// The decisions of a gateway.
 pub trait GatewayLogic {
-    /// Takes what happened and returns what to do, in order.
+    /// Handles events and returns the actions to perform, in order.
     fn handle(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action>;
 
-    /// Takes new settings, where it can.
+    /// Applies new settings; ignored by default.
     fn reconfigure(&mut self, _settings: Settings) {}
 }
 
--- a/virtual/src/gateways.rs
+++ b/virtual/src/gateways.rs
@@ -1,4 +1,4 @@
-//! The simulated gateways: when they start, stop and decide, and how they learn of the list of engines.
+//! Simulated gateways: starts, stops and runs them, and delivers the engine list to them.
 
 use crate::engine_model::EngineModel;
 use crate::events::ScheduledEvent;
@@ -12,25 +12,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// A change of the list of engines reaches a gateway within this range, in microseconds.
-const LIST_DELAY: Range<u64> = 100_000..800_000;
+/// Range of delays after which a change of the engine list reaches a gateway, in microseconds.
+const LIST_DELAY_MICROS: Range<u64> = 100_000..800_000;
 
-/// One gateway and what it was told.
+/// One gateway and the information it has received.
 pub(crate) struct GatewayNode {
     pub logic: Box<dyn GatewayLogic>,
-    /// Counts starts: what was meant for an earlier one is dropped.
+    /// Number of restarts so far. Events for an earlier incarnation are dropped.
     pub incarnation: u32,
     pub up: bool,
     pub zone: ZoneId,
-    /// What it is told at its next step.
+    /// Events to handle in the next step.
     pub inbox: Vec<Event>,
     timers: BTreeSet<Micros>,
-    /// When the last change of the list so far arrives: changes arrive in order.
-    pub list_delivered_until: Micros,
-    /// Engines that it was told are draining or gone, and when.
+    /// The next list change arrives no earlier than this: changes arrive in order, and none arrives during a partition.
+    pub earliest_list_arrival: Micros,
+    /// Engines that were announced as draining or removed, with the time of the announcement.
     withdrawn_at: BTreeMap<EngineId, Micros>,
-    /// Starts of engines, as it was told.
-    known_starts: BTreeMap<EngineId, Micros>,
+    /// Start times of engines, as last announced to this gateway.
+    known_start_times: BTreeMap<EngineId, Micros>,
 }
 
 impl GatewayNode {
@@ -40,31 +40,31 @@
 
     fn receive(&mut self, now: Micros, event: Event) {
         if let Event::List { engines, .. } = &event {
-            self.note_list(now, engines);
+            self.record_list(now, engines);
         }
         self.inbox.push(event);
     }
 
-    fn note_list(&mut self, now: Micros, engines: &[Engine]) {
+    fn record_list(&mut self, now: Micros, engines: &[Engine]) {
         for engine in engines {
-            self.known_starts.insert(engine.id, engine.started_at);
+            self.known_start_times.insert(engine.id, engine.started_at);
             if engine.state != EngineState::Ready {
                 self.withdrawn_at.entry(engine.id).or_insert(now);
             }
         }
     }
 
-    /// Whether it knows of the engine's latest start.
-    pub fn knows_start(&self, engine: &EngineModel) -> bool {
-        self.known_starts.get(&engine.id) == Some(&engine.started_at)
+    /// Whether the gateway knows of the engine's latest start.
+    pub fn knows_latest_start(&self, engine: &EngineModel) -> bool {
+        self.known_start_times.get(&engine.id) == Some(&engine.started_at)
     }
 
-    /// When it was told that the engine takes nothing new, if it was.
+    /// When the gateway was notified that the engine accepts no new work; `None` if it was not.
     pub fn withdrawn_at(&self, engine: EngineId) -> Option<Micros> {
         self.withdrawn_at.get(&engine).copied()
     }
 
-    /// Takes what it is told now; nothing while it is down.
+    /// Takes the pending events and, if one is due, a timer event. A gateway that is down gets none.
     fn take_events(&mut self, now: Micros) -> Vec<Event> {
         if !self.up {
             self.inbox.clear();
@@ -79,7 +79,7 @@
 }
 
 impl Simulation {
-    /// A gateway that has just started and is told the list as it is.
+    /// Creates a gateway that has just started and receives the complete current engine list.
     pub(crate) fn new_gateway(&mut self, number: u32, incarnation: u32) -> GatewayNode {
         let settings = self.deployment.gateway_settings(number);
         let zone = settings.zone.unwrap_or_default();
@@ -91,26 +91,26 @@
             zone,
             inbox: Vec::new(),
             timers: BTreeSet::new(),
-            list_delivered_until: self.now,
+            earliest_list_arrival: self.now,
             withdrawn_at: BTreeMap::new(),
-            known_starts: BTreeMap::new(),
+            known_start_times: BTreeMap::new(),
         };
-        let present = self.engines.values().filter(|engine| !engine.removed);
+        let listed = self.engines.values().filter(|engine| !engine.removed);
         let list = Event::List {
             kind: ListKind::Complete,
-            engines: present.map(list_entry).collect(),
+            engines: listed.map(list_entry).collect(),
         };
         node.receive(self.now, list);
         node
     }
 
-    /// Starts a gateway that was stopped.
+    /// Starts a stopped gateway as a new incarnation.
     pub(crate) fn start_gateway(&mut self, gateway: usize) {
         let incarnation = self.gateways[gateway].incarnation + 1;
         self.gateways[gateway] = self.new_gateway(gateway as u32, incarnation);
     }
 
-    /// Stops a gateway: its requests are lost, and its engines notice.
+    /// Stops a gateway: its requests are lost and their attempts are removed from the engines.
     pub(crate) fn stop_gateway(&mut self, gateway: usize) {
         let node = &mut self.gateways[gateway];
         node.up = false;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Has a gateway handle what it is told, and does what it answers.
+    /// Lets a gateway handle its pending events and performs the resulting actions.
     pub(crate) fn run_gateway(&mut self, gateway: usize) {
         let now = self.now;
         let node = &mut self.gateways[gateway];
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Tells a gateway of an event, unless it is down or has restarted since that was sent.
+    /// Delivers an event to a gateway, unless the gateway is down or has restarted since the event was sent.
     pub(crate) fn deliver(&mut self, gateway: usize, incarnation: u32, event: Event) {
         let node = &mut self.gateways[gateway];
         if node.up && node.incarnation == incarnation {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Sends an event to the present incarnation of a gateway.
+    /// Schedules an event for the current incarnation of a gateway.
     pub(crate) fn deliver_at(&mut self, at: Micros, gateway: usize, event: Event) {
         let incarnation = self.gateways[gateway].incarnation;
         let event = Box::new(event);
@@ -161,15 +161,15 @@
         self.schedule(at, deliver);
     }
 
-    /// Tells all gateways how these engines are now, each after a delay of its own.
+    /// Announces the current state of these engines to all gateways, each after a separate random delay.
     pub(crate) fn announce_engines(&mut self, ids: &[EngineId]) {
         let changed = ids.iter().filter_map(|id| self.engines.get(id));
         let changed: Vec<Engine> = changed.map(list_entry).collect();
         for gateway in 0..self.gateways.len() {
-            let delay = Micros(self.rng.random_range(LIST_DELAY));
+            let delay = Micros(self.rng.random_range(LIST_DELAY_MICROS));
             let node = &mut self.gateways[gateway];
-            let at = (self.now + delay).max(node.list_delivered_until);
-            node.list_delivered_until = at;
+            let at = (self.now + delay).max(node.earliest_list_arrival);
+            node.earliest_list_arrival = at;
             let list = Event::List {
                 kind: ListKind::Changes,
                 engines: changed.clone(),
@@ -179,7 +179,7 @@
     }
 }
 
-/// An engine as the list of engines has it.
+/// The entry of an engine in the engine list.
 fn list_entry(engine: &EngineModel) -> Engine {
     let state = match (engine.removed, engine.draining) {
         (true, _) => EngineState::Gone,
--- a/virtual/src/lib.rs
+++ b/virtual/src/lib.rs
@@ -1,10 +1,9 @@
-//! A simulated fleet: many gateways of the decision module before the same engines, in virtual time.
+//! Simulates a fleet in virtual time: many gateways that share the same engines.
 //!
-//! What is harmless in one gateway may harm when hundreds do it, and no machine holds so many programs. Here the
-//! gateways are those of the product and all else is a model: engines that share their cores, page and warm up,
-//! lists of engines that arrive late, clients that send whether or not they are answered, and scripted faults. What
-//! happens is checked against the [`Rule`]s; a [`FaultyGateway`] for each rule shows that its check works. The same
-//! seed gives the same run.
+//! Behaviour that is harmless in one gateway can be harmful when hundreds of gateways do it, and one machine cannot run
+//! that many dispatchers. The gateways are the product's own code; engines (shared cores, paging, warm-up), delayed
+//! engine lists, open-loop clients and scripted faults are models. Every run is checked against the [`Rule`]s; a
+//! [`FaultyGateway`] for each rule shows that the check detects a violation. A seed determines the whole run.
 
 mod actions;
 mod clients;
--- a/virtual/src/requests.rs
+++ b/virtual/src/requests.rs
@@ -1,8 +1,8 @@
-//! Requests that have no final answer yet.
+//! Requests without a final answer.
 
 use sedgebeam_core::{EngineId, Micros, TableGroupId};
 
-/// The attempt of a request that is under way.
+/// The attempt of a request that is in flight.
 pub(crate) struct AttemptInFlight {
     pub engine: EngineId,
     pub number: u32,
@@ -12,25 +12,25 @@
 /// A request without a final answer.
 pub(crate) struct OpenRequest {
     pub gateway: usize,
-    /// The incarnation of its gateway that took it.
+    /// The incarnation of the gateway that received the request.
     pub incarnation: u32,
     pub class: usize,
     pub arrived_at: Micros,
-    /// Core seconds that it really takes.
+    /// Actual work in core seconds; the gateway only knows an estimate.
     pub work: f64,
     pub memory_mb: f64,
     pub group: TableGroupId,
     pub priority: usize,
     pub in_flight: Option<AttemptInFlight>,
-    /// Attempts made so far.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// An attempt that has ended may have run.
+    /// Whether an earlier attempt may have run.
     pub may_have_run: bool,
 }
 
 impl OpenRequest {
-    /// Begins the next attempt and returns its number.
-    pub fn begin_attempt(&mut self, engine: EngineId, now: Micros) -> u32 {
+    /// Starts the next attempt and returns its number.
+    pub fn start_attempt(&mut self, engine: EngineId, now: Micros) -> u32 {
         let number = self.attempts;
         self.attempts += 1;
         self.in_flight = Some(AttemptInFlight {
@@ -41,7 +41,7 @@
         number
     }
 
-    /// Whether the attempt of this number is under way.
+    /// Whether the attempt with this number is in flight.
     pub fn is_in_flight(&self, attempt: u32) -> bool {
         let in_flight = self.in_flight.as_ref();
         in_flight.is_some_and(|in_flight| in_flight.number == attempt)
--- a/virtual/src/rules.rs
+++ b/virtual/src/rules.rs
@@ -1,27 +1,28 @@
-//! The rules that every run is checked against, and the violations found.
+//! The rules that every run is checked against, and the violations that were found.
 
 use sedgebeam_core::Micros;
 use std::collections::BTreeMap;
 
-/// What holds in any run, whatever faults are injected.
+/// A property that must hold in every run, whichever faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A request gets one final answer, and nothing is sent for it after that.
+    /// A request gets exactly one final answer, and no attempt is sent after it.
     SingleAnswer,
-    /// A request gets its final answer in time.
+    /// A request gets its final answer within its time limit plus the configured slack.
     AnswerInTime,
-    /// No second attempt starts while one is in flight.
+    /// A request has at most one attempt in flight.
     SingleAttemptInFlight,
-    /// A request that may have run is retried, or refused as harmless, only where its class allows it.
+    /// A request that may have run is retried, or refused (which tells the client that a retry is safe), only if its class
+    /// allows it.
     NoUnsafeRetry,
-    /// Nothing new goes to an engine that drains or is gone, a grace period after the gateway was told.
+    /// No attempt is sent to a draining or removed engine once the grace period after the gateway's notification is over.
     NoSendAfterDrain,
-    /// A cold engine is not overloaded by gateways that know that it is cold.
+    /// A cold engine is not overloaded by gateways that know of its latest start.
     NoColdOverload,
 }
 
-/// Violations kept of each rule: enough to find the cause.
-const MAX_KEPT_PER_RULE: usize = 5;
+/// Number of violations that are kept for each rule; the first few are enough to find the cause.
+const MAX_VIOLATIONS_PER_RULE: usize = 5;
 
 /// One violation of a rule.
 #[derive(Clone, Debug)]
@@ -30,7 +31,7 @@
     pub detail: String,
 }
 
-/// The violations found in a run, by rule.
+/// The violations of a run, by rule.
 #[derive(Clone, Debug, Default)]
 pub struct Violations {
     by_rule: BTreeMap<Rule, Vec<Violation>>,
@@ -38,9 +39,9 @@
 
 impl Violations {
     pub(crate) fn record(&mut self, rule: Rule, at: Micros, detail: String) {
-        let kept = self.by_rule.entry(rule).or_default();
-        if kept.len() < MAX_KEPT_PER_RULE {
-            kept.push(Violation { at, detail });
+        let recorded = self.by_rule.entry(rule).or_default();
+        if recorded.len() < MAX_VIOLATIONS_PER_RULE {
+            recorded.push(Violation { at, detail });
         }
     }
 
@@ -52,7 +53,7 @@
         self.by_rule.contains_key(&rule)
     }
 
-    /// The first violations of each rule that was violated.
+    /// The violations that were kept, for each rule that was violated.
     pub fn iter(&self) -> impl Iterator<Item = (Rule, &[Violation])> {
         let rules = self.by_rule.iter();
         rules.map(|(rule, violations)| (*rule, violations.as_slice()))
--- a/virtual/src/simulation.rs
+++ b/virtual/src/simulation.rs
@@ -1,7 +1,7 @@
-//! The simulation itself: gateways, engines, clients and faults on one clock that moves in steps.
+//! The simulation loop: gateways, engines, clients and faults on one clock that advances in steps.
 //!
-//! Each concern has a module of its own that extends [`Simulation`]: `clients` (arrivals), `gateways` and `actions`
-//! (what gateways are told and do), `engines` (what runs and ends) and `fault_injection`.
+//! Other modules extend [`Simulation`], one for each concern: `clients` (arrivals), `gateways` (event delivery), `actions`
+//! (what gateways do), `engines` (execution of queries) and `fault_injection`.
 
 use crate::clients::Traffic;
 use crate::deployment::Deployment;
@@ -18,17 +18,17 @@
 use sedgebeam_core::{EngineId, Event, Gateway, Micros, RequestId, Settings, ZoneId};
 use std::collections::BTreeMap;
 
-/// Steps of the clock. Gateways are told what happened, and decide, once a step.
+/// Step of the clock. In each step, a gateway handles its pending events once.
 pub(crate) const STEP: Micros = Micros::from_millis(10);
-/// The time at which a simulation starts: zero stands for long ago.
+/// The time at which a simulation starts. It is well above zero, which as a start time of an engine means long ago.
 pub(crate) const START: Micros = Micros::from_millis(1_000_000);
-/// After the longest wait of a client, how much longer [`Simulation::finish`] goes on.
+/// Time for which [`Simulation::finish`] continues after the longest time limit of any class.
 const FINISH_MARGIN: Micros = Micros::from_millis(1000);
 
-/// Makes the logic of a gateway, from its settings and a seed.
+/// Creates the logic of a gateway from its settings and a seed.
 pub type GatewayFactory = Box<dyn Fn(Settings, u64) -> Box<dyn GatewayLogic>>;
 
-/// Many gateways before the same engines, in virtual time. One seed gives one run.
+/// Many gateways that share the same engines, in virtual time. A seed determines the whole run.
 pub struct Simulation {
     pub deployment: Deployment,
     pub now: Micros,
@@ -39,25 +39,25 @@
     pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
     pub(crate) events: EventQueue,
     pub(crate) traffic: Traffic,
-    /// Zones that nothing passes to or from.
+    /// Zones without a connection to the other zones.
     pub(crate) partitioned_zones: Vec<ZoneId>,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) gateway_factory: GatewayFactory,
-    /// Core seconds of the mean request.
+    /// Mean work of a request, in core seconds.
     pub(crate) mean_work: f64,
-    /// Engines started so far.
+    /// Number of engines started so far.
     pub(crate) engines_started: u64,
 }
 
 impl Simulation {
-    /// A simulation of the product's gateways.
+    /// Creates a simulation of the product's gateways.
     pub fn new(deployment: Deployment, seed: u64, script: FaultScript) -> Simulation {
         let factory: GatewayFactory =
             Box::new(|settings, seed| Box::new(Gateway::new(settings, seed)));
         Simulation::with_gateways(deployment, seed, script, factory)
     }
 
-    /// A simulation of other gateways.
+    /// Creates a simulation with gateways from a custom factory.
     pub fn with_gateways(
         deployment: Deployment,
         seed: u64,
@@ -87,7 +87,7 @@
         simulation
     }
 
-    /// Starts the first engines, as warm ones, and the gateways.
+    /// Starts the gateways and the initial engines, which are warm.
     fn populate(&mut self) {
         for _ in 0..self.deployment.engines {
             self.start_engine(Micros(0));
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Lets time pass, with traffic.
+    /// Advances the clock by a duration, with traffic.
     pub fn run(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.now < end {
@@ -106,11 +106,12 @@
         }
     }
 
-    /// Lets the open requests end, without further traffic.
+    /// Advances the clock without new traffic until all requests are closed, or until the longest time limit of a class has
+    /// passed.
     pub fn finish(&mut self) {
         let classes = self.deployment.settings.classes.iter();
-        let longest = classes.map(|class| class.give_up).max();
-        let end = self.now + longest.unwrap_or_default() + FINISH_MARGIN;
+        let longest_limit = classes.map(|class| class.give_up).max();
+        let end = self.now + longest_limit.unwrap_or_default() + FINISH_MARGIN;
         while self.now < end && !self.requests.is_empty() {
             self.step(false);
         }
@@ -156,7 +157,7 @@
         }
     }
 
-    /// A request that is open now has had no answer in time.
+    /// Records a violation if the request is still open after its latest answer time.
     fn check_answered(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else {
             return;
@@ -169,18 +170,18 @@
         inbox.push(Event::ClientLeft(id));
     }
 
-    /// Whether nothing passes between the two zones.
+    /// Whether the two zones cannot reach each other.
     pub(crate) fn is_partitioned(&self, one: ZoneId, other: ZoneId) -> bool {
         let separates = |zone: &ZoneId| (one == *zone) != (other == *zone);
         self.partitioned_zones.iter().any(separates)
     }
 
-    /// Goodput: the share of the worth offered that was served on time.
+    /// Share of the offered worth that was served on time.
     pub fn goodput(&self) -> f64 {
         self.metrics.goodput(&self.deployment.settings.classes)
     }
 
-    /// Requests that have no final answer yet.
+    /// Number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
--- a/virtual/tests/scenarios.rs
+++ b/virtual/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Simulations of whole fleets: each scenario at several sizes and deployments, checked against all rules, and a faulty
-//! gateway for each rule.
+//! Simulations of whole fleets: scenarios at several sizes and deployments, checked against all rules, and a faulty gateway
+//! for each rule.
 
 use sedgebeam_core::{Gateway, LoadReportMode, Micros, Settings};
 use sedgebeam_virtual::*;
@@ -8,7 +8,7 @@
     Micros::from_millis(millis)
 }
 
-/// Simulates a scenario to its end and checks what holds in all of them.
+/// Simulates a scenario until all requests are closed and checks the properties that hold in all scenarios.
 fn simulate(deployment: Deployment, name: &str, seed: u64, millis: u64) -> Simulation {
     let run = format!(
         "{name} {}/{} seed {seed}",
@@ -27,7 +27,7 @@
         assert_eq!(
             counts.arrived,
             counts.ended(),
-            "{run}: each request has one end"
+            "{run}: each request has exactly one outcome"
         );
     }
     let attempts = simulation.metrics.attempts_per_request();
@@ -36,24 +36,24 @@
 }
 
 #[test]
-fn few_gateways_keep_the_rules_on_every_kind_of_day() {
-    for (at, kind) in SCENARIOS.into_iter().enumerate() {
-        let simulation = simulate(Deployment::standard(3, 7), kind, at as u64, 9000);
+fn a_few_gateways_keep_the_rules_in_every_scenario() {
+    for (index, name) in SCENARIOS.into_iter().enumerate() {
+        let simulation = simulate(Deployment::standard(3, 7), name, index as u64, 9000);
         assert!(
             simulation.goodput() > 0.5,
-            "{kind}: {}",
+            "{name}: {}",
             simulation.goodput()
         );
     }
 }
 
 #[test]
-fn a_hundred_gateways_keep_the_rules_on_every_kind_of_day() {
-    for (at, kind) in SCENARIOS.into_iter().enumerate() {
-        let simulation = simulate(Deployment::standard(100, 30), kind, 50 + at as u64, 8000);
+fn a_hundred_gateways_keep_the_rules_in_every_scenario() {
+    for (index, name) in SCENARIOS.into_iter().enumerate() {
+        let simulation = simulate(Deployment::standard(100, 30), name, 50 + index as u64, 8000);
         assert!(
             simulation.goodput() > 0.4,
-            "{kind}: {}",
+            "{name}: {}",
             simulation.goodput()
         );
     }
@@ -61,21 +61,21 @@
 
 #[test]
 fn three_hundred_gateways_keep_the_rules_when_engines_are_replaced_or_a_zone_is_lost() {
-    for kind in ["replaced", "lost"] {
-        let simulation = simulate(Deployment::standard(300, 80), kind, 7, 6000);
+    for name in ["replaced", "lost"] {
+        let simulation = simulate(Deployment::standard(300, 80), name, 7, 6000);
         assert!(
             simulation.goodput() > 0.4,
-            "{kind}: {}",
+            "{name}: {}",
             simulation.goodput()
         );
     }
 }
 
-/// The ramp of a cold engine holds for the sum of all gateways: where they count, where they go by rights, and at the
-/// border between, while they restart, are killed, and all engines are new at once, and when a file names fewer gateways
-/// than it did.
+/// The slow start of a cold engine limits the sum of all gateways. Small fleets count their attempts, large ones use
+/// admission tokens, and the sizes include the border between the two. The limit holds while gateways restart or are killed,
+/// while almost all engines are new, and when reloaded settings name fewer gateways than before.
 #[test]
-fn no_cold_engine_falls_at_any_number_of_gateways() {
+fn no_cold_engine_crashes_at_any_number_of_gateways() {
     let sizes = [
         (3, 7),
         (6, 7),
@@ -86,18 +86,22 @@
         (300, 40),
         (900, 120),
     ];
-    for (at, (gateways, engines)) in sizes.into_iter().enumerate() {
-        for kind in ["rolled", "killed and replaced", "retuned"] {
+    for (index, (gateways, engines)) in sizes.into_iter().enumerate() {
+        for name in ["rolled", "killed and replaced", "reloaded"] {
             let mut deployment = Deployment::standard(gateways, engines);
-            let new = Fault::replacement(0.9, 2, 2000, 1000);
-            let script = match kind {
+            let replacement = Fault::replacement(0.9, 2, 2000, 1000);
+            let script = match name {
                 "rolled" => scenario("rolled").expect("a scenario"),
-                "retuned" => {
+                "reloaded" => {
                     deployment.settings.gateways *= 5;
-                    [new, vec![(ms(6000), Fault::ReloadSettings { gateways })]].concat()
+                    [
+                        replacement,
+                        vec![(ms(6000), Fault::ReloadSettings { gateways })],
+                    ]
+                    .concat()
                 }
                 _ => [
-                    new,
+                    replacement,
                     vec![(
                         ms(3000),
                         Fault::RestartGateways {
@@ -109,29 +113,29 @@
                 ]
                 .concat(),
             };
-            let mut simulation = Simulation::new(deployment, 20 + at as u64, script);
+            let mut simulation = Simulation::new(deployment, 20 + index as u64, script);
             simulation.run(ms(9000));
             let violations = &simulation.violations;
             assert!(
                 violations.is_empty(),
-                "{gateways}/{engines} {kind}: {violations:?}"
+                "{gateways}/{engines} {name}: {violations:?}"
             );
             assert_eq!(
                 simulation.metrics.engine_crashes, 0,
-                "{gateways}/{engines} {kind}"
+                "{gateways}/{engines} {name}"
             );
         }
     }
 }
 
 #[test]
-fn as_many_engines_as_gateways_or_more_gateways_than_engines_can_be() {
+fn fleets_may_have_more_gateways_than_engines_or_about_as_many() {
     simulate(Deployment::standard(30, 7), "replaced", 3, 8000);
     simulate(Deployment::standard(350, 300), "rolled", 4, 3500);
 }
 
 #[test]
-fn the_rules_hold_by_whatever_settings_tell() {
+fn the_rules_hold_with_all_kinds_of_settings() {
     let deployments: [Deployment; 5] = [
         Deployment::single_class(60, 20),
         Deployment::minimal(60, 20),
@@ -139,20 +143,20 @@
         Deployment::with_load_reports(60, 20, LoadReportMode::InAnswers),
         Deployment::with_deduplication(60, 20),
     ];
-    for (at, deployment) in deployments.into_iter().enumerate() {
-        for kind in ["rolled", "lost", "resets"] {
-            simulate(deployment.clone(), kind, 100 + at as u64, 7000);
+    for (index, deployment) in deployments.into_iter().enumerate() {
+        for name in ["rolled", "lost", "resets"] {
+            simulate(deployment.clone(), name, 100 + index as u64, 7000);
         }
     }
 }
 
-/// Cold engines get work from the start, of every class.
+/// Cold engines get work from their start on, and in larger fleets work of every class.
 #[test]
-fn cold_engines_get_work_of_what_they_can_do() {
+fn cold_engines_get_work_within_their_capacity() {
     for (gateways, engines) in [(3, 7), (30, 7), (30, 30), (100, 30), (100, 60)] {
         let simulation = simulate(Deployment::standard(gateways, engines), "replaced", 9, 8000);
-        let used = simulation.metrics.cold_utilization();
-        assert!(used > 0.1, "{gateways}/{engines}: {used}");
+        let utilization = simulation.metrics.cold_utilization();
+        assert!(utilization > 0.1, "{gateways}/{engines}: {utilization}");
         let classes = &simulation.metrics.cold_work;
         assert!(
             gateways < 30 || classes.iter().all(|work| *work > 0.0),
@@ -162,34 +166,39 @@
     }
 }
 
-/// After three seconds at 1.3 times what the engines can do, most is served again ten seconds later.
+/// After three seconds at 1.3 times the engines' capacity, more than 95 % of the worth is served on time again
+/// ten seconds after the burst began: no backlog persists.
 #[test]
-fn a_burst_leaves_no_crowd_behind() {
+fn a_burst_leaves_no_persistent_backlog() {
     let mut deployment = Deployment::standard(300, 80);
     deployment.set_offered_load(0.65);
     let simulation = simulate(deployment, "burst", 1, 20_000);
     let served = |from: usize, to: usize| {
         let seconds = &simulation.metrics.per_second[from..to];
-        let sum = |part: fn(&WorthPerSecond) -> f64| seconds.iter().map(part).sum::<f64>();
+        let sum = |worth: fn(&WorthPerSecond) -> f64| seconds.iter().map(worth).sum::<f64>();
         sum(|second| second.served) / sum(|second| second.offered)
     };
-    assert!(served(5, 10) > 0.8, "{} at first", served(5, 10));
-    assert!(served(12, 20) > 0.95, "{} in the end", served(12, 20));
+    assert!(
+        served(5, 10) > 0.8,
+        "{} during and after the burst",
+        served(5, 10)
+    );
+    assert!(served(12, 20) > 0.95, "{} at the end", served(12, 20));
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day() {
-    let play = |seed| {
+fn the_same_seed_gives_the_same_run() {
+    let class_counts = |seed| {
         let simulation = simulate(Deployment::standard(10, 7), "rolled", seed, 5000);
         simulation.metrics.classes
     };
-    assert_eq!(play(5), play(5));
-    assert_ne!(play(5), play(6));
+    assert_eq!(class_counts(5), class_counts(5));
+    assert_ne!(class_counts(5), class_counts(6));
 }
 
-/// Each check notices the gateway that violates its rule, in a scenario that shows it.
+/// Each check detects the gateway that violates its rule, in a scenario in which the defect matters.
 #[test]
-fn faulty_gateways_are_caught() {
+fn faulty_gateways_are_detected() {
     for (defect, rule, name) in [
         (Defect::AnswersTwice, Rule::SingleAnswer, "burst"),
         (Defect::NeverAnswers, Rule::AnswerInTime, "burst"),
@@ -202,14 +211,14 @@
             "replaced",
         ),
     ] {
-        let make = move |settings, seed| {
+        let factory = move |settings, seed| {
             Box::new(FaultyGateway::new(settings, seed, defect)) as Box<dyn GatewayLogic>
         };
         let mut simulation = Simulation::with_gateways(
             Deployment::standard(12, 7),
             2,
             scenario(name).expect("a scenario"),
-            Box::new(make),
+            Box::new(factory),
         );
         simulation.run(ms(7000));
         simulation.finish();
@@ -221,22 +230,22 @@
     }
 }
 
-/// Each gateway acts as if it were alone: only all of them together break the rule.
+/// Each gateway behaves as if it were the only one and engines started warm; only their sum violates the rule.
 #[test]
-fn gateways_that_count_on_a_whole_engine_are_caught() {
-    let alone = |settings| Settings {
+fn gateways_that_assume_a_whole_engine_are_detected() {
+    let as_only_gateway = |settings| Settings {
         gateways: 1,
         start_capacity: 1e9,
         warm_after: ms(1),
         ..settings
     };
-    let make = move |settings, seed| {
-        Box::new(Gateway::new(alone(settings), seed)) as Box<dyn GatewayLogic>
+    let factory = move |settings, seed| {
+        Box::new(Gateway::new(as_only_gateway(settings), seed)) as Box<dyn GatewayLogic>
     };
     let script = scenario("replaced").expect("a scenario");
     let mut deployment = Deployment::standard(100, 10);
     deployment.set_offered_load(5.0);
-    let mut simulation = Simulation::with_gateways(deployment, 7, script, Box::new(make));
+    let mut simulation = Simulation::with_gateways(deployment, 7, script, Box::new(factory));
     simulation.run(ms(6000));
     assert!(
         simulation.violations.contains(Rule::NoColdOverload),
