--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts gateways on the simulator's wire: one line of events in, one line of actions out.
+//! Hosts gateways for the simulator: reads a batch of events per line from standard input and writes the actions as one
+//! line to standard output.
 
 mod wire;
 
@@ -8,9 +9,10 @@
 use std::io::{BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
-use wire::{AnnounceKind, Batch, Message, Reply, Row};
+use wire::{AnnounceKind, Batch, EngineRow, Message, Reply};
 
-/// An instance: its gateway, its names, and the events of this batch it has not handled yet.
+/// One simulated gateway process: the gateway, the names in its configuration, and the events of the current batch that it
+/// has not handled yet.
 struct Instance {
     gateway: Gateway,
     names: Names,
@@ -19,36 +21,42 @@
 
 #[derive(Default)]
 struct Host {
+    /// By instance number.
     instances: BTreeMap<u64, Instance>,
-    lists: BTreeMap<u64, Vec<Row>>,
+    /// Engine lists by buffer number, until a later list reuses the number.
+    engine_lists: BTreeMap<u64, Vec<EngineRow>>,
 }
 
 impl Host {
     fn reply(&mut self, line: &str) -> Result<String, String> {
         let batch = Batch::decode(line)?;
-        let (now, mut reply) = (micros(batch.ts), Reply::new(batch.turn));
-        for message in batch.msgs {
-            self.take(message)
-                .map_err(|error| format!("batch {}: {error}", batch.turn))?;
+        let (now, mut reply) = (micros(batch.time_ms), Reply::new(batch.number));
+        for message in batch.messages {
+            self.handle_message(message)
+                .map_err(|error| format!("batch {}: {error}", batch.number))?;
         }
-        for (i, instance) in &mut self.instances {
+        for (id, instance) in &mut self.instances {
             if !instance.pending.is_empty() {
-                instance.act(*i, now, &mut reply);
+                instance.handle_pending(*id, now, &mut reply);
             }
         }
         Ok(reply.line())
     }
 
-    fn take(&mut self, message: Message) -> Result<(), String> {
+    fn handle_message(&mut self, message: Message) -> Result<(), String> {
         match message {
-            Message::Ledger { buffer, rows_in } => {
-                self.lists.insert(buffer, rows_in);
+            Message::EngineList { buffer, rows } => {
+                self.engine_lists.insert(buffer, rows);
             }
-            // A restart within a batch drops whatever was pending with the old state.
-            Message::Spawn { i, rng_seed, facts } => {
-                let gateway = Gateway::new(facts.settings(), rng_seed);
+            // A restart within a batch discards the pending events together with the old state.
+            Message::Start {
+                instance,
+                seed,
+                facts,
+            } => {
+                let gateway = Gateway::new(facts.settings(), seed);
                 self.instances.insert(
-                    i,
+                    instance,
                     Instance {
                         gateway,
                         names: facts.names(),
@@ -56,45 +64,49 @@
                     },
                 );
             }
-            Message::Down { i } => {
-                self.instances.remove(&i);
+            Message::Stop { instance } => {
+                self.instances.remove(&instance);
             }
-            Message::Announce { i, kind, buffer } => self.announce(i, kind, buffer)?,
-            Message::Event { i, event } => {
-                if let Some(instance) = self.instances.get_mut(&i) {
-                    let event = wire::event(&instance.names, event)?;
+            Message::Announce {
+                instance,
+                kind,
+                buffer,
+            } => self.announce(instance, kind, buffer)?,
+            Message::Event { instance, event } => {
+                if let Some(instance) = self.instances.get_mut(&instance) {
+                    let event = wire::gateway_event(&instance.names, event)?;
                     instance.pending.extend(event);
                 }
             }
-            Message::Unknown => {}
+            Message::Ignored => {}
         }
         Ok(())
     }
 
-    fn announce(&mut self, i: u64, kind: AnnounceKind, buffer: u64) -> Result<(), String> {
-        let Some(instance) = self.instances.get_mut(&i) else {
+    fn announce(&mut self, instance: u64, kind: AnnounceKind, buffer: u64) -> Result<(), String> {
+        let Some(instance) = self.instances.get_mut(&instance) else {
             return Ok(());
         };
-        let rows = match (kind, self.lists.get(&buffer)) {
+        let rows = match (kind, self.engine_lists.get(&buffer)) {
             (AnnounceKind::Error, _) => &[][..],
             (_, Some(rows)) => rows,
             (_, None) => return Err(format!("announce: unknown list number {buffer}")),
         };
-        let event = wire::list(&instance.names, kind, rows);
+        let event = wire::list_event(&instance.names, kind, rows);
         instance.pending.push(event);
         Ok(())
     }
 }
 
 impl Instance {
-    fn act(&mut self, i: u64, now: Micros, reply: &mut Reply) {
+    fn handle_pending(&mut self, id: u64, now: Micros, reply: &mut Reply) {
         let events = std::mem::take(&mut self.pending);
         let gateway = &mut self.gateway;
         match catch_unwind(AssertUnwindSafe(|| gateway.handle(now, events))) {
             Ok(actions) => actions
                 .into_iter()
-                .for_each(|action| reply.order(i, action)),
-            Err(_) => reply.exception(i, "the decision module panicked"),
+                .for_each(|action| reply.push_action(id, action)),
+            Err(_) => reply.push_exception(id, "the decision module panicked"),
         }
     }
 }
@@ -106,13 +118,13 @@
         let reply = line
             .map_err(|error| error.to_string())
             .and_then(|line| host.reply(&line));
-        let sent = reply.and_then(|reply| {
+        let written = reply.and_then(|reply| {
             output
                 .write_all(reply.as_bytes())
                 .and_then(|()| output.flush())
                 .map_err(|error| error.to_string())
         });
-        if let Err(error) = sent {
+        if let Err(error) = written {
             eprintln!("sedgebeam-adapter: {error}");
             return ExitCode::FAILURE;
         }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The messages of the wire, and what they mean to a gateway.
+//! The simulator's messages: decoding of batches into gateway events, and encoding of actions as replies.
 
 use miniserde::json::Value;
 use miniserde::{Deserialize, json};
@@ -10,26 +10,27 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Bits of a request's `opts`: its estimate counts; its client marks it as a repeat.
+/// Bit of a request's `opts`: the estimate is valid.
 const HAS_ESTIMATE: u64 = 1;
+/// Bit of a request's `opts`: the client marks the request as a retry.
 const IS_RETRY: u64 = 2;
 
 #[derive(Deserialize)]
 struct RawBatch {
     ts: f64,
     turn: u64,
-    msgs: Vec<Raw>,
+    msgs: Vec<RawMessage>,
 }
 
-/// Any message as it stands in a batch; what it must hold depends on its `cmd`.
+/// The union of the fields of all messages, named as on the wire; `cmd` determines which of them are required.
 #[derive(Deserialize)]
-struct Raw {
+struct RawMessage {
     cmd: Option<String>,
     i: Option<u64>,
     rng_seed: Option<u64>,
     facts: Option<Box<Facts>>,
     buffer: Option<u64>,
-    rows_in: Option<Vec<RawRow>>,
+    rows_in: Option<Vec<RawEngineRow>>,
     kind: Option<String>,
     handle: Option<u64>,
     req: Option<String>,
@@ -53,7 +54,7 @@
 }
 
 #[derive(Deserialize)]
-struct RawRow {
+struct RawEngineRow {
     executor: u64,
     az: Option<String>,
     #[serde(rename = "type")]
@@ -63,47 +64,55 @@
     started_at: Option<f64>,
 }
 
+/// The messages of one line of input.
 pub struct Batch {
-    pub ts: f64,
-    pub turn: u64,
-    pub msgs: Vec<Message>,
+    pub time_ms: f64,
+    pub number: u64,
+    pub messages: Vec<Message>,
 }
 
 pub enum Message {
-    Spawn {
-        i: u64,
-        rng_seed: u64,
+    Start {
+        instance: u64,
+        seed: u64,
         facts: Box<Facts>,
     },
-    Ledger {
+    EngineList {
         buffer: u64,
-        rows_in: Vec<Row>,
+        rows: Vec<EngineRow>,
     },
+    /// Delivers the engine list of a buffer to an instance.
     Announce {
-        i: u64,
+        instance: u64,
         kind: AnnounceKind,
         buffer: u64,
     },
-    Down {
-        i: u64,
+    Stop {
+        instance: u64,
     },
-    /// What goes on to the gateway of an instance.
+    /// An event for the gateway of an instance.
     Event {
-        i: u64,
-        event: Tell,
+        instance: u64,
+        event: EventMessage,
     },
-    /// A kind that this adapter does not know, or that means nothing to a gateway.
-    Unknown,
+    /// A message that the adapter does not know or that gateways do not need.
+    Ignored,
 }
 
-pub enum Tell {
-    WorkItem(WorkItem),
-    Due(u64),
-    Interim(String, u32, u8, f64),
-    First(String, u32),
-    StatusBack(String, u64, Option<LoadReport>),
+/// A message that carries an event for a gateway.
+pub enum EventMessage {
+    Request(RequestMessage),
+    /// A timer, by its handle.
+    Timer(u64),
+    /// A note on an attempt: request id, attempt number, code and amount.
+    Note(String, u32, u8, f64),
+    /// The first part of a result: request id and attempt number.
+    Started(String, u32),
+    /// The result of a probe: outcome, engine and load report.
+    Probed(String, u64, Option<LoadReport>),
+    /// The client of a request, by its id, has disconnected.
     ClientLeft(String),
-    Completed(Completed),
+    Ended(EndedMessage),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -114,144 +123,147 @@
     Error,
 }
 
-pub struct Row {
-    executor: u64,
-    az: String,
+/// An entry of an engine list.
+pub struct EngineRow {
+    engine: u64,
+    zone: String,
     kind: String,
-    bay: u64,
+    cell: u64,
     status: String,
-    started_at: f64,
+    started_at_ms: f64,
 }
 
-pub struct WorkItem {
-    req: String,
-    band: String,
-    account: Option<String>,
-    order_key: Option<String>,
-    remaining: f64,
-    estimate: f64,
-    need_mb: f64,
-    tables: u64,
-    opts: u64,
+pub struct RequestMessage {
+    request_id: String,
+    class: String,
+    tenant: Option<String>,
+    key: Option<String>,
+    remaining_ms: f64,
+    estimated_work_ms: f64,
+    memory_mb: f64,
+    table_group: u64,
+    options: u64,
 }
 
-pub struct Completed {
-    req: String,
+pub struct EndedMessage {
+    request_id: String,
     outcome: String,
-    seq_no: u32,
-    bill: u64,
-    wait_time: f64,
-    finished: bool,
-    executor: u64,
-    load: Option<LoadReport>,
+    attempt: u32,
+    cost: u64,
+    elapsed_ms: f64,
+    request_finished: bool,
+    engine: u64,
+    load_report: Option<LoadReport>,
 }
 
 impl Batch {
     pub fn decode(line: &str) -> Result<Batch, String> {
         let raw: RawBatch =
             json::from_str(line).map_err(|_| "a line is not a batch of messages".to_string())?;
-        let msgs = raw.msgs.into_iter().map(Raw::message);
+        let messages = raw.msgs.into_iter().map(RawMessage::decode);
         Ok(Batch {
-            ts: raw.ts,
-            turn: raw.turn,
-            msgs: msgs.collect::<Result<_, _>>()?,
+            time_ms: raw.ts,
+            number: raw.turn,
+            messages: messages.collect::<Result<_, _>>()?,
         })
     }
 }
 
-/// A field that a message of this kind must have.
-fn must<T>(cmd: &str, name: &str, value: Option<T>) -> Result<T, String> {
+/// Returns a field that is required for this `cmd`.
+fn required<T>(cmd: &str, name: &str, value: Option<T>) -> Result<T, String> {
     value.ok_or_else(|| format!("{cmd}: missing field `{name}`"))
 }
 
-impl Raw {
-    fn message(self) -> Result<Message, String> {
-        let cmd = must("message", "cmd", self.cmd.clone())?;
+impl RawMessage {
+    fn decode(self) -> Result<Message, String> {
+        let cmd = required("message", "cmd", self.cmd.clone())?;
         if cmd == "ledger" {
-            let rows = must(&cmd, "rows_in", self.rows_in)?;
-            return Ok(Message::Ledger {
-                buffer: must(&cmd, "buffer", self.buffer)?,
-                rows_in: rows.into_iter().map(Row::from).collect(),
+            let rows = required(&cmd, "rows_in", self.rows_in)?;
+            return Ok(Message::EngineList {
+                buffer: required(&cmd, "buffer", self.buffer)?,
+                rows: rows.into_iter().map(EngineRow::from).collect(),
             });
         }
-        let Some(i) = self.i else {
-            return Ok(Message::Unknown);
+        let Some(instance) = self.i else {
+            return Ok(Message::Ignored);
         };
         Ok(match cmd.as_str() {
-            "spawn" => Message::Spawn {
-                i,
-                rng_seed: must(&cmd, "rng_seed", self.rng_seed)?,
-                facts: must(&cmd, "facts", self.facts)?,
+            "spawn" => Message::Start {
+                instance,
+                seed: required(&cmd, "rng_seed", self.rng_seed)?,
+                facts: required(&cmd, "facts", self.facts)?,
             },
             "announce" => Message::Announce {
-                i,
-                kind: announce_kind(&must(&cmd, "kind", self.kind)?)?,
+                instance,
+                kind: announce_kind(&required(&cmd, "kind", self.kind)?)?,
                 buffer: self.buffer.unwrap_or_default(),
             },
-            "down" => Message::Down { i },
-            _ => match self.tell(&cmd)? {
-                Some(event) => Message::Event { i, event },
-                None => Message::Unknown,
+            "down" => Message::Stop { instance },
+            _ => match self.decode_event(&cmd)? {
+                Some(event) => Message::Event { instance, event },
+                None => Message::Ignored,
             },
         })
     }
 
-    fn tell(self, cmd: &str) -> Result<Option<Tell>, String> {
+    fn decode_event(self, cmd: &str) -> Result<Option<EventMessage>, String> {
         let req = self.req;
-        let named = |req: Option<String>| must(cmd, "req", req);
+        let request_id = |req: Option<String>| required(cmd, "req", req);
         Ok(Some(match cmd {
-            "work_item" => Tell::WorkItem(WorkItem {
-                req: named(req)?,
-                band: must(cmd, "band", self.band)?,
-                account: match self.account {
+            "work_item" => EventMessage::Request(RequestMessage {
+                request_id: request_id(req)?,
+                class: required(cmd, "band", self.band)?,
+                tenant: match self.account {
                     Some(Value::String(name)) => Some(name),
                     _ => None,
                 },
-                order_key: self.order_key,
-                remaining: must(cmd, "remaining", self.remaining)?,
-                estimate: self.estimate.unwrap_or_default(),
-                need_mb: self.need_mb.unwrap_or_default(),
-                tables: self.tables.unwrap_or_default(),
-                opts: self.opts.unwrap_or_default(),
+                key: self.order_key,
+                remaining_ms: required(cmd, "remaining", self.remaining)?,
+                estimated_work_ms: self.estimate.unwrap_or_default(),
+                memory_mb: self.need_mb.unwrap_or_default(),
+                table_group: self.tables.unwrap_or_default(),
+                options: self.opts.unwrap_or_default(),
             }),
-            "due" => Tell::Due(must(cmd, "handle", self.handle)?),
-            "interim" => Tell::Interim(
-                named(req)?,
-                must(cmd, "seq_no", self.seq_no)?,
-                must(cmd, "what", self.what)?,
+            "due" => EventMessage::Timer(required(cmd, "handle", self.handle)?),
+            "interim" => EventMessage::Note(
+                request_id(req)?,
+                required(cmd, "seq_no", self.seq_no)?,
+                required(cmd, "what", self.what)?,
                 self.amount.unwrap_or_default(),
             ),
-            "first" => Tell::First(named(req)?, must(cmd, "seq_no", self.seq_no)?),
-            "status_back" => Tell::StatusBack(
-                must(cmd, "outcome", self.outcome)?,
-                must(cmd, "executor", self.executor)?,
-                load(self.load),
+            "first" => {
+                EventMessage::Started(request_id(req)?, required(cmd, "seq_no", self.seq_no)?)
+            }
+            "status_back" => EventMessage::Probed(
+                required(cmd, "outcome", self.outcome)?,
+                required(cmd, "executor", self.executor)?,
+                load_report(self.load),
             ),
-            "client_left" => Tell::ClientLeft(named(req)?),
-            "completed" => Tell::Completed(Completed {
-                req: named(req)?,
-                outcome: must(cmd, "outcome", self.outcome)?,
-                seq_no: self.seq_no.unwrap_or_default(),
-                bill: self.bill.unwrap_or_default(),
-                wait_time: self.wait_time.unwrap_or_default(),
-                finished: self.finished.unwrap_or_default(),
-                executor: must(cmd, "executor", self.executor)?,
-                load: load(self.load),
+            "client_left" => EventMessage::ClientLeft(request_id(req)?),
+            "completed" => EventMessage::Ended(EndedMessage {
+                request_id: request_id(req)?,
+                outcome: required(cmd, "outcome", self.outcome)?,
+                attempt: self.seq_no.unwrap_or_default(),
+                cost: self.bill.unwrap_or_default(),
+                elapsed_ms: self.wait_time.unwrap_or_default(),
+                request_finished: self.finished.unwrap_or_default(),
+                engine: required(cmd, "executor", self.executor)?,
+                load_report: load_report(self.load),
             }),
             _ => return Ok(None),
         }))
     }
 }
 
-impl From<RawRow> for Row {
-    fn from(raw: RawRow) -> Row {
-        Row {
-            executor: raw.executor,
-            az: raw.az.unwrap_or_default(),
+impl From<RawEngineRow> for EngineRow {
+    fn from(raw: RawEngineRow) -> EngineRow {
+        EngineRow {
+            engine: raw.executor,
+            zone: raw.az.unwrap_or_default(),
             kind: raw.kind.unwrap_or_default(),
-            bay: raw.bay.unwrap_or_default(),
+            cell: raw.bay.unwrap_or_default(),
             status: raw.status,
-            started_at: raw.started_at.unwrap_or_default(),
+            started_at_ms: raw.started_at.unwrap_or_default(),
         }
     }
 }
@@ -266,7 +278,7 @@
     })
 }
 
-fn request(text: &str) -> Result<RequestId, String> {
+fn request_id(text: &str) -> Result<RequestId, String> {
     u64::from_str_radix(text, 16)
         .map(RequestId)
         .map_err(|_| format!("request id {text:?} is not hexadecimal"))
@@ -286,25 +298,25 @@
     })
 }
 
-fn load(values: Option<BTreeMap<String, f64>>) -> Option<LoadReport> {
+fn load_report(values: Option<BTreeMap<String, f64>>) -> Option<LoadReport> {
     let values = values?;
-    let named = values.iter().map(|(name, value)| (name.as_str(), *value));
-    Some(sedgebeam_settings::load(named))
+    let entries = values.iter().map(|(name, value)| (name.as_str(), *value));
+    Some(sedgebeam_settings::load(entries))
 }
 
-/// The list as the gateway takes it.
-pub fn list(names: &Names, kind: AnnounceKind, rows: &[Row]) -> Event {
+/// Converts an announced engine list to an event.
+pub fn list_event(names: &Names, kind: AnnounceKind, rows: &[EngineRow]) -> Event {
     let engines = rows.iter().map(|row| Engine {
-        id: EngineId(row.executor),
-        zone: names.zone(&row.az),
+        id: EngineId(row.engine),
+        zone: names.zone(&row.zone),
         kind: names.kind(&row.kind),
-        cell: CellId(row.bay),
+        cell: CellId(row.cell),
         state: match row.status.as_str() {
             "U" => EngineState::Ready,
             "L" => EngineState::Draining,
             _ => EngineState::Gone,
         },
-        started_at: micros(row.started_at),
+        started_at: micros(row.started_at_ms),
     });
     let kind = match kind {
         AnnounceKind::Partial => ListKind::Changes,
@@ -318,46 +330,46 @@
     }
 }
 
-impl WorkItem {
+impl RequestMessage {
     fn query(self, names: &Names) -> Result<Query, String> {
-        let class = names.class(&self.band);
+        let class = names.class(&self.class);
         Ok(Query {
-            id: request(&self.req)?,
-            class: class.ok_or_else(|| format!("unknown class {:?}", self.band))?,
-            tenant: self.account.and_then(|account| names.tenant(&account)),
-            key: self.order_key.as_deref().map(Key::from_name),
-            remaining: micros(self.remaining),
-            work: match self.opts & HAS_ESTIMATE {
+            id: request_id(&self.request_id)?,
+            class: class.ok_or_else(|| format!("unknown class {:?}", self.class))?,
+            tenant: self.tenant.and_then(|tenant| names.tenant(&tenant)),
+            key: self.key.as_deref().map(Key::from_name),
+            remaining: micros(self.remaining_ms),
+            work: match self.options & HAS_ESTIMATE {
                 0 => Micros(0),
-                _ => micros(self.estimate),
+                _ => micros(self.estimated_work_ms),
             },
-            memory_mb: self.need_mb,
-            table_group: TableGroupId(self.tables),
-            is_retry: self.opts & IS_RETRY != 0,
+            memory_mb: self.memory_mb,
+            table_group: TableGroupId(self.table_group),
+            is_retry: self.options & IS_RETRY != 0,
         })
     }
 }
 
-impl Completed {
-    fn ended(self) -> Result<AttemptEnded, String> {
-        let how = outcome(&self.outcome)?;
-        let told = how == Outcome::Ok && self.bill > 0;
+impl EndedMessage {
+    fn attempt_ended(self) -> Result<AttemptEnded, String> {
+        let outcome = outcome(&self.outcome)?;
+        let has_cost = outcome == Outcome::Ok && self.cost > 0;
         Ok(AttemptEnded {
-            request: request(&self.req)?,
-            attempt: AttemptNo(self.seq_no),
-            engine: EngineId(self.executor),
-            outcome: how,
-            elapsed: micros(self.wait_time),
-            request_finished: self.finished,
-            work: told.then_some(Micros::from_millis(self.bill / 4096)),
-            load_report: self.load,
+            request: request_id(&self.request_id)?,
+            attempt: AttemptNo(self.attempt),
+            engine: EngineId(self.engine),
+            outcome,
+            elapsed: micros(self.elapsed_ms),
+            request_finished: self.request_finished,
+            work: has_cost.then_some(Micros::from_millis(self.cost / 4096)),
+            load_report: self.load_report,
         })
     }
 }
 
-/// What is told of an attempt, as the gateway takes it; `None` where it means nothing to it.
-fn note(what: u8, amount: f64) -> Option<Note> {
-    Some(match what {
+/// Converts a note on an attempt; `None` if gateways do not know its code.
+fn note(code: u8, amount: f64) -> Option<Note> {
+    Some(match code {
         1 => Note::Progress(amount),
         2 => Note::Spills(amount),
         3 if amount >= 2.0 => Note::WaitsForLoad,
@@ -366,37 +378,39 @@
     })
 }
 
-/// The event of a gateway that a message stands for.
-pub fn event(names: &Names, told: Tell) -> Result<Option<Event>, String> {
-    Ok(Some(match told {
-        Tell::WorkItem(item) => Event::Request(item.query(names)?),
-        Tell::Due(handle) => Event::Timer(TimerId(handle)),
-        Tell::Interim(req, seq_no, what, amount) => match note(what, amount) {
-            Some(note) => Event::Note(request(&req)?, AttemptNo(seq_no), note),
+/// Converts a message to the event of a gateway; `None` if it means nothing to the gateway.
+pub fn gateway_event(names: &Names, message: EventMessage) -> Result<Option<Event>, String> {
+    Ok(Some(match message {
+        EventMessage::Request(message) => Event::Request(message.query(names)?),
+        EventMessage::Timer(handle) => Event::Timer(TimerId(handle)),
+        EventMessage::Note(request, attempt, code, amount) => match note(code, amount) {
+            Some(note) => Event::Note(request_id(&request)?, AttemptNo(attempt), note),
             None => return Ok(None),
         },
-        Tell::First(req, seq_no) => Event::Started(request(&req)?, AttemptNo(seq_no)),
-        Tell::StatusBack(how, executor, load) => {
-            Event::Probed(EngineId(executor), outcome(&how)?, load)
+        EventMessage::Started(request, attempt) => {
+            Event::Started(request_id(&request)?, AttemptNo(attempt))
         }
-        Tell::ClientLeft(req) => Event::ClientLeft(request(&req)?),
-        Tell::Completed(end) => {
-            let mut ended = end.ended()?;
+        EventMessage::Probed(text, engine, load_report) => {
+            Event::Probed(EngineId(engine), outcome(&text)?, load_report)
+        }
+        EventMessage::ClientLeft(request) => Event::ClientLeft(request_id(&request)?),
+        EventMessage::Ended(message) => {
+            let mut ended = message.attempt_ended()?;
             ended.work = ended.work.filter(|_| names.tells_cost);
             Event::Ended(ended)
         }
     }))
 }
 
-/// A reply under way: its text grows order by order.
+/// A partial reply: the text of the line, to which orders are appended.
 pub struct Reply(String);
 
 impl Reply {
-    pub fn new(turn: u64) -> Reply {
-        Reply(format!("{{\"turn\":{turn},\"orders\":["))
+    pub fn new(batch_number: u64) -> Reply {
+        Reply(format!("{{\"turn\":{batch_number},\"orders\":["))
     }
 
-    /// The whole line.
+    /// Completes the line.
     pub fn line(mut self) -> String {
         if self.0.ends_with(',') {
             self.0.pop();
@@ -405,27 +419,30 @@
         self.0
     }
 
-    pub fn exception(&mut self, i: u64, msg: &str) {
+    /// Appends the report of a failure of an instance.
+    pub fn push_exception(&mut self, instance: u64, message: &str) {
         self.push(
-            i,
+            instance,
             "exception",
-            format_args!("\"msg\":{}", json::to_string(msg)),
+            format_args!("\"msg\":{}", json::to_string(message)),
         );
     }
 
-    fn push(&mut self, i: u64, cmd: &str, fields: std::fmt::Arguments) {
+    /// Appends an order.
+    fn push(&mut self, instance: u64, cmd: &str, fields: std::fmt::Arguments) {
         // Writing to a string does not fail.
-        let _ = write!(self.0, "{{\"cmd\":\"{cmd}\",\"i\":{i},{fields}}},");
+        let _ = write!(self.0, "{{\"cmd\":\"{cmd}\",\"i\":{instance},{fields}}},");
     }
 
-    pub fn order(&mut self, i: u64, action: Action) {
+    /// Appends the order for an action of a gateway.
+    pub fn push_action(&mut self, instance: u64, action: Action) {
         match action {
             Action::AttemptResources {
                 request,
                 memory_mb,
                 priority,
             } => self.push(
-                i,
+                instance,
                 "limits_for",
                 format_args!(
                     r#""req":"{:016x}","mem_mb":{memory_mb:?},"prio":{priority}"#,
@@ -436,10 +453,10 @@
                 request,
                 engine,
                 timeout,
-                // There an attempt begins as it is sent.
+                // In the simulator, an attempt starts as soon as it is sent.
                 starts_by: _,
             } => self.push(
-                i,
+                instance,
                 "route",
                 format_args!(
                     r#""req":"{:016x}","cap":{:?},"executor":{}"#,
@@ -449,7 +466,7 @@
                 ),
             ),
             Action::Cancel { request, attempt } => self.push(
-                i,
+                instance,
                 "abort_attempt",
                 format_args!(r#""req":"{:016x}","seq_no":{}"#, request.0, attempt.0),
             ),
@@ -457,7 +474,7 @@
                 request,
                 retry_after,
             } => self.push(
-                i,
+                instance,
                 "not_now",
                 format_args!(
                     r#""req":"{:016x}","come_back":{:?}"#,
@@ -466,26 +483,30 @@
                 ),
             ),
             Action::Fail { request } => self.push(
-                i,
+                instance,
                 "finish_error",
                 format_args!(r#""req":"{:016x}""#, request.0),
             ),
             Action::Timer { timer, at } => self.push(
-                i,
+                instance,
                 "set_alarm",
                 format_args!(r#""handle":{},"due_at":{:?}"#, timer.0, millis(at)),
             ),
             Action::Probe { engine } => {
-                self.push(i, "ask_load", format_args!(r#""executor":{}"#, engine.0));
+                self.push(
+                    instance,
+                    "ask_load",
+                    format_args!(r#""executor":{}"#, engine.0),
+                );
             }
             Action::SubscribeToEngineList => {
-                self.push(i, "follow", format_args!(r#""enable":true"#))
+                self.push(instance, "follow", format_args!(r#""enable":true"#))
             }
-            Action::Log(msg) => {
+            Action::Log(message) => {
                 self.push(
-                    i,
+                    instance,
                     "write_log",
-                    format_args!("\"msg\":{}", json::to_string(&msg)),
+                    format_args!("\"msg\":{}", json::to_string(&message)),
                 );
             }
         }
--- a/simhost/src/wire/tests.rs
+++ b/simhost/src/wire/tests.rs
@@ -1,9 +1,9 @@
-//! What messages mean to a gateway.
+//! Tests of the conversion of messages to gateway events.
 
 use super::*;
 
 #[test]
-fn each_bit_of_a_request_s_options_counts_by_itself() {
+fn each_option_bit_of_a_request_is_decoded_independently() {
     let names = Names {
         classes: vec!["lookup".to_string()],
         ..Names::default()
@@ -14,11 +14,11 @@
                 "remaining":240.0,"estimate":12.0,"opts":{opts}}}]}}"#
         );
         let batch = Batch::decode(&line).expect("a batch");
-        let message = batch.msgs.into_iter().next();
-        let Some(Message::Event { event: told, .. }) = message else {
+        let first_message = batch.messages.into_iter().next();
+        let Some(Message::Event { event: message, .. }) = first_message else {
             panic!("no event");
         };
-        let Ok(Some(Event::Request(query))) = event(&names, told) else {
+        let Ok(Some(Event::Request(query))) = gateway_event(&names, message) else {
             panic!("no request");
         };
         assert_eq!(query.work, Micros(12_000 * (opts & 1)), "{opts}");
--- a/simhost/tests/round_trip.rs
+++ b/simhost/tests/round_trip.rs
@@ -1,10 +1,10 @@
-//! Hand-written lines through the adapter.
+//! Runs the adapter on hand-written batches and checks its replies.
 
 use serde_json::{Value, json};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Runs the adapter on these lines.
+/// Runs the adapter with these lines as its input.
 fn run(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sedgebeam-adapter"))
         .stdin(Stdio::piped())
@@ -14,19 +14,19 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("piped");
     for line in lines {
-        // A child that has already refused a line may have closed its input.
+        // The adapter may have rejected a line and closed its input.
         let _ = writeln!(input, "{line}");
     }
     drop(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
-/// The replies to batches, numbered from 1, at one second each.
+/// The replies to batches, which are numbered from 1 and one second apart.
 fn replies(batches: &[Value]) -> Vec<Value> {
-    let number = |(turn, msgs): (usize, &Value)| {
+    let encode = |(turn, msgs): (usize, &Value)| {
         json!({"ts": 1000.0 * (turn + 1) as f64, "turn": turn + 1, "msgs": msgs}).to_string()
     };
-    let lines: Vec<String> = batches.iter().enumerate().map(number).collect();
+    let lines: Vec<String> = batches.iter().enumerate().map(encode).collect();
     let output = run(&lines);
     assert!(
         output.status.success(),
@@ -63,21 +63,21 @@
     json!({"cmd": "announce", "i": i, "kind": "Complete", "gen": 1, "buffer": buffer})
 }
 
-fn item(i: u64, req: &str, band: &str) -> Value {
+fn work_item(i: u64, req: &str, band: &str) -> Value {
     json!({"cmd": "work_item", "i": i, "req": req, "band": band, "account": "t", "remaining": 9000.0,
         "estimate": 12.0, "need_mb": 100, "tables": 3, "opts": 1})
 }
 
-/// The orders of a reply by name, with their instance.
-fn names(reply: &Value) -> Vec<(u64, String)> {
+/// The orders of a reply: instance and command.
+fn commands(reply: &Value) -> Vec<(u64, String)> {
     let orders = reply["orders"].as_array().expect("orders");
-    let name = |order: &Value| {
+    let command = |order: &Value| {
         (
             order["i"].as_u64().expect("an instance"),
-            order["cmd"].as_str().expect("a name").to_string(),
+            order["cmd"].as_str().expect("a command").to_string(),
         )
     };
-    orders.iter().map(name).collect()
+    orders.iter().map(command).collect()
 }
 
 fn order<'a>(reply: &'a Value, cmd: &str) -> &'a Value {
@@ -88,8 +88,8 @@
         .unwrap_or_else(|| panic!("no {cmd} in {reply}"))
 }
 
-const A: &str = "00f4a4b95d3a91c4";
-const B: &str = "bc9c879c0e6f2b19";
+const REQUEST_A: &str = "00f4a4b95d3a91c4";
+const REQUEST_B: &str = "bc9c879c0e6f2b19";
 
 #[test]
 fn empty_batches_get_empty_replies() {
@@ -100,115 +100,126 @@
 }
 
 #[test]
-fn a_request_is_sent_with_its_terms_and_its_id_comes_back_unaltered() {
-    let all = replies(&[json!([
+fn a_request_is_sent_with_its_resources_and_its_unaltered_id() {
+    let batch_replies = replies(&[json!([
         spawn(3),
         ledger(0, 77),
         announce(3, 0),
-        item(3, A, "look-up")
+        work_item(3, REQUEST_A, "look-up")
     ])]);
-    let route = order(&all[0], "route");
-    assert_eq!((&route["req"], &route["executor"]), (&json!(A), &json!(77)));
+    let route = order(&batch_replies[0], "route");
+    assert_eq!(
+        (&route["req"], &route["executor"]),
+        (&json!(REQUEST_A), &json!(77))
+    );
     assert_eq!(route["cap"], json!(9000.0));
-    let terms = order(&all[0], "limits_for");
+    let resources = order(&batch_replies[0], "limits_for");
     assert_eq!(
-        (&terms["mem_mb"], &terms["prio"]),
+        (&resources["mem_mb"], &resources["prio"]),
         (&json!(125.0), &json!(1))
     );
-    assert_eq!(order(&all[0], "follow")["enable"], json!(true));
-    assert_eq!(order(&all[0], "set_alarm")["due_at"], json!(1010.0));
+    assert_eq!(order(&batch_replies[0], "follow")["enable"], json!(true));
+    assert_eq!(
+        order(&batch_replies[0], "set_alarm")["due_at"],
+        json!(1010.0)
+    );
 }
 
-/// The same as a real engine is granted: whole megabytes, and at most what one query may get of its engine's 8,192.
+/// As on real engines, a grant is a whole number of megabytes and at most half of the engine's 8192 MB.
 #[test]
-fn a_grant_is_whole_and_no_more_than_one_query_may_get() {
+fn a_grant_is_whole_megabytes_and_bounded_by_the_share_of_one_query() {
     let cases = [(0.0, 0.0), (96.2, 121.0), (6000.0, 4096.0)];
     for (need_mb, granted) in cases {
-        let mut asked = item(3, A, "look-up");
-        asked["need_mb"] = json!(need_mb);
-        let all = replies(&[json!([spawn(3), ledger(0, 77), announce(3, 0), asked])]);
-        let terms = order(&all[0], "limits_for");
-        assert_eq!(terms["mem_mb"], json!(granted), "{need_mb}");
+        let mut request = work_item(3, REQUEST_A, "look-up");
+        request["need_mb"] = json!(need_mb);
+        let batch_replies = replies(&[json!([spawn(3), ledger(0, 77), announce(3, 0), request])]);
+        let resources = order(&batch_replies[0], "limits_for");
+        assert_eq!(resources["mem_mb"], json!(granted), "{need_mb}");
     }
 }
 
 #[test]
-fn every_event_is_understood() {
+fn every_event_is_decoded() {
     let completed = |outcome: &str, req: &str, seq_no: u64, finished: bool| {
         json!({"cmd": "completed", "i": 3, "req": req, "outcome": outcome, "seq_no": seq_no, "bill": 69728,
             "wait_time": 18.5, "finished": finished, "executor": 77, "load": {"cpu": 0.6, "odd": 1}})
     };
-    let all = replies(&[
+    let batch_replies = replies(&[
         json!([
             spawn(3),
             ledger(0, 77),
             announce(3, 0),
-            item(3, A, "look-up"),
-            item(3, B, "load")
+            work_item(3, REQUEST_A, "look-up"),
+            work_item(3, REQUEST_B, "load")
         ]),
-        json!([{"cmd": "interim", "i": 3, "req": A, "seq_no": 0, "executor": 77, "what": 2, "amount": 5.0},
-            {"cmd": "interim", "i": 3, "req": A, "seq_no": 0, "executor": 77, "what": 9},
-            {"cmd": "first", "i": 3, "req": B, "seq_no": 0, "executor": 77, "wait_time": 9.25},
+        json!([{"cmd": "interim", "i": 3, "req": REQUEST_A, "seq_no": 0, "executor": 77, "what": 2, "amount": 5.0},
+            {"cmd": "interim", "i": 3, "req": REQUEST_A, "seq_no": 0, "executor": 77, "what": 9},
+            {"cmd": "first", "i": 3, "req": REQUEST_B, "seq_no": 0, "executor": 77, "wait_time": 9.25},
             {"cmd": "inbox", "i": 3, "src": 2, "msg": "hi"}, {"cmd": "unheard_of", "x": 1},
             {"cmd": "status_back", "i": 3, "outcome": "OK", "wait_time": 1.4, "executor": 77},
             {"cmd": "announce", "i": 3, "kind": "Error", "gen": 1}]),
-        json!([completed("INTERNAL", A, 0, false), {"cmd": "due", "i": 3, "handle": 0}]),
-        json!([completed("RESOURCE_EXHAUSTED", A, 1, false)]),
-        json!([completed("UNAVAILABLE", A, 2, false)]),
-        json!([completed("ABORTED", B, 0, false), {"cmd": "client_left", "i": 3, "req": A}]),
-        json!([{"cmd": "down", "i": 3}, item(3, A, "look-up")]),
+        json!([completed("INTERNAL", REQUEST_A, 0, false), {"cmd": "due", "i": 3, "handle": 0}]),
+        json!([completed("RESOURCE_EXHAUSTED", REQUEST_A, 1, false)]),
+        json!([completed("UNAVAILABLE", REQUEST_A, 2, false)]),
+        json!([completed("ABORTED", REQUEST_B, 0, false), {"cmd": "client_left", "i": 3, "req": REQUEST_A}]),
+        json!([{"cmd": "down", "i": 3}, work_item(3, REQUEST_A, "look-up")]),
     ]);
-    assert_eq!(order(&all[2], "route")["req"], json!(A));
-    assert_eq!(order(&all[3], "route")["req"], json!(A));
-    let refusal = order(&all[4], "not_now");
+    assert_eq!(order(&batch_replies[2], "route")["req"], json!(REQUEST_A));
+    assert_eq!(order(&batch_replies[3], "route")["req"], json!(REQUEST_A));
+    let refusal = order(&batch_replies[4], "not_now");
     assert!(
         refusal["come_back"]
             .as_f64()
             .is_some_and(|wait| wait > 0.0 && wait <= 500.0)
     );
-    assert_eq!(order(&all[5], "finish_error")["req"], json!(B));
     assert_eq!(
-        all[6]["orders"],
+        order(&batch_replies[5], "finish_error")["req"],
+        json!(REQUEST_B)
+    );
+    assert_eq!(
+        batch_replies[6]["orders"],
         json!([]),
-        "an instance that is down does nothing"
+        "a stopped instance does nothing"
     );
 }
 
 #[test]
-fn list_numbers_are_reused_within_a_batch_and_instances_are_apart() {
-    let all = replies(&[json!([
+fn buffer_numbers_are_reused_within_a_batch_and_instances_are_independent() {
+    let batch_replies = replies(&[json!([
         spawn(1),
         spawn(2),
         ledger(0, 77),
         announce(1, 0),
         ledger(0, 88),
         announce(2, 0),
-        item(1, A, "look-up"),
-        item(2, A, "look-up")
+        work_item(1, REQUEST_A, "look-up"),
+        work_item(2, REQUEST_A, "look-up")
     ])]);
-    let orders = all[0]["orders"].as_array().expect("orders");
+    let orders = batch_replies[0]["orders"].as_array().expect("orders");
     let routes = orders.iter().filter(|order| order["cmd"] == "route");
-    let to: Vec<_> = routes
+    let targets: Vec<_> = routes
         .map(|route| (route["i"].as_u64(), route["executor"].as_u64()))
         .collect();
-    assert_eq!(to, vec![(Some(1), Some(77)), (Some(2), Some(88))]);
-    assert!(names(&all[0]).iter().any(|(i, _)| *i == 2));
+    assert_eq!(targets, vec![(Some(1), Some(77)), (Some(2), Some(88))]);
+    assert!(commands(&batch_replies[0]).iter().any(|(i, _)| *i == 2));
 }
 
 #[test]
-fn a_restart_within_a_batch_forgets_the_old_life() {
-    let all = replies(&[
+fn a_restart_within_a_batch_discards_the_old_state() {
+    let batch_replies = replies(&[
         json!([spawn(1), ledger(0, 77), announce(1, 0)]),
-        json!([item(1, A, "look-up"), {"cmd": "down", "i": 1}, spawn(1), item(1, B, "look-up")]),
+        json!([work_item(1, REQUEST_A, "look-up"), {"cmd": "down", "i": 1}, spawn(1), work_item(1, REQUEST_B, "look-up")]),
     ]);
     assert!(
-        names(&all[1]).iter().all(|(_, cmd)| cmd != "route"),
-        "the new life knows no engine"
+        commands(&batch_replies[1])
+            .iter()
+            .all(|(_, cmd)| cmd != "route"),
+        "the restarted instance knows no engine"
     );
 }
 
 #[test]
-fn bad_input_gets_a_plain_message_and_a_failing_exit() {
+fn invalid_input_gets_an_error_message_and_a_failure_status() {
     let cases = [
         ("not json", ""),
         (
--- a/virtual/tests/scenarios.rs
+++ b/virtual/tests/scenarios.rs
@@ -230,7 +230,7 @@
     }
 }
 
-/// Each gateway behaves as if it were the only one and engines started warm; only their sum violates the rule.
+/// Each gateway behaves as if it were the only one and cold engines had full capacity; only their sum violates the rule.
 #[test]
 fn gateways_that_assume_a_whole_engine_are_detected() {
     let as_only_gateway = |settings| Settings {
