--- a/lab/src/control_latency.rs
+++ b/lab/src/control_latency.rs
@@ -1,5 +1,5 @@
-//! The experiment on the door: how long operators wait for an answer while the program is asked for more than
-//! it can do, and while callers connect and finish nothing.
+//! Measures the latency of the control socket while the dispatcher is overloaded and while clients connect to
+//! the control socket without completing a command.
 
 use crate::dispatcher_process::{DispatcherOptions, DispatcherProcess};
 use crate::load_generator::{self, LoadOptions};
@@ -15,23 +15,23 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// A caller comes so often.
-const CALL_EVERY: Duration = Duration::from_millis(10);
+/// Interval between the commands, and between the connections of an idle client.
+const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Args)]
 pub struct ControlLatency {
-    /// The program.
-    #[arg(long, default_value = "target/release/sedgebeam")]
-    program: PathBuf,
-    /// Requests a second: none, and then so many.
+    /// Path of the dispatcher program.
+    #[arg(long = "program", default_value = "target/release/sedgebeam")]
+    dispatcher_path: PathBuf,
+    /// Request rates to measure, in requests per second; zero measures the control socket without load.
     #[arg(long, value_delimiter = ',', default_value = "0,5000,20000,60000")]
     rates: Vec<f64>,
-    /// The length of each run, in seconds.
+    /// Duration of each run, in seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
-    /// Callers that connect and say half a word.
-    #[arg(long, default_value_t = 40)]
-    mute: usize,
+    /// Number of clients that connect to the control socket and never complete a command.
+    #[arg(long = "mute", default_value_t = 40)]
+    idle_clients: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -40,112 +40,121 @@
     pub fn run(&self) -> io::Result<()> {
         println!("rate/s   answered/s   call   calls   p50 ms   p99 ms   most ms   wrong");
         for rate in &self.rates {
-            self.at(*rate)?;
+            self.measure(*rate)?;
         }
         Ok(())
     }
 
-    fn at(&self, rate: f64) -> io::Result<()> {
-        let world = Testbed::new(4, 2)?;
-        let firms = TENANTS.iter().map(|(name, part)| (name.to_string(), *part));
-        let setting = DispatcherOptions {
+    fn measure(&self, rate: f64) -> io::Result<()> {
+        let testbed = Testbed::new(4, 2)?;
+        let tenants = TENANTS
+            .iter()
+            .map(|(name, share)| (name.to_string(), *share));
+        let options = DispatcherOptions {
             workers: 1,
             shards: None,
-            pin: false,
-            control: true,
-            engines: world.engines.clone(),
+            pin_workers: false,
+            control_socket: true,
+            engines: testbed.engines.clone(),
             engine_cores: 1000,
-            firms: firms.collect(),
+            tenants: tenants.collect(),
         };
-        world.runtime.block_on(async {
-            let program = DispatcherProcess::start(&self.program, &setting).await?;
-            let door = program.control.ok_or(io::ErrorKind::NotFound)?;
-            let length = Duration::from_secs_f64(self.seconds);
+        testbed.runtime.block_on(async {
+            let dispatcher = DispatcherProcess::start(&self.dispatcher_path, &options).await?;
+            let control_address = dispatcher.control_address.ok_or(io::ErrorKind::NotFound)?;
+            let duration = Duration::from_secs_f64(self.seconds);
             let traffic = Traffic {
                 seed: self.seed,
                 rate,
-                length,
-                firms: TENANTS.iter().map(|(_, part)| *part).collect(),
-                groups: 64,
-                service: [Duration::from_millis(1); 3],
+                duration,
+                tenant_shares: TENANTS.iter().map(|(_, share)| *share).collect(),
+                table_groups: 64,
+                mean_service_times: [Duration::from_millis(1); 3],
             };
-            let play = LoadOptions {
-                address: program.address,
-                firms: TENANTS.iter().map(|(name, _)| name.to_string()).collect(),
-                sessions: 200,
+            let load_options = LoadOptions {
+                address: dispatcher.address,
+                tenants: TENANTS.iter().map(|(name, _)| name.to_string()).collect(),
+                sessions_per_tenant: 200,
                 warm_up: Duration::from_millis(500),
-                limit: Duration::from_secs(5),
+                time_limit: Duration::from_secs(5),
             };
-            let mute = self.mute;
-            let mutes = tokio::spawn(async move { callers_that_finish_nothing(door, mute).await });
-            let pings = tokio::spawn(calls(door, "PING", "200", length));
-            let infos = tokio::spawn(calls(door, "INFO", "EOF", length));
-            let loaded = load_generator::generate(traffic.schedule(), play).await?;
-            for (call, told) in [("PING", pings), ("INFO", infos)] {
-                let (times, wrong) = told.await.map_err(io::Error::other)??;
-                let at = |percent| times.value_at_percentile(percent) as f64 / 1000.0;
+            let idle_client_count = self.idle_clients;
+            let idle_clients =
+                tokio::spawn(async move { run_idle_clients(control_address, idle_client_count).await });
+            let pings = tokio::spawn(measure_calls(control_address, "PING", "200", duration));
+            let infos = tokio::spawn(measure_calls(control_address, "INFO", "EOF", duration));
+            let load_result = load_generator::generate(traffic.schedule(), load_options).await?;
+            for (call, measurement) in [("PING", pings), ("INFO", infos)] {
+                let (latency_micros, wrong_answers) = measurement.await.map_err(io::Error::other)??;
+                let percentile_ms =
+                    |percent| latency_micros.value_at_percentile(percent) as f64 / 1000.0;
                 println!(
-                    "{rate:>6.0} {:>12.0}   {call}  {:>6} {:>8.2} {:>8.2} {:>9.2} {wrong:>7}",
-                    (loaded.served_total() + loaded.refused + loaded.failed) as f64 / self.seconds,
-                    times.len(),
-                    at(50.0),
-                    at(99.0),
-                    times.max() as f64 / 1000.0,
+                    "{rate:>6.0} {:>12.0}   {call}  {:>6} {:>8.2} {:>8.2} {:>9.2} {wrong_answers:>7}",
+                    (load_result.served_total() + load_result.refused + load_result.failed) as f64
+                        / self.seconds,
+                    latency_micros.len(),
+                    percentile_ms(50.0),
+                    percentile_ms(99.0),
+                    latency_micros.max() as f64 / 1000.0,
                 );
             }
-            mutes.abort();
-            program.stop().await
+            idle_clients.abort();
+            dispatcher.stop().await
         })
     }
 }
 
-/// Calls one after the other, each due at its time; how long each took, and how many were not answered with
-/// this word.
-async fn calls(
-    door: SocketAddr,
-    call: &'static str,
-    word: &'static str,
-    length: Duration,
+/// Sends the command repeatedly, one call after the other. Returns the latencies in microseconds and the number
+/// of calls whose answer did not contain `expected`.
+async fn measure_calls(
+    control_address: SocketAddr,
+    command: &'static str,
+    expected: &'static str,
+    duration: Duration,
 ) -> io::Result<(Histogram<u64>, u64)> {
-    let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-    let (start, mut wrong, mut due) = (Instant::now(), 0, Duration::ZERO);
-    while due < length {
-        sleep((start + due).saturating_duration_since(Instant::now())).await;
-        match ask(door, call).await {
-            Ok(answer) if answer.contains(word) => {}
-            _ => wrong += 1,
+    let mut latency_micros =
+        Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
+    let (start, mut wrong_answers, mut due_after) = (Instant::now(), 0, Duration::ZERO);
+    while due_after < duration {
+        sleep((start + due_after).saturating_duration_since(Instant::now())).await;
+        match call(control_address, command).await {
+            Ok(answer) if answer.contains(expected) => {}
+            _ => wrong_answers += 1,
         }
-        // From when it was due: what waits behind a slow one has waited too.
-        let micros = (start + due).elapsed().as_micros().clamp(1, 60_000_000) as u64;
-        times.record(micros).map_err(io::Error::other)?;
-        due += CALL_EVERY;
+        // Latency counts from the due time, so that it includes the wait behind a slow call.
+        let micros = (start + due_after)
+            .elapsed()
+            .as_micros()
+            .clamp(1, 60_000_000) as u64;
+        latency_micros.record(micros).map_err(io::Error::other)?;
+        due_after += CALL_INTERVAL;
     }
-    Ok((times, wrong))
+    Ok((latency_micros, wrong_answers))
 }
 
-async fn ask(door: SocketAddr, call: &str) -> io::Result<String> {
-    let mut stream = TcpStream::connect(door).await?;
-    stream.write_all(format!("{call}\n").as_bytes()).await?;
+async fn call(control_address: SocketAddr, command: &str) -> io::Result<String> {
+    let mut stream = TcpStream::connect(control_address).await?;
+    stream.write_all(format!("{command}\n").as_bytes()).await?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await?;
     Ok(answer)
 }
 
-/// So many at a time, each for as long as the door bears it.
-async fn callers_that_finish_nothing(door: SocketAddr, count: usize) {
-    let one = || async move {
+/// Runs clients that never complete a command; each reconnects when its connection is closed.
+async fn run_idle_clients(control_address: SocketAddr, count: usize) {
+    let run_client = || async move {
         loop {
-            if let Ok(mut stream) = TcpStream::connect(door).await {
-                // One that is let go is followed by another.
+            if let Ok(mut stream) = TcpStream::connect(control_address).await {
+                // Errors are expected: the dispatcher closes idle connections, and the client then reconnects.
                 let _ = stream.write_all(b"PI").await;
                 let _ = stream.read(&mut [0; 16]).await;
             }
-            sleep(CALL_EVERY).await;
+            sleep(CALL_INTERVAL).await;
         }
     };
-    let all: Vec<_> = (0..count).map(|_| tokio::spawn(one())).collect();
-    for caller in all {
-        // They end with the run.
-        let _ = caller.await;
+    let clients: Vec<_> = (0..count).map(|_| tokio::spawn(run_client())).collect();
+    for client in clients {
+        // The clients run until this task is aborted.
+        let _ = client.await;
     }
 }
--- a/lab/src/decision_throughput.rs
+++ b/lab/src/decision_throughput.rs
@@ -1,5 +1,6 @@
-//! What decisions cost by themselves: threads that share one gateway behind a lock, beside threads that each
-//! have a shard and share a ledger. No sockets: each thread makes up requests, and answers what it has sent.
+//! Measures the throughput of decisions alone: threads that share one gateway behind a lock, against threads
+//! with one shard each and a common lease table. There are no sockets: each thread generates requests and
+//! answers its own attempts.
 
 use clap::Args;
 use sedgebeam_core::{
@@ -14,15 +15,15 @@
 
 #[derive(Args)]
 pub struct DecisionThroughput {
-    /// Numbers of threads.
-    #[arg(long, value_delimiter = ',', default_value = "1,2,4,8")]
-    threads: Vec<usize>,
+    /// Numbers of threads to measure.
+    #[arg(long = "threads", value_delimiter = ',', default_value = "1,2,4,8")]
+    thread_counts: Vec<usize>,
     #[arg(long, default_value_t = 8)]
     engines: u64,
-    /// Requests that a thread brings to a decision.
-    #[arg(long, default_value_t = 32)]
-    batch: u64,
-    /// Length of each run, in seconds.
+    /// Number of new requests per decision.
+    #[arg(long = "batch", default_value_t = 32)]
+    batch_size: u64,
+    /// Duration of each run, in seconds.
     #[arg(long, default_value_t = 2.0)]
     seconds: f64,
 }
@@ -53,31 +54,31 @@
     }
 }
 
-/// The requests of one thread: new ones, and the ends of those that were sent.
-struct Feed {
-    next: u64,
-    batch: u64,
-    ends: Vec<Event>,
-    done: u64,
+/// The events of one thread: new requests, and the answers to attempts that were sent.
+struct EventSource {
+    last_request_id: u64,
+    batch_size: u64,
+    pending_answers: Vec<Event>,
+    answered_count: u64,
 }
 
-impl Feed {
-    fn events(&mut self) -> Vec<Event> {
-        let mut events = std::mem::take(&mut self.ends);
-        self.done += events.len() as u64;
-        for _ in 0..self.batch {
-            self.next += 1;
-            let class = match self.next % 20 {
+impl EventSource {
+    fn next_events(&mut self) -> Vec<Event> {
+        let mut events = std::mem::take(&mut self.pending_answers);
+        self.answered_count += events.len() as u64;
+        for _ in 0..self.batch_size {
+            self.last_request_id += 1;
+            let class = match self.last_request_id % 20 {
                 0 => 2,
                 1..=3 => 1,
                 _ => 0,
             };
             events.push(Event::Request(Query {
-                table_group: TableGroupId(self.next % 40),
+                table_group: TableGroupId(self.last_request_id % 40),
                 work: Micros(2000),
                 memory_mb: 1.0,
                 ..Query::new(
-                    RequestId(self.next),
+                    RequestId(self.last_request_id),
                     ClassId(class),
                     Micros::from_millis(20_000),
                 )
@@ -86,13 +87,14 @@
         events
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    /// Queues a successful answer to each attempt that the gateway sent.
+    fn record(&mut self, actions: Vec<Action>) {
         for action in actions {
             if let Action::Send {
                 request, engine, ..
             } = action
             {
-                self.ends.push(Event::Ended(AttemptEnded {
+                self.pending_answers.push(Event::Ended(AttemptEnded {
                     request,
                     attempt: AttemptNo(0),
                     engine,
@@ -109,47 +111,53 @@
 
 fn gateway(engines: u64) -> Gateway {
     let mut gateway = Gateway::new(settings(), 1);
-    let listed = |id| Engine {
+    let engine = |id| Engine {
         kind: Some(KindId(0)),
         ..Engine::ready(EngineId(id))
     };
     let list = Event::List {
         kind: ListKind::Complete,
-        engines: (1..=engines).map(listed).collect(),
+        engines: (1..=engines).map(engine).collect(),
     };
     gateway.handle(Micros(1), vec![list]);
     gateway
 }
 
-/// One decision on these events.
-trait Decides {
+/// Decides on batches of events.
+trait DecisionMaker {
     fn decide(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action>;
 }
 
-struct Locked(Arc<Mutex<Gateway>>);
+/// One gateway that all threads share behind a lock.
+struct LockedGateway(Arc<Mutex<Gateway>>);
 
-impl Decides for Locked {
+impl DecisionMaker for LockedGateway {
     fn decide(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
         let mut gateway = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         gateway.handle(now, events)
     }
 }
 
-struct Sharded {
+/// A gateway of one thread, with a lease table that all threads share.
+struct ShardedGateway {
     gateway: Gateway,
     shard: ShardId,
-    ledger: Arc<Mutex<LeaseTable>>,
+    lease_table: Arc<Mutex<LeaseTable>>,
 }
 
-impl Decides for Sharded {
+impl DecisionMaker for ShardedGateway {
     fn decide(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
-        let wish = self.gateway.demand(now, &events);
-        let ledger = || self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        let loan = ledger().acquire(self.shard, now, &wish, 0);
-        self.gateway.update_siblings(loan.siblings);
+        let demand = self.gateway.demand(now, &events);
+        let lease_table = || {
+            self.lease_table
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+        };
+        let lease = lease_table().acquire(self.shard, now, &demand, 0);
+        self.gateway.update_siblings(lease.siblings);
         let actions = self.gateway.handle(now, events);
-        let told = self.gateway.publish();
-        ledger().commit(self.shard, loan.id, now, told);
+        let usage = self.gateway.publish();
+        lease_table().commit(self.shard, lease.id, now, usage);
         actions
     }
 }
@@ -158,58 +166,63 @@
     pub fn run(&self) -> io::Result<()> {
         println!("{} cores", thread::available_parallelism()?.get());
         println!("threads  decisions/s: one behind a lock     shards with a ledger");
-        for threads in &self.threads {
-            let shared = Arc::new(Mutex::new(gateway(self.engines)));
-            let locked = |_| Locked(shared.clone());
-            let lock = self.rate((0..*threads).map(locked).collect())?;
+        for thread_count in &self.thread_counts {
+            let shared_gateway = Arc::new(Mutex::new(gateway(self.engines)));
+            let locked = |_| LockedGateway(shared_gateway.clone());
+            let locked_rate = self.measure((0..*thread_count).map(locked).collect())?;
             let terms = LeaseTerms {
-                shard_count: *threads,
+                shard_count: *thread_count,
                 lease_duration: Micros::from_millis(250),
                 redistribution_interval: Micros::from_millis(5),
                 cold_window: Micros::from_millis(1000),
                 max_credit: MAX_CREDIT,
                 max_open_requests: 1_000_000,
             };
-            let ledger = Arc::new(Mutex::new(LeaseTable::new(terms)));
-            let sharded = |shard| Sharded {
+            let lease_table = Arc::new(Mutex::new(LeaseTable::new(terms)));
+            let sharded = |shard| ShardedGateway {
                 gateway: gateway(self.engines),
                 shard: ShardId(shard),
-                ledger: ledger.clone(),
+                lease_table: lease_table.clone(),
             };
-            let shards = self.rate((0..*threads).map(sharded).collect())?;
-            println!("{threads:7} {lock:33.0} {shards:24.0}");
+            let sharded_rate = self.measure((0..*thread_count).map(sharded).collect())?;
+            println!("{thread_count:7} {locked_rate:33.0} {sharded_rate:24.0}");
         }
         Ok(())
     }
 
-    /// Requests decided and ended in a second, over all threads.
-    fn rate<D: Decides + Send + 'static>(&self, deciders: Vec<D>) -> io::Result<f64> {
-        let (length, batch) = (Duration::from_secs_f64(self.seconds), self.batch);
+    /// Runs one thread for each decision maker and returns the number of answered requests per second, over all
+    /// threads.
+    fn measure<D: DecisionMaker + Send + 'static>(
+        &self,
+        decision_makers: Vec<D>,
+    ) -> io::Result<f64> {
+        let (duration, batch_size) = (Duration::from_secs_f64(self.seconds), self.batch_size);
         let start = Instant::now();
         let mut threads = Vec::new();
-        for (place, mut decider) in deciders.into_iter().enumerate() {
+        for (index, mut decision_maker) in decision_makers.into_iter().enumerate() {
             threads.push(thread::spawn(move || {
-                let mut feed = Feed {
-                    next: (place as u64) << 40,
-                    batch,
-                    ends: Vec::new(),
-                    done: 0,
+                let mut source = EventSource {
+                    // Each thread has a separate range of ids.
+                    last_request_id: (index as u64) << 40,
+                    batch_size,
+                    pending_answers: Vec::new(),
+                    answered_count: 0,
                 };
-                while start.elapsed() < length {
+                while start.elapsed() < duration {
                     let now = Micros(1000 + start.elapsed().as_micros() as u64);
-                    let events = feed.events();
-                    let actions = decider.decide(now, events);
-                    feed.take(actions);
+                    let events = source.next_events();
+                    let actions = decision_maker.decide(now, events);
+                    source.record(actions);
                 }
-                feed.done
+                source.answered_count
             }));
         }
-        let mut done = 0;
+        let mut answered_count = 0;
         for thread in threads {
-            done += thread
+            answered_count += thread
                 .join()
-                .map_err(|_| io::Error::other("a thread died"))?;
+                .map_err(|_| io::Error::other("a thread panicked"))?;
         }
-        Ok(done as f64 / start.elapsed().as_secs_f64())
+        Ok(answered_count as f64 / start.elapsed().as_secs_f64())
     }
 }
--- a/lab/src/dispatcher_process.rs
+++ b/lab/src/dispatcher_process.rs
@@ -1,4 +1,4 @@
-//! The program that is measured: started on loopback with a configuration of the experiment's own.
+//! Starts the dispatcher on loopback with the configuration of an experiment, and measures its CPU time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,42 +9,44 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-const STARTS_WITHIN: Duration = Duration::from_secs(10);
+const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
 
-/// What it is told.
+/// The options of a dispatcher under test.
 #[derive(Clone, Debug)]
 pub struct DispatcherOptions {
     pub workers: usize,
     pub shards: Option<usize>,
-    pub pin: bool,
-    /// Whether operators may call.
-    pub control: bool,
+    pub pin_workers: bool,
+    /// Whether the control socket is open.
+    pub control_socket: bool,
     pub engines: Vec<SocketAddr>,
-    /// Cores of each engine, by which the module counts its slots.
+    /// Cores of each engine, from which the gateway derives its slots.
     pub engine_cores: u32,
-    /// Firms and their shares.
-    pub firms: Vec<(String, f64)>,
+    /// Tenants and their shares.
+    pub tenants: Vec<(String, f64)>,
 }
 
+/// A running dispatcher.
 pub struct DispatcherProcess {
     child: Child,
+    /// The address for PostgreSQL clients.
     pub address: SocketAddr,
-    /// Where operators call.
-    pub control: Option<SocketAddr>,
-    folder: PathBuf,
+    /// The address of the control socket, if it is open.
+    pub control_address: Option<SocketAddr>,
+    config_dir: PathBuf,
 }
 
 impl DispatcherOptions {
     fn config(&self) -> serde_json::Value {
-        let engines = self.engines.iter().enumerate().map(|(place, address)| {
+        let engines = self.engines.iter().enumerate().map(|(index, address)| {
             serde_json::json!({
-                "uid": format!("lab-{place:08x}"), "endpoint": address.to_string(), "az": "a",
+                "uid": format!("lab-{index:08x}"), "endpoint": address.to_string(), "az": "a",
                 "model": "std", "state": "up"
             })
         });
-        let firms = self.firms.iter();
-        let firms =
-            firms.map(|(name, portion)| serde_json::json!({"name": name, "portion": portion}));
+        let tenants = self.tenants.iter();
+        let tenants =
+            tenants.map(|(name, portion)| serde_json::json!({"name": name, "portion": portion}));
         let class = |name: &str, worth: f64, on_time: f64, effect: &str| {
             serde_json::json!({
                 "name": name, "worth": worth, "on_time": on_time, "give_up": 25000.0, "effect": effect
@@ -70,15 +72,15 @@
                     class("lookup", 1.0, 250.0, "repeatable"), class("report", 12.0, 500.0, "repeatable"),
                     class("journal-load", 12.0, 500.0, "once")
                 ],
-                "tenants": firms.collect::<Vec<_>>()
+                "tenants": tenants.collect::<Vec<_>>()
             }
         });
-        if self.control {
+        if self.control_socket {
             config["control"] = "127.0.0.1:0".into();
         }
         if self.workers > 1 {
             config["workers"] = self.workers.into();
-            config["pin_workers"] = self.pin.into();
+            config["pin_workers"] = self.pin_workers.into();
             if let Some(shards) = self.shards {
                 config["shards"] = shards.min(self.workers).into();
             }
@@ -88,15 +90,15 @@
 }
 
 impl DispatcherProcess {
-    /// Starts it and waits until it takes clients.
-    pub async fn start(path: &Path, setting: &DispatcherOptions) -> io::Result<DispatcherProcess> {
-        let folder = std::env::temp_dir().join(format!("sedgebeam-lab-{}", std::process::id()));
-        std::fs::create_dir_all(&folder)?;
-        let file = folder.join(format!("workers-{}.json", setting.workers));
-        std::fs::write(&file, setting.config().to_string())?;
+    /// Starts the dispatcher and waits until it accepts clients.
+    pub async fn start(path: &Path, options: &DispatcherOptions) -> io::Result<DispatcherProcess> {
+        let config_dir = std::env::temp_dir().join(format!("sedgebeam-lab-{}", std::process::id()));
+        std::fs::create_dir_all(&config_dir)?;
+        let config_path = config_dir.join(format!("workers-{}.json", options.workers));
+        std::fs::write(&config_path, options.config().to_string())?;
         let mut child = Command::new(path)
             .args(["serve", "--config"])
-            .arg(&file)
+            .arg(&config_path)
             .env_remove("PROXY_CONFIG")
             .env_remove("PROXY_LISTEN")
             .env("SEDGEBEAM_LOG", "info")
@@ -106,19 +108,21 @@
             .spawn()?;
         let log = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
         let mut lines = BufReader::new(log).lines();
-        let mut control = None;
-        let started = async {
+        let mut control_address = None;
+        let startup = async {
             while let Some(line) = lines.next_line().await? {
-                if let Some((_, door)) = line.split_once("takes calls of operators on ") {
-                    control = Some(door.trim().parse().map_err(io::Error::other)?);
+                if let Some((_, address)) = line.split_once("takes calls of operators on ") {
+                    control_address = Some(address.trim().parse().map_err(io::Error::other)?);
                 }
                 if let Some((_, address)) = line.split_once("serves PostgreSQL clients on ") {
                     return address.trim().parse().map_err(io::Error::other);
                 }
             }
-            Err(io::Error::other("the program ended before it took clients"))
+            Err(io::Error::other(
+                "the dispatcher exited before it accepted clients",
+            ))
         };
-        let address = timeout(STARTS_WITHIN, started)
+        let address = timeout(MAX_STARTUP_TIME, startup)
             .await
             .map_err(io::Error::other)??;
         tokio::spawn(async move {
@@ -131,15 +135,15 @@
         Ok(DispatcherProcess {
             child,
             address,
-            control,
-            folder,
+            control_address,
+            config_dir,
         })
     }
 
-    /// Processor time that it has used, of all its threads.
+    /// CPU time used so far by all threads of the process.
     pub fn cpu_time(&self) -> io::Result<Duration> {
-        let id = self.child.id().ok_or(io::ErrorKind::NotFound)?;
-        process_cpu_time(&id.to_string())
+        let pid = self.child.id().ok_or(io::ErrorKind::NotFound)?;
+        process_cpu_time(&pid.to_string())
     }
 
     pub async fn stop(mut self) -> io::Result<()> {
@@ -149,18 +153,19 @@
 
 impl Drop for DispatcherProcess {
     fn drop(&mut self) {
-        // What is left behind is a file in the temporary folder.
-        let _ = std::fs::remove_dir_all(&self.folder);
+        // A failure only leaves a file in the temporary directory.
+        let _ = std::fs::remove_dir_all(&self.config_dir);
     }
 }
 
-/// Processor time that a process has used, by its number or `self`.
-pub fn process_cpu_time(process: &str) -> io::Result<Duration> {
-    let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
-    // Behind the name, which may hold spaces: user and system time are the 12th and 13th field.
+/// CPU time that a process has used so far. `pid` is its id or `self`.
+pub fn process_cpu_time(pid: &str) -> io::Result<Duration> {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
+    // The name in parentheses may contain spaces, so count from its end: user and system time are the 12th and
+    // 13th field after it.
     let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let ticks = fields.split_whitespace().skip(11).take(2);
     let ticks: u64 = ticks.filter_map(|field| field.parse::<u64>().ok()).sum();
-    // The unit of these fields is a hundredth of a second on Linux.
+    // These fields are in units of 1/100 s on Linux.
     Ok(Duration::from_millis(ticks * 10))
 }
--- a/lab/src/fleet_scenarios.rs
+++ b/lab/src/fleet_scenarios.rs
@@ -1,5 +1,5 @@
-//! The experiment on whole fleets, in virtual time: what is served in each scenario, by class, and when the rest was
-//! refused.
+//! Simulates whole fleets in virtual time: for each scenario, the share of requests of each class that was
+//! served, refused (by stage), failed or lost.
 
 use clap::Args;
 use sedgebeam_core::{LoadReportMode, Micros};
@@ -9,30 +9,30 @@
 
 #[derive(Args)]
 pub struct FleetScenarios {
-    /// Sizes, as GATEWAYS/ENGINES.
+    /// Fleet sizes, as GATEWAYS/ENGINES.
     #[arg(long, value_delimiter = ',', default_value = "300/80")]
     sizes: Vec<String>,
-    /// Scenarios; all unless given.
-    #[arg(long, value_delimiter = ',')]
-    kinds: Vec<String>,
-    /// usual, one-class, bare, probes, answers or keyed.
+    /// Scenarios to run; all by default.
+    #[arg(long = "kinds", value_delimiter = ',')]
+    scenarios: Vec<String>,
+    /// Deployment: usual, one-class, bare, probes, answers or keyed.
     #[arg(long, default_value = "usual")]
     deployment: String,
-    /// Offered load, as a share of the engines' cores.
-    #[arg(long)]
-    asked: Option<f64>,
+    /// Offered load, as a fraction of the engines' cores.
+    #[arg(long = "asked")]
+    offered_load: Option<f64>,
     #[arg(long, value_delimiter = ',', default_value = "1")]
     seeds: Vec<u64>,
-    /// Simulated seconds with traffic; what is open then is let end.
+    /// Simulated seconds with traffic; open requests may end afterwards.
     #[arg(long, default_value_t = 12.0)]
     seconds: f64,
-    /// Print the share of worth served, by the second in which requests arrived.
+    /// Print the share of the worth that was served, by the second in which requests arrived.
     #[arg(long)]
     by_second: bool,
 }
 
-fn invalid_input(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidInput, what.to_string())
+fn invalid_input(message: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidInput, message.to_string())
 }
 
 impl FleetScenarios {
@@ -40,10 +40,10 @@
         println!(
             "size kind seed   worth  att/r  cold  falls   class: served late refused at-once/waiting/after failed lost"
         );
-        let known = SCENARIOS.map(str::to_string);
-        let scenarios = match self.kinds.as_slice() {
-            [] => known.as_slice(),
-            chosen => chosen,
+        let all_scenarios = SCENARIOS.map(str::to_string);
+        let scenarios = match self.scenarios.as_slice() {
+            [] => all_scenarios.as_slice(),
+            selected => selected,
         };
         for size in &self.sizes {
             for name in scenarios {
@@ -60,7 +60,7 @@
             .split_once('/')
             .and_then(|(gateways, engines)| Some((gateways.parse().ok()?, engines.parse().ok()?)));
         let (gateways, engines) =
-            sizes.ok_or_else(|| invalid_input("a size is GATEWAYS/ENGINES"))?;
+            sizes.ok_or_else(|| invalid_input("a size must be GATEWAYS/ENGINES"))?;
         let mut deployment = match self.deployment.as_str() {
             "usual" => Deployment::standard(gateways, engines),
             "one-class" => Deployment::single_class(gateways, engines),
@@ -70,32 +70,32 @@
                 Deployment::with_load_reports(gateways, engines, LoadReportMode::InAnswers)
             }
             "keyed" => Deployment::with_deduplication(gateways, engines),
-            _ => return Err(invalid_input("no such deployment")),
+            _ => return Err(invalid_input("unknown deployment")),
         };
-        if let Some(offered_load) = self.asked {
+        if let Some(offered_load) = self.offered_load {
             deployment.set_offered_load(offered_load);
         }
         Ok(deployment)
     }
 
     fn simulate(&self, size: &str, name: &str, seed: u64) -> io::Result<()> {
-        let script = scenario(name).ok_or_else(|| invalid_input("no such kind of day"))?;
-        let began = Instant::now();
+        let script = scenario(name).ok_or_else(|| invalid_input("unknown scenario"))?;
+        let started_at = Instant::now();
         let mut simulation = Simulation::new(self.deployment(size)?, seed, script);
         simulation.run(Micros((self.seconds * 1e6) as u64));
         simulation.finish();
         self.print(
             &format!("{size} {name} {seed}"),
             &simulation,
-            began.elapsed(),
+            started_at.elapsed(),
         );
         Ok(())
     }
 
-    fn print(&self, run: &str, simulation: &Simulation, elapsed: Duration) {
+    fn print(&self, label: &str, simulation: &Simulation, elapsed: Duration) {
         let metrics = &simulation.metrics;
         print!(
-            "{run}   {:.3}  {:.3}  {:.2}  {}  ",
+            "{label}   {:.3}  {:.3}  {:.2}  {}  ",
             simulation.goodput(),
             metrics.attempts_per_request(),
             metrics.cold_utilization(),
@@ -118,7 +118,7 @@
     }
 }
 
-/// Prints the shares of a class's requests by how they ended.
+/// Prints the share of a class's requests with each outcome.
 fn print_class(name: &str, counts: &ClassCounts) {
     let share = |count: u64| count as f64 / counts.arrived.max(1) as f64;
     let refused = counts.refused;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-in engines, open-loop load and experiments on the dispatcher, on loopback.
+//! Experiments on the dispatcher: mock engines, an open-loop load generator and fleet simulations.
 
 pub mod control_latency;
 pub mod decision_throughput;
--- a/lab/src/load_generator.rs
+++ b/lab/src/load_generator.rs
@@ -1,6 +1,5 @@
-//! Open-loop load on the PostgreSQL front: requests are sent when they are due, whatever has become of the
-//! earlier ones, and their latency counts from when they were due. One that finds no free session waits,
-//! and that wait counts.
+//! Open-loop load on the PostgreSQL front: requests are sent when they are due, independently of earlier ones.
+//! Latency is measured from the due time, so that it includes the wait for a free session.
 
 use crate::traffic::{CLASSES, ScheduledRequest};
 use crate::wire;
@@ -13,55 +12,60 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until};
 
-/// How a run is played.
+/// Options of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
+    /// The address for PostgreSQL clients of the dispatcher.
     pub address: SocketAddr,
-    pub firms: Vec<String>,
-    /// Sessions of each firm.
-    pub sessions: usize,
-    /// Requests that are due before this are played but not counted.
+    pub tenants: Vec<String>,
+    pub sessions_per_tenant: usize,
+    /// Requests that are due before this time are sent but not counted.
     pub warm_up: Duration,
-    /// How long each request waits.
-    pub limit: Duration,
+    /// Time limit of each request, from its due time.
+    pub time_limit: Duration,
 }
 
-/// What became of the requests that counted, by class and firm.
+/// The outcomes of the requests that were due after the warm-up.
 #[derive(Clone)]
 pub struct LoadResult {
-    /// From when a request was due until it was served, in microseconds.
-    pub latency: Histogram<u64>,
+    /// Time from the due time of a served request to its answer, in microseconds.
+    pub latency_micros: Histogram<u64>,
+    /// Number of served requests, by class and tenant.
     pub served: Vec<Vec<u64>>,
     pub refused: u64,
     pub failed: u64,
-    pub due: u64,
+    /// Number of requests with any outcome.
+    pub offered: u64,
 }
 
 impl LoadResult {
-    fn new(firms: usize) -> io::Result<LoadResult> {
-        let latency = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
+    fn new(tenants: usize) -> io::Result<LoadResult> {
+        let latency_micros =
+            Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
         Ok(LoadResult {
-            latency,
-            served: vec![vec![0; firms]; CLASSES.len()],
+            latency_micros,
+            served: vec![vec![0; tenants]; CLASSES.len()],
             refused: 0,
             failed: 0,
-            due: 0,
+            offered: 0,
         })
     }
 
     fn add(&mut self, other: &LoadResult) -> io::Result<()> {
-        self.latency.add(&other.latency).map_err(io::Error::other)?;
-        for (sum, more) in self
+        self.latency_micros
+            .add(&other.latency_micros)
+            .map_err(io::Error::other)?;
+        for (total, count) in self
             .served
             .iter_mut()
             .flatten()
             .zip(other.served.iter().flatten())
         {
-            *sum += more;
+            *total += count;
         }
         self.refused += other.refused;
         self.failed += other.failed;
-        self.due += other.due;
+        self.offered += other.offered;
         Ok(())
     }
 
@@ -69,9 +73,9 @@
         self.served.iter().flatten().sum()
     }
 
-    /// A percentile of the latency, in milliseconds.
+    /// A percentile of the latency in milliseconds.
     pub fn latency_percentile_ms(&self, percent: f64) -> f64 {
-        self.latency.value_at_percentile(percent) as f64 / 1000.0
+        self.latency_micros.value_at_percentile(percent) as f64 / 1000.0
     }
 }
 
@@ -82,66 +86,76 @@
     Failed,
 }
 
-/// Plays the jobs and waits for their answers.
-pub async fn generate(jobs: Vec<ScheduledRequest>, play: LoadOptions) -> io::Result<LoadResult> {
+/// Sends the requests at their due times and waits for all answers.
+pub async fn generate(
+    requests: Vec<ScheduledRequest>,
+    options: LoadOptions,
+) -> io::Result<LoadResult> {
     let mut queues = Vec::new();
     let mut sessions = Vec::new();
     let start = Instant::now() + Duration::from_millis(200);
-    for firm in 0..play.firms.len() {
-        // Unbounded on purpose: what is due must never wait for what was due before. It holds no more than
-        // the jobs that were drawn.
-        let (queue, jobs) = async_channel::unbounded::<ScheduledRequest>();
-        for _ in 0..play.sessions {
-            sessions.push(tokio::spawn(session(jobs.clone(), play.clone(), start)));
+    for tenant in 0..options.tenants.len() {
+        // Unbounded on purpose: a request that is due must never wait for earlier ones. The queue cannot grow
+        // beyond the requests that were drawn for the run.
+        let (queue, requests) = async_channel::unbounded::<ScheduledRequest>();
+        for _ in 0..options.sessions_per_tenant {
+            sessions.push(tokio::spawn(run_session(
+                requests.clone(),
+                options.clone(),
+                start,
+            )));
         }
-        queues.push((firm, queue));
+        queues.push((tenant, queue));
     }
-    for job in jobs {
-        let due = start + job.due;
-        if Instant::now() < due {
-            sleep_until(due.into()).await;
+    for request in requests {
+        let due_at = start + request.due_after;
+        if Instant::now() < due_at {
+            sleep_until(due_at.into()).await;
         }
-        if let Some((_, queue)) = queues.get(job.firm) {
-            // Sessions end only once the queue is closed.
-            let _ = queue.send(job).await;
+        if let Some((_, queue)) = queues.get(request.tenant) {
+            // Sessions keep receiving until the queue is closed, so the send cannot fail before.
+            let _ = queue.send(request).await;
         }
     }
     drop(queues);
-    let mut sum = LoadResult::new(play.firms.len())?;
+    let mut total = LoadResult::new(options.tenants.len())?;
     for session in sessions {
-        sum.add(&session.await.map_err(io::Error::other)??)?;
+        total.add(&session.await.map_err(io::Error::other)??)?;
     }
-    Ok(sum)
+    Ok(total)
 }
 
-/// One session: takes what is due, one after the other, on a connection that it makes anew when it broke.
-async fn session(
-    jobs: async_channel::Receiver<ScheduledRequest>,
-    play: LoadOptions,
+/// Runs one session: sends requests from the queue one after the other and reconnects after errors.
+async fn run_session(
+    requests: async_channel::Receiver<ScheduledRequest>,
+    options: LoadOptions,
     start: Instant,
 ) -> io::Result<LoadResult> {
-    let mut result = LoadResult::new(play.firms.len())?;
-    let mut connection = Connection::open(play.address).await.ok();
-    while let Ok(job) = jobs.recv().await {
-        let due = start + job.due;
-        let counts = job.due >= play.warm_up;
+    let mut result = LoadResult::new(options.tenants.len())?;
+    let mut connection = Connection::open(options.address).await.ok();
+    while let Ok(request) = requests.recv().await {
+        let due_at = start + request.due_after;
+        let is_counted = request.due_after >= options.warm_up;
         let answer = match &mut connection {
-            Some(open) => open.ask(&job, &play, due).await,
+            Some(connection) => connection.execute(&request, &options, due_at).await,
             None => Err(io::ErrorKind::NotConnected.into()),
         };
         if answer.is_err() {
             sleep(Duration::from_millis(5)).await;
-            connection = Connection::open(play.address).await.ok();
+            connection = Connection::open(options.address).await.ok();
         }
-        if !counts {
+        if !is_counted {
             continue;
         }
-        result.due += 1;
+        result.offered += 1;
         match answer.unwrap_or(Answer::Failed) {
             Answer::Served => {
-                result.served[job.class][job.firm] += 1;
-                let micros = due.elapsed().as_micros().clamp(1, 60_000_000) as u64;
-                result.latency.record(micros).map_err(io::Error::other)?;
+                result.served[request.class][request.tenant] += 1;
+                let micros = due_at.elapsed().as_micros().clamp(1, 60_000_000) as u64;
+                result
+                    .latency_micros
+                    .record(micros)
+                    .map_err(io::Error::other)?;
             }
             Answer::Refused => result.refused += 1,
             Answer::Failed => result.failed += 1,
@@ -162,33 +176,33 @@
         let bytes = BytesMut::with_capacity(4096);
         let mut connection = Connection { stream, bytes };
         connection.stream.write_all(&wire::startup()).await?;
-        connection.answer().await?;
+        connection.read_answer().await?;
         Ok(connection)
     }
 
-    async fn ask(
+    async fn execute(
         &mut self,
-        job: &ScheduledRequest,
-        play: &LoadOptions,
-        due: Instant,
+        request: &ScheduledRequest,
+        options: &LoadOptions,
+        due_at: Instant,
     ) -> io::Result<Answer> {
-        let limit = play.limit.saturating_sub(due.elapsed());
-        if limit.is_zero() {
-            // It has waited for a session until its time was up.
+        let remaining = options.time_limit.saturating_sub(due_at.elapsed());
+        if remaining.is_zero() {
+            // The time limit passed while the request waited for a session.
             return Ok(Answer::Failed);
         }
         self.stream
-            .write_all(&wire::query(&statement(job, play, limit)))
+            .write_all(&wire::query(&statement(request, options, remaining)))
             .await?;
-        self.answer().await
+        self.read_answer().await
     }
 
-    /// Reads up to the next word that the server is ready.
-    async fn answer(&mut self) -> io::Result<Answer> {
+    /// Reads messages until the server is ready for the next query.
+    async fn read_answer(&mut self) -> io::Result<Answer> {
         let mut answer = Answer::Served;
         loop {
-            while let Some((kind, body)) = wire::message(&mut self.bytes)? {
-                match kind {
+            while let Some((message_type, body)) = wire::message(&mut self.bytes)? {
+                match message_type {
                     b'Z' => return Ok(answer),
                     b'E' if wire::sqlstate(&body).starts_with(b"53") => answer = Answer::Refused,
                     b'E' => answer = Answer::Failed,
@@ -202,21 +216,23 @@
     }
 }
 
-fn statement(job: &ScheduledRequest, play: &LoadOptions, limit: Duration) -> String {
-    let (class, _, threads) = CLASSES[job.class];
-    let work = job.service.as_secs_f64() * 1000.0 * f64::from(threads);
-    let (group, takes) = (job.group, job.service.as_micros());
+fn statement(request: &ScheduledRequest, options: &LoadOptions, remaining: Duration) -> String {
+    let (class, _, threads) = CLASSES[request.class];
+    let cpu_ms = request.service_time.as_secs_f64() * 1000.0 * f64::from(threads);
+    let (group, service_micros) = (request.table_group, request.service_time.as_micros());
     let text = if class == "journal-load" {
         format!(
-            "INSERT INTO sales_{group}.orders SELECT * FROM staging.batch WHERE takes = {takes}"
+            "INSERT INTO sales_{group}.orders SELECT * FROM staging.batch WHERE takes = {service_micros}"
         )
     } else {
-        format!("SELECT day, count(*), max(note) FROM sales_{group}.orders WHERE takes = {takes}")
+        format!(
+            "SELECT day, count(*), max(note) FROM sales_{group}.orders WHERE takes = {service_micros}"
+        )
     };
     format!(
-        "/* verb={class},txn={:016x},limit={},team={},cpu={work:.1},memory=8 */ {text}",
-        job.id,
-        limit.as_millis().max(1),
-        play.firms[job.firm],
+        "/* verb={class},txn={:016x},limit={},team={},cpu={cpu_ms:.1},memory=8 */ {text}",
+        request.id,
+        remaining.as_millis().max(1),
+        options.tenants[request.tenant],
     )
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,10 +1,10 @@
-//! The laboratory's command line.
+//! Command line of the experiments.
 
 use clap::{Parser, Subcommand};
 use sedgebeam_lab::{control_latency, decision_throughput, fleet_scenarios, worker_scaling};
 use std::process::ExitCode;
 
-/// Experiments on the dispatcher: the real program between stand-in engines and open-loop load, on loopback.
+/// Experiments on the dispatcher: the real program between mock engines and an open-loop load generator, on loopback.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -14,28 +14,28 @@
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// Throughput, latency, CPU and fairness by the number of workers.
+    /// Throughput, latency, CPU time and fairness for different numbers of workers.
     #[command(name = "cores")]
     WorkerScaling(worker_scaling::WorkerScaling),
-    /// What decisions cost by themselves: one gateway behind a lock, and shards with a ledger.
+    /// Throughput of decisions alone: one gateway behind a lock against shards with a lease table.
     #[command(name = "decide")]
     DecisionThroughput(decision_throughput::DecisionThroughput),
-    /// How long operators wait at the door while the program is asked for more than it can do.
+    /// Latency of the control socket while the dispatcher is overloaded.
     #[command(name = "door")]
     ControlLatency(control_latency::ControlLatency),
-    /// What whole fleets serve in virtual time when some of it breaks, and which door turned the rest away.
+    /// Goodput of whole fleets with faults, in virtual time, and the stage at which other requests were refused.
     #[command(name = "fleet")]
     FleetScenarios(fleet_scenarios::FleetScenarios),
 }
 
 fn main() -> ExitCode {
-    let ran = match Arguments::parse().experiment {
+    let result = match Arguments::parse().experiment {
         Experiment::WorkerScaling(experiment) => experiment.run(),
         Experiment::DecisionThroughput(experiment) => experiment.run(),
         Experiment::ControlLatency(experiment) => experiment.run(),
         Experiment::FleetScenarios(experiment) => experiment.run(),
     };
-    match ran {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("sedgebeam-lab: {error}");
--- a/lab/src/rate_search.rs
+++ b/lab/src/rate_search.rs
@@ -1,51 +1,53 @@
-//! The search for the highest rate that is held: free of I/O, so that it can be tested by itself.
+//! The search for the highest sustained rate; it does no I/O, so that it can be tested separately.
 
-/// Grows a rate until it is not held any more, and then halves the distance in between.
+/// Raises the rate until it is no longer sustained, then bisects between the highest sustained and the lowest
+/// missed rate.
 #[derive(Debug)]
 pub struct RateSearch {
-    held: f64,
-    missed: Option<f64>,
-    next: f64,
-    /// Steps that are left once a rate has been missed.
-    steps: u32,
+    highest_sustained: f64,
+    lowest_missed: Option<f64>,
+    next_rate: f64,
+    /// Steps that remain from the first missed rate on, including that one.
+    remaining_steps: u32,
 }
 
-/// By this factor a rate grows while it is held.
-const GROWTH: f64 = 1.5;
+/// Factor by which the rate grows as long as it is sustained.
+const GROWTH_FACTOR: f64 = 1.5;
 
 impl RateSearch {
-    pub fn new(first: f64, steps: u32) -> RateSearch {
+    pub fn new(first_rate: f64, steps: u32) -> RateSearch {
         RateSearch {
-            held: 0.0,
-            missed: None,
-            next: first,
-            steps,
+            highest_sustained: 0.0,
+            lowest_missed: None,
+            next_rate: first_rate,
+            remaining_steps: steps,
         }
     }
 
-    /// The rate to try next; `None` once the search is over.
+    /// The rate to try next; `None` when the search is complete.
     pub fn next_rate(&self) -> Option<f64> {
-        (self.steps > 0).then_some(self.next)
+        (self.remaining_steps > 0).then_some(self.next_rate)
     }
 
-    pub fn record(&mut self, held: bool) {
-        if held {
-            self.held = self.next;
+    /// Records whether the rate that was tried last was sustained.
+    pub fn record(&mut self, is_sustained: bool) {
+        if is_sustained {
+            self.highest_sustained = self.next_rate;
         } else {
-            self.missed = Some(self.next);
+            self.lowest_missed = Some(self.next_rate);
         }
-        self.next = match self.missed {
-            None => self.next * GROWTH,
+        self.next_rate = match self.lowest_missed {
+            None => self.next_rate * GROWTH_FACTOR,
             Some(missed) => {
-                self.steps = self.steps.saturating_sub(1);
-                (self.held + missed) / 2.0
+                self.remaining_steps = self.remaining_steps.saturating_sub(1);
+                (self.highest_sustained + missed) / 2.0
             }
         };
     }
 
-    /// The highest rate that was held.
+    /// The highest rate that was sustained so far; zero if none was.
     pub fn highest_sustained(&self) -> f64 {
-        self.held
+        self.highest_sustained
     }
 }
 
@@ -54,19 +56,20 @@
     use super::*;
 
     #[test]
-    fn the_highest_rate_is_found_to_within_its_steps() {
-        for truth in [130.0, 1000.0, 4321.0, 90_000.0] {
+    fn the_highest_rate_is_found_within_the_precision_of_the_steps() {
+        for capacity in [130.0, 1000.0, 4321.0, 90_000.0] {
             let mut search = RateSearch::new(500.0, 6);
-            let mut tries = 0;
+            let mut attempts = 0;
             while let Some(rate) = search.next_rate() {
-                search.record(rate <= truth);
-                tries += 1;
+                search.record(rate <= capacity);
+                attempts += 1;
             }
             assert!(
-                search.highest_sustained() <= truth && search.highest_sustained() > truth * 0.93,
+                search.highest_sustained() <= capacity
+                    && search.highest_sustained() > capacity * 0.93,
                 "{search:?}"
             );
-            assert!(tries < 25);
+            assert!(attempts < 25);
         }
     }
 }
--- a/lab/src/worker_scaling.rs
+++ b/lab/src/worker_scaling.rs
@@ -1,5 +1,6 @@
-//! The experiment on several cores: for each number of workers the highest throughput held, latency at half
-//! of it, processor time for a request, and how far shares under overload are from what is owed.
+//! Measures how the dispatcher scales with its workers: for each number of workers, the highest sustained rate,
+//! the latency at half that rate, the CPU time per request, and how the shares of tenants and classes under
+//! overload change.
 
 use crate::dispatcher_process::{self, DispatcherOptions, DispatcherProcess};
 use crate::engine::{self, LoadCounts};
@@ -16,55 +17,57 @@
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
 
-/// Firms and their shares.
+/// Tenants and their shares.
 pub const TENANTS: [(&str, f64); 3] = [
     ("fraser-cpa", 0.62),
     ("island-ledger", 0.26),
     ("kootenay-books", 0.12),
 ];
-/// Part of the requests that must be served for a rate to be held.
-const SERVED: f64 = 0.99;
-/// What does not count of each run.
+/// Share of the requests that must be served for a rate to count as sustained.
+const MIN_SERVED_SHARE: f64 = 0.99;
+/// Initial part of each run that is not counted.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// The last part of a search: it is known to within 1/64 of the step that missed.
-const STEPS: u32 = 4;
+/// Steps of a search from the first missed rate on: that miss and three bisections, which narrow the sustained
+/// rate down to 1/8 of the last increase.
+const STEPS_FROM_FIRST_MISS: u32 = 4;
 
 #[derive(Args)]
 pub struct WorkerScaling {
-    /// Numbers of workers, in the order in which they are measured.
-    #[arg(long, value_delimiter = ',', default_value = "1,2,4,8")]
-    workers: Vec<usize>,
-    /// The program.
-    #[arg(long, default_value = "target/release/sedgebeam")]
-    program: PathBuf,
-    /// Where the figures are written.
-    #[arg(long)]
-    json: Option<PathBuf>,
-    /// The bound on the 99th percentile, in milliseconds.
-    #[arg(long, default_value_t = 50.0)]
-    p99: f64,
-    /// The first rate that is tried, in requests a second.
-    #[arg(long, default_value_t = 2000.0)]
-    rate: f64,
-    /// The length of each run, in seconds; the first half second does not count.
+    /// Numbers of workers, in the order of measurement.
+    #[arg(long = "workers", value_delimiter = ',', default_value = "1,2,4,8")]
+    worker_counts: Vec<usize>,
+    /// Path of the dispatcher program.
+    #[arg(long = "program", default_value = "target/release/sedgebeam")]
+    dispatcher_path: PathBuf,
+    /// Path of a file for the results in JSON.
+    #[arg(long = "json")]
+    report_path: Option<PathBuf>,
+    /// Upper bound on the 99th percentile of latency for a sustained rate, in milliseconds.
+    #[arg(long = "p99", default_value_t = 50.0)]
+    max_p99_ms: f64,
+    /// The first rate to try, in requests per second.
+    #[arg(long = "rate", default_value_t = 2000.0)]
+    first_rate: f64,
+    /// Duration of each run, in seconds; the first half second is not counted.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
-    /// Threads of the load and the stand-in engines.
+    /// Threads of the load generator and the mock engines.
     #[arg(long, default_value_t = 4)]
     load_threads: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Pins each worker to a core.
-    #[arg(long)]
-    pin: bool,
-    /// Shards of the decision module: one for each worker unless told, or 1 for one module behind all.
+    #[arg(long = "pin")]
+    pin_workers: bool,
+    /// Number of gateway shards: by default one per worker; 1 means one gateway for all workers.
     #[arg(long)]
     shards: Option<usize>,
-    /// Leaves out the runs under overload.
-    #[arg(long)]
-    no_shares: bool,
+    /// Skips the runs under overload.
+    #[arg(long = "no-shares")]
+    skip_overload: bool,
 }
 
+/// The results as they are written in JSON.
 #[derive(Serialize)]
 struct Report {
     machine_cores: usize,
@@ -74,86 +77,103 @@
     rows: Vec<Row>,
 }
 
+/// The results for one number of workers.
 #[derive(Serialize)]
 struct Row {
     workers: usize,
-    /// Highest rate held, in requests a second.
-    held_per_s: f64,
-    /// Processor time for a request at that rate, in microseconds.
-    cpu_us: f64,
+    /// Highest sustained rate, in requests per second.
+    #[serde(rename = "held_per_s")]
+    sustained_rate: f64,
+    /// CPU time per request at that rate, in microseconds.
+    #[serde(rename = "cpu_us")]
+    cpu_per_request_us: f64,
     p50_ms: f64,
     p99_ms: f64,
     p999_ms: f64,
-    shares: Option<Shares>,
-    doubled_loads: usize,
+    #[serde(rename = "shares")]
+    overload_shares: Option<OverloadShares>,
+    /// Number of loads that reached the engines more than once.
+    #[serde(rename = "doubled_loads")]
+    duplicate_loads: usize,
 }
 
-/// What was served under overload.
+/// The requests served under overload.
 #[derive(Serialize)]
-struct Shares {
-    asked_per_s: f64,
+struct OverloadShares {
+    #[serde(rename = "asked_per_s")]
+    offered_per_s: f64,
     served_per_s: f64,
     refused: u64,
     failed: u64,
-    /// The part of the served thread time that each class had, in points.
-    by_class: Vec<f64>,
-    /// The same by firm: what a firm holds is thread time, since a report is worth many lookups.
-    by_firm: Vec<f64>,
-    /// The farthest that a class, and a firm, is from what it had in the first row, in points.
+    /// Share of the served thread time that each class had, in percentage points.
+    #[serde(rename = "by_class")]
+    class_shares: Vec<f64>,
+    /// Share of the served thread time that each tenant had, in percentage points. Shares are measured in
+    /// thread time and not in requests, because one report takes as much as many lookups.
+    #[serde(rename = "by_firm")]
+    tenant_shares: Vec<f64>,
+    /// Maximum difference between the share of any class and its share in the first row, in percentage points.
     class_error: f64,
-    firm_error: f64,
+    /// The same for tenants.
+    #[serde(rename = "firm_error")]
+    tenant_error: f64,
 }
 
-/// The farthest that two lists of points lie apart.
-fn apart(parts: &[f64], others: &[f64]) -> f64 {
-    let apart = parts
+/// The maximum difference between corresponding elements of two lists.
+fn max_difference(values: &[f64], others: &[f64]) -> f64 {
+    let differences = values
         .iter()
         .zip(others)
-        .map(|(part, other)| (part - other).abs());
-    apart.fold(0.0, f64::max)
+        .map(|(value, other)| (value - other).abs());
+    differences.fold(0.0, f64::max)
 }
 
+/// A runtime with mock engines on loopback.
 pub struct Testbed {
     pub runtime: Runtime,
     pub engines: Vec<SocketAddr>,
-    seen: Arc<LoadCounts>,
+    load_counts: Arc<LoadCounts>,
 }
 
 impl Testbed {
-    pub fn new(threads: usize, engines: usize) -> io::Result<Testbed> {
+    pub fn new(threads: usize, engine_count: usize) -> io::Result<Testbed> {
         let runtime = Builder::new_multi_thread()
             .worker_threads(threads)
             .enable_all()
             .build()?;
-        let seen = Arc::new(LoadCounts::default());
+        let load_counts = Arc::new(LoadCounts::default());
         let mut addresses = Vec::new();
-        for _ in 0..engines {
+        for _ in 0..engine_count {
             let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0"))?;
             addresses.push(listener.local_addr()?);
-            runtime.spawn(engine::serve(listener, seen.clone()));
+            runtime.spawn(engine::serve(listener, load_counts.clone()));
         }
         Ok(Testbed {
             runtime,
             engines: addresses,
-            seen,
+            load_counts,
         })
     }
 }
 
-/// A run and the processor time that the program used for it.
+/// The results of one run.
 struct Run {
     result: load_generator::LoadResult,
-    cpu: Duration,
+    /// CPU time of the dispatcher.
+    cpu_time: Duration,
     rate: f64,
-    /// What part of their threads' time the load and the engines used: near one, they gave in themselves.
-    load_busy: f64,
-    doubled_loads: usize,
+    /// Share of the CPU time of the load threads that the load generator and the engines used. Near one, they are the
+    /// bottleneck themselves.
+    load_utilization: f64,
+    duplicate_loads: usize,
 }
 
 impl Run {
-    fn holds(&self, p99_ms: f64) -> bool {
-        let served = self.result.served_total() as f64 >= SERVED * self.result.due as f64;
-        served && self.result.latency_percentile_ms(99.0) <= p99_ms
+    /// Whether the dispatcher sustained the rate of this run.
+    fn is_sustained(&self, max_p99_ms: f64) -> bool {
+        let served =
+            self.result.served_total() as f64 >= MIN_SERVED_SHARE * self.result.offered as f64;
+        served && self.result.latency_percentile_ms(99.0) <= max_p99_ms
     }
 }
 
@@ -165,191 +185,206 @@
             self.load_threads
         );
         println!(
-            "workers     held/s   cpu us     p50     p99   p99.9  firms off  class off  take_duplicates loads"
+            "workers     held/s   cpu us     p50     p99   p99.9  firms off  class off  doubled loads"
         );
         let mut rows = Vec::new();
-        for workers in &self.workers {
-            let mut row = self.row(*workers)?;
-            let first = rows.first().and_then(|first: &Row| first.shares.as_ref());
-            if let (Some(shares), Some(first)) = (&mut row.shares, first) {
-                shares.class_error = apart(&shares.by_class, &first.by_class);
-                shares.firm_error = apart(&shares.by_firm, &first.by_firm);
+        for workers in &self.worker_counts {
+            let mut row = self.measure(*workers)?;
+            let first_shares = rows
+                .first()
+                .and_then(|first_row: &Row| first_row.overload_shares.as_ref());
+            if let (Some(shares), Some(first_shares)) = (&mut row.overload_shares, first_shares) {
+                shares.class_error =
+                    max_difference(&shares.class_shares, &first_shares.class_shares);
+                shares.tenant_error =
+                    max_difference(&shares.tenant_shares, &first_shares.tenant_shares);
             }
-            let off = |pick: fn(&Shares) -> f64| match &row.shares {
-                Some(shares) => format!("{:.1}", pick(shares)),
+            let format_error = |error: fn(&OverloadShares) -> f64| match &row.overload_shares {
+                Some(shares) => format!("{:.1}", error(shares)),
                 None => "-".to_string(),
             };
             println!(
                 "{workers:7} {:10.0} {:8.1} {:7.1} {:7.1} {:7.1} {:>10} {:>10} {:14}",
-                row.held_per_s,
-                row.cpu_us,
+                row.sustained_rate,
+                row.cpu_per_request_us,
                 row.p50_ms,
                 row.p99_ms,
                 row.p999_ms,
-                off(|shares| shares.firm_error),
-                off(|shares| shares.class_error),
-                row.doubled_loads,
+                format_error(|shares| shares.tenant_error),
+                format_error(|shares| shares.class_error),
+                row.duplicate_loads,
             );
             rows.push(row);
         }
         let report = Report {
             machine_cores,
             load_threads: self.load_threads,
-            p99_bound_ms: self.p99,
+            p99_bound_ms: self.max_p99_ms,
             seed: self.seed,
             rows,
         };
-        if let Some(path) = &self.json {
+        if let Some(path) = &self.report_path {
             std::fs::write(path, serde_json::to_string_pretty(&report)?)?;
         }
         Ok(())
     }
 
-    fn row(&self, workers: usize) -> io::Result<Row> {
-        let world = Testbed::new(self.load_threads, 8)?;
-        let mut search = RateSearch::new(self.rate, STEPS);
-        let (mut best, mut doubled_loads): (Option<Run>, usize) = (None, 0);
+    fn measure(&self, workers: usize) -> io::Result<Row> {
+        let testbed = Testbed::new(self.load_threads, 8)?;
+        let mut search = RateSearch::new(self.first_rate, STEPS_FROM_FIRST_MISS);
+        let (mut best_run, mut duplicate_loads): (Option<Run>, usize) = (None, 0);
         while let Some(rate) = search.next_rate() {
-            let mut run = self.play(&world, workers, rate, 64, &self.light(rate))?;
-            doubled_loads += run.doubled_loads;
-            if !run.holds(self.p99) {
-                // Machines are noisy: what is missed once is tried again before it is believed.
-                run = self.play(&world, workers, rate, 64, &self.light(rate))?;
-                doubled_loads += run.doubled_loads;
+            let mut run = self.run_load(&testbed, workers, rate, 64, &self.light_traffic(rate))?;
+            duplicate_loads += run.duplicate_loads;
+            if !run.is_sustained(self.max_p99_ms) {
+                // Measurements are noisy, so a missed rate is tried a second time.
+                run = self.run_load(&testbed, workers, rate, 64, &self.light_traffic(rate))?;
+                duplicate_loads += run.duplicate_loads;
             }
-            let held = run.holds(self.p99);
+            let is_sustained = run.is_sustained(self.max_p99_ms);
             eprintln!(
                 "  {workers} workers at {rate:.0}/s: p99 {:.1} ms, {} of {} served, load {:.0}% busy, program {:.1} cores{}",
                 run.result.latency_percentile_ms(99.0),
                 run.result.served_total(),
-                run.result.due,
-                100.0 * run.load_busy,
-                run.cpu.as_secs_f64() / self.seconds,
-                if held { "" } else { ": not held" }
+                run.result.offered,
+                100.0 * run.load_utilization,
+                run.cpu_time.as_secs_f64() / self.seconds,
+                if is_sustained { "" } else { ": not held" }
             );
-            if held {
-                best = Some(run);
+            if is_sustained {
+                best_run = Some(run);
             }
-            search.record(held);
+            search.record(is_sustained);
         }
-        let best = best.ok_or_else(|| io::Error::other("not even the first rate is held"))?;
-        let half = search.highest_sustained() / 2.0;
-        let half = self.play(&world, workers, half, 64, &self.light(half))?;
-        let shares = if self.no_shares {
+        let best_run =
+            best_run.ok_or_else(|| io::Error::other("none of the tried rates was sustained"))?;
+        let half_rate = search.highest_sustained() / 2.0;
+        let half_run = self.run_load(
+            &testbed,
+            workers,
+            half_rate,
+            64,
+            &self.light_traffic(half_rate),
+        )?;
+        let overload_shares = if self.skip_overload {
             None
         } else {
-            Some(self.shares(workers)?)
+            Some(self.overload_shares(workers)?)
         };
         Ok(Row {
             workers,
-            held_per_s: best.rate,
-            cpu_us: best.cpu.as_secs_f64() * 1e6 / (best.rate * self.seconds),
-            p50_ms: half.result.latency_percentile_ms(50.0),
-            p99_ms: half.result.latency_percentile_ms(99.0),
-            p999_ms: half.result.latency_percentile_ms(99.9),
-            shares,
-            doubled_loads,
+            sustained_rate: best_run.rate,
+            cpu_per_request_us: best_run.cpu_time.as_secs_f64() * 1e6
+                / (best_run.rate * self.seconds),
+            p50_ms: half_run.result.latency_percentile_ms(50.0),
+            p99_ms: half_run.result.latency_percentile_ms(99.0),
+            p999_ms: half_run.result.latency_percentile_ms(99.9),
+            overload_shares,
+            duplicate_loads,
         })
     }
 
-    /// Traffic that engines bear easily: the program is what gives in.
-    fn light(&self, rate: f64) -> Traffic {
+    /// Traffic that is light for the engines, so that the dispatcher is the bottleneck.
+    fn light_traffic(&self, rate: f64) -> Traffic {
         Traffic {
             seed: self.seed,
             rate,
-            length: Duration::from_secs_f64(self.seconds),
-            firms: TENANTS.map(|(_, share)| share).to_vec(),
-            groups: 40,
-            service: [2, 4, 4].map(Duration::from_millis),
+            duration: Duration::from_secs_f64(self.seconds),
+            tenant_shares: TENANTS.map(|(_, share)| share).to_vec(),
+            table_groups: 40,
+            mean_service_times: [2, 4, 4].map(Duration::from_millis),
         }
     }
 
-    fn play(
+    /// Starts a dispatcher, runs the traffic and measures it.
+    fn run_load(
         &self,
-        world: &Testbed,
+        testbed: &Testbed,
         workers: usize,
         rate: f64,
         engine_cores: u32,
         traffic: &Traffic,
     ) -> io::Result<Run> {
-        let setting = DispatcherOptions {
+        let options = DispatcherOptions {
             workers,
             shards: self.shards,
-            pin: self.pin,
-            control: false,
-            engines: world.engines.clone(),
+            pin_workers: self.pin_workers,
+            control_socket: false,
+            engines: testbed.engines.clone(),
             engine_cores,
-            firms: TENANTS
+            tenants: TENANTS
                 .map(|(name, share)| (name.to_string(), share))
                 .to_vec(),
         };
-        world.runtime.block_on(async {
-            let program = DispatcherProcess::start(&self.program, &setting).await?;
-            let (before, own) = (
-                program.cpu_time()?,
+        testbed.runtime.block_on(async {
+            let dispatcher = DispatcherProcess::start(&self.dispatcher_path, &options).await?;
+            let (dispatcher_before, own_before) = (
+                dispatcher.cpu_time()?,
                 dispatcher_process::process_cpu_time("self")?,
             );
-            let play = LoadOptions {
-                address: program.address,
-                firms: TENANTS.map(|(name, _)| name.to_string()).to_vec(),
-                sessions: 600,
+            let load_options = LoadOptions {
+                address: dispatcher.address,
+                tenants: TENANTS.map(|(name, _)| name.to_string()).to_vec(),
+                sessions_per_tenant: 600,
                 warm_up: WARM_UP,
-                limit: Duration::from_secs(4),
+                time_limit: Duration::from_secs(4),
             };
-            let result = load_generator::generate(traffic.schedule(), play).await?;
-            let cpu = program.cpu_time()? - before;
-            program.stop().await?;
-            let own = dispatcher_process::process_cpu_time("self")? - own;
-            let most = traffic.length.as_secs_f64() * self.load_threads as f64;
+            let result = load_generator::generate(traffic.schedule(), load_options).await?;
+            let cpu_time = dispatcher.cpu_time()? - dispatcher_before;
+            dispatcher.stop().await?;
+            let own_cpu_time = dispatcher_process::process_cpu_time("self")? - own_before;
+            let available_secs = traffic.duration.as_secs_f64() * self.load_threads as f64;
             Ok(Run {
                 result,
-                cpu,
+                cpu_time,
                 rate,
-                load_busy: own.as_secs_f64() / most,
-                doubled_loads: world.seen.take_duplicates(),
+                load_utilization: own_cpu_time.as_secs_f64() / available_secs,
+                duplicate_loads: testbed.load_counts.take_duplicates(),
             })
         })
     }
 
-    /// Three times what the engines' slots allow, from three firms alike: what each gets is its share.
-    fn shares(&self, workers: usize) -> io::Result<Shares> {
-        let world = Testbed::new(self.load_threads, 4)?;
+    /// Measures the shares under overload: the tenants send the same traffic, together three times what the
+    /// engines' slots allow, so that each tenant is limited by its configured share.
+    fn overload_shares(&self, workers: usize) -> io::Result<OverloadShares> {
+        let testbed = Testbed::new(self.load_threads, 4)?;
         let seconds = 12.0;
         let rate = 7000.0;
         let traffic = Traffic {
             seed: self.seed + 1,
             rate,
-            length: Duration::from_secs_f64(seconds),
-            firms: vec![1.0 / 3.0; 3],
-            groups: 40,
-            service: [20, 60, 60].map(Duration::from_millis),
+            duration: Duration::from_secs_f64(seconds),
+            tenant_shares: vec![1.0 / 3.0; 3],
+            table_groups: 40,
+            mean_service_times: [20, 60, 60].map(Duration::from_millis),
         };
-        let run = self.play(&world, workers, rate, 8, &traffic)?;
+        let run = self.run_load(&testbed, workers, rate, 8, &traffic)?;
         let served = &run.result.served;
-        let times = served.iter().zip(CLASSES).zip(traffic.service);
-        let times = times.map(|((counts, (_, _, threads)), service)| {
-            let each = f64::from(threads) * service.as_secs_f64();
+        let thread_times = served.iter().zip(CLASSES).zip(traffic.mean_service_times);
+        let thread_times = thread_times.map(|((counts, (_, _, threads)), service_time)| {
+            let per_request = f64::from(threads) * service_time.as_secs_f64();
             counts
                 .iter()
-                .map(|count| *count as f64 * each)
+                .map(|count| *count as f64 * per_request)
                 .collect::<Vec<f64>>()
         });
-        let times: Vec<Vec<f64>> = times.collect();
-        let sum: f64 = times.iter().flatten().sum();
-        let points = |time: f64| 100.0 * time / sum.max(f64::MIN_POSITIVE);
-        let firm = |firm: usize| points(times.iter().map(|class| class[firm]).sum());
-        Ok(Shares {
-            asked_per_s: rate,
+        let thread_times: Vec<Vec<f64>> = thread_times.collect();
+        let total: f64 = thread_times.iter().flatten().sum();
+        let points = |time: f64| 100.0 * time / total.max(f64::MIN_POSITIVE);
+        let tenant_share =
+            |tenant: usize| points(thread_times.iter().map(|class| class[tenant]).sum());
+        Ok(OverloadShares {
+            offered_per_s: rate,
             served_per_s: run.result.served_total() as f64 / (seconds - WARM_UP.as_secs_f64()),
             refused: run.result.refused,
             failed: run.result.failed,
-            by_class: times
+            class_shares: thread_times
                 .iter()
                 .map(|class| points(class.iter().sum()))
                 .collect(),
-            by_firm: (0..TENANTS.len()).map(firm).collect(),
+            tenant_shares: (0..TENANTS.len()).map(tenant_share).collect(),
             class_error: 0.0,
-            firm_error: 0.0,
+            tenant_error: 0.0,
         })
     }
 }
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts gateways for the simulator: reads a batch of events per line from standard input and writes the actions as one
-//! line to standard output.
+//! Hosts gateways for the simulator: reads a batch of events per line from standard input and writes the
+//! actions as one line to standard output.
 
 mod wire;
 
@@ -11,8 +11,8 @@
 use std::process::ExitCode;
 use wire::{AnnounceKind, Batch, EngineRow, Message, Reply};
 
-/// One simulated gateway process: the gateway, the names in its configuration, and the events of the current batch that it
-/// has not handled yet.
+/// One simulated gateway process: the gateway, the names in its configuration, and the events of the current
+/// batch that it has not handled yet.
 struct Instance {
     gateway: Gateway,
     names: Names,
--- a/virtual/src/actions.rs
+++ b/virtual/src/actions.rs
@@ -1,4 +1,5 @@
-//! Performs the actions of gateways (attempts, cancellations, probes, final answers) and checks them against the rules.
+//! Performs the actions of gateways (attempts, cancellations, probes, final answers) and checks them against
+//! the rules.
 
 use crate::engine_model::RunningQuery;
 use crate::events::ScheduledEvent;
--- a/virtual/src/clients.rs
+++ b/virtual/src/clients.rs
@@ -7,8 +7,8 @@
 use rand_distr::{Distribution, LogNormal, Poisson};
 use sedgebeam_core::{ClassId, Event, Micros, Query, RequestId, TableGroupId, TenantId};
 
-/// Standard deviations of the logarithms of a query's work and memory about the means of its class, and of its estimated
-/// work about its actual work.
+/// Standard deviations of the logarithms of a query's work and memory about the means of its class, and of its
+/// estimated work about its actual work.
 const WORK_LOG_SIGMA: f64 = 0.5;
 const ESTIMATE_LOG_SIGMA: f64 = 0.3;
 /// In each run of `BUSY_GATEWAY_PERIOD` gateways, the one at this offset gets `BUSY_GATEWAY_WEIGHT` times the traffic
@@ -70,7 +70,8 @@
         }
     }
 
-    /// The preferred gateway or, if it is down, the next one that is up: clients are routed around gateways that are down.
+    /// The preferred gateway or, if it is down, the next one that is up: clients are routed around gateways
+    /// that are down.
     fn first_available_gateway(&self, preferred: usize) -> Option<usize> {
         let mut candidates = (preferred..self.gateways.len()).chain(0..preferred);
         candidates.find(|gateway| self.gateways[*gateway].up)
--- a/virtual/src/deployment.rs
+++ b/virtual/src/deployment.rs
@@ -45,8 +45,8 @@
 }
 
 impl Deployment {
-    /// A light, a heavy and a non-repeatable class, three tenants and three zones, on engines that slow down when memory is
-    /// overcommitted.
+    /// A light, a heavy and a non-repeatable class, three tenants and three zones, on engines that slow down
+    /// when memory is overcommitted.
     pub fn standard(gateways: u32, engines: u64) -> Deployment {
         let load = Class {
             effect: Effect::Once,
--- a/virtual/src/engine_model.rs
+++ b/virtual/src/engine_model.rs
@@ -1,5 +1,6 @@
-//! A model of one engine, not fitted to a real one. Queries share the cores by priority, and excess threads or memory slow
-//! all of them down. A started engine warms up, and a cold engine that gets far more work than it can handle crashes.
+//! A model of one engine, not fitted to a real one. Queries share the cores by priority, and excess threads or
+//! memory slow all of them down. A started engine warms up, and a cold engine that gets far more work than it
+//! can handle crashes.
 
 mod arrivals;
 #[cfg(test)]
@@ -23,8 +24,9 @@
 const PAGING_COST: f64 = 6.0;
 /// Weights by which cores are shared, indexed by priority.
 const PRIORITY_WEIGHTS: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
-/// If the settings allow a cold engine N queries of mean work in a window, the engine tolerates `TOLERATED_ROOTS` times the
-/// square root of N plus `TOLERATED_QUERIES` more, because random arrivals fluctuate.
+/// If the settings allow a cold engine N queries of mean work in a window, the engine tolerates
+/// `TOLERATED_ROOTS` times the square root of N plus `TOLERATED_QUERIES` more, because random arrivals
+/// fluctuate.
 const TOLERATED_ROOTS: f64 = 2.0;
 const TOLERATED_QUERIES: f64 = 2.0;
 /// Time for which a crashed engine is down.
@@ -215,8 +217,8 @@
         holders.map(|query| query.group).collect()
     }
 
-    /// Runs the queries for the elapsed time and returns the reports at its end. A load blocks the queries of its table group
-    /// that wait for loads.
+    /// Runs the queries for the elapsed time and returns the reports at its end. A load blocks the queries of
+    /// its table group that wait for loads.
     pub fn advance(
         &mut self,
         now: Micros,
--- a/virtual/src/engine_model/tests.rs
+++ b/virtual/src/engine_model/tests.rs
@@ -88,8 +88,8 @@
     let mut engine = engine(ms(10_000));
     assert!((engine.warm_share(ms(10_000), &settings) - 0.3).abs() < 1e-9);
     assert!((engine.warm_share(ms(30_000), &settings) - 1.0).abs() < 1e-9);
-    // 0.3 of 12 cores times the overload multiple of 4 is 3.6 queries of 4 core seconds; 3.8 (two roots of 3.6) and 2 more
-    // are tolerated.
+    // 0.3 of 12 cores times the overload multiple of 4 is 3.6 queries of 4 core seconds; 3.8 (two roots of 3.6)
+    // and 2 more are tolerated.
     for id in 0..9 {
         engine.start(ms(10_000), RequestId(id), query(4.0, 1.0, 1), true);
     }
--- a/virtual/src/engines.rs
+++ b/virtual/src/engines.rs
@@ -9,8 +9,8 @@
     RequestId, ZoneId, splitmix64,
 };
 
-/// The overload of a cold engine violates a rule if more than this share of the recent work came from gateways that knew
-/// of the engine's latest start.
+/// The overload of a cold engine violates a rule if more than this share of the recent work came from gateways
+/// that knew of the engine's latest start.
 const MAX_INFORMED_SHARE: f64 = 2.0 / 3.0;
 /// The on-time limit of a class is extended by this many times the execution time of the request on an otherwise idle
 /// engine.
--- a/virtual/src/fault_injection.rs
+++ b/virtual/src/fault_injection.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// A share of the engines that accept new work, the oldest first, so that a replacement does not hit the engines that
-    /// were just started.
+    /// A share of the engines that accept new work, the oldest first, so that a replacement does not hit the
+    /// engines that were just started.
     fn oldest_engines(&self, share: f64) -> Vec<EngineId> {
         let engines = self.engines.values();
         let mut serving: Vec<_> = engines
--- a/virtual/src/faults.rs
+++ b/virtual/src/faults.rs
@@ -3,8 +3,8 @@
 use crate::engine_model::Impairment;
 use sedgebeam_core::{Micros, ZoneId};
 
-/// A fault or another change in the fleet. Shares are fractions of all gateways or engines. The affected ones are selected
-/// by age or number; only broken connections are chosen at random.
+/// A fault or another change in the fleet. Shares are fractions of all gateways or engines. The affected ones
+/// are selected by age or number; only broken connections are chosen at random.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Engines drain and are removed some seconds later; the same number of new engines start.
@@ -17,7 +17,8 @@
     ZoneOutage { zone: ZoneId, duration: Micros },
     /// A zone is cut off from the others, and its gateways receive no changes of the engine list.
     ZonePartition { zone: ZoneId, duration: Micros },
-    /// The gateways in a range of shares stop at the same time and restart after the downtime, knowing only the engine list.
+    /// The gateways in a range of shares stop at the same time and restart after the downtime, knowing only the
+    /// engine list.
     RestartGateways {
         from_share: f64,
         to_share: f64,
--- a/virtual/src/gateways.rs
+++ b/virtual/src/gateways.rs
@@ -25,7 +25,8 @@
     /// Events to handle in the next step.
     pub inbox: Vec<Event>,
     timers: BTreeSet<Micros>,
-    /// The next list change arrives no earlier than this: changes arrive in order, and none arrives during a partition.
+    /// The next list change arrives no earlier than this: changes arrive in order, and none arrives during a
+    /// partition.
     pub earliest_list_arrival: Micros,
     /// Engines that were announced as draining or removed, with the time of the announcement.
     withdrawn_at: BTreeMap<EngineId, Micros>,
--- a/virtual/src/lib.rs
+++ b/virtual/src/lib.rs
@@ -1,9 +1,10 @@
 //! Simulates a fleet in virtual time: many gateways that share the same engines.
 //!
-//! Behaviour that is harmless in one gateway can be harmful when hundreds of gateways do it, and one machine cannot run
-//! that many dispatchers. The gateways are the product's own code; engines (shared cores, paging, warm-up), delayed
-//! engine lists, open-loop clients and scripted faults are models. Every run is checked against the [`Rule`]s; a
-//! [`FaultyGateway`] for each rule shows that the check detects a violation. A seed determines the whole run.
+//! Behaviour that is harmless in one gateway can be harmful when hundreds of gateways do it, and one machine
+//! cannot run that many dispatchers. The gateways are the product's own code; engines (shared cores, paging,
+//! warm-up), delayed engine lists, open-loop clients and scripted faults are models. Every run is checked
+//! against the [`Rule`]s; a [`FaultyGateway`] for each rule shows that the check detects a violation. A seed
+//! determines the whole run.
 
 mod actions;
 mod clients;
--- a/virtual/src/rules.rs
+++ b/virtual/src/rules.rs
@@ -12,10 +12,11 @@
     AnswerInTime,
     /// A request has at most one attempt in flight.
     SingleAttemptInFlight,
-    /// A request that may have run is retried, or refused (which tells the client that a retry is safe), only if its class
-    /// allows it.
+    /// A request that may have run is retried, or refused (which tells the client that a retry is safe), only
+    /// if its class allows it.
     NoUnsafeRetry,
-    /// No attempt is sent to a draining or removed engine once the grace period after the gateway's notification is over.
+    /// No attempt is sent to a draining or removed engine once the grace period after the gateway's
+    /// notification is over.
     NoSendAfterDrain,
     /// A cold engine is not overloaded by gateways that know of its latest start.
     NoColdOverload,
--- a/virtual/src/simulation.rs
+++ b/virtual/src/simulation.rs
@@ -1,7 +1,7 @@
 //! The simulation loop: gateways, engines, clients and faults on one clock that advances in steps.
 //!
-//! Other modules extend [`Simulation`], one for each concern: `clients` (arrivals), `gateways` (event delivery), `actions`
-//! (what gateways do), `engines` (execution of queries) and `fault_injection`.
+//! Other modules extend [`Simulation`], one for each concern: `clients` (arrivals), `gateways` (event
+//! delivery), `actions` (what gateways do), `engines` (execution of queries) and `fault_injection`.
 
 use crate::clients::Traffic;
 use crate::deployment::Deployment;
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Advances the clock without new traffic until all requests are closed, or until the longest time limit of a class has
-    /// passed.
+    /// Advances the clock without new traffic until all requests are closed, or until the longest time limit of
+    /// a class has passed.
     pub fn finish(&mut self) {
         let classes = self.deployment.settings.classes.iter();
         let longest_limit = classes.map(|class| class.give_up).max();
--- a/virtual/tests/scenarios.rs
+++ b/virtual/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Simulations of whole fleets: scenarios at several sizes and deployments, checked against all rules, and a faulty gateway
-//! for each rule.
+//! Simulations of whole fleets: scenarios at several sizes and deployments, checked against all rules, and a
+//! faulty gateway for each rule.
 
 use sedgebeam_core::{Gateway, LoadReportMode, Micros, Settings};
 use sedgebeam_virtual::*;
@@ -71,9 +71,10 @@
     }
 }
 
-/// The slow start of a cold engine limits the sum of all gateways. Small fleets count their attempts, large ones use
-/// admission tokens, and the sizes include the border between the two. The limit holds while gateways restart or are killed,
-/// while almost all engines are new, and when reloaded settings name fewer gateways than before.
+/// The slow start of a cold engine limits the sum of all gateways. Small fleets count their attempts, large
+/// ones use admission tokens, and the sizes include the border between the two. The limit holds while gateways
+/// restart or are killed, while almost all engines are new, and when reloaded settings name fewer gateways than
+/// before.
 #[test]
 fn no_cold_engine_crashes_at_any_number_of_gateways() {
     let sizes = [
@@ -230,7 +231,8 @@
     }
 }
 
-/// Each gateway behaves as if it were the only one and cold engines had full capacity; only their sum violates the rule.
+/// Each gateway behaves as if it were the only one and cold engines had full capacity; only their sum violates
+/// the rule.
 #[test]
 fn gateways_that_assume_a_whole_engine_are_detected() {
     let as_only_gateway = |settings| Settings {
