--- a/simhost/tests/round_trip.rs
+++ b/simhost/tests/round_trip.rs
@@ -39,6 +39,7 @@
         .collect()
 }
 
+/// A message that starts an instance.
 fn spawn(i: u64) -> Value {
     let facts = json!({
         "balancers": 1, "kinds": ["big"], "zones": ["a"], "zone": "a", "registry_mode": "subscribe",
@@ -54,15 +55,18 @@
     json!({"cmd": "spawn", "i": i, "rng_seed": 5, "facts": facts})
 }
 
-fn ledger(buffer: u64, executor: u64) -> Value {
+/// A message that sets the list of a buffer to one engine.
+fn engine_list(buffer: u64, executor: u64) -> Value {
     json!({"cmd": "ledger", "buffer": buffer, "rows_in":
         [{"executor": executor, "az": "a", "type": "big", "bay": 0, "status": "U", "share": 1}]})
 }
 
+/// A message that delivers the list of a buffer to an instance.
 fn announce(i: u64, buffer: u64) -> Value {
     json!({"cmd": "announce", "i": i, "kind": "Complete", "gen": 1, "buffer": buffer})
 }
 
+/// A message with a request for an instance.
 fn work_item(i: u64, req: &str, band: &str) -> Value {
     json!({"cmd": "work_item", "i": i, "req": req, "band": band, "account": "t", "remaining": 9000.0,
         "estimate": 12.0, "need_mb": 100, "tables": 3, "opts": 1})
@@ -80,6 +84,7 @@
     orders.iter().map(command).collect()
 }
 
+/// The first order of a reply with this command.
 fn order<'a>(reply: &'a Value, cmd: &str) -> &'a Value {
     let orders = reply["orders"].as_array().expect("orders");
     orders
@@ -103,7 +108,7 @@
 fn a_request_is_sent_with_its_resources_and_its_unaltered_id() {
     let batch_replies = replies(&[json!([
         spawn(3),
-        ledger(0, 77),
+        engine_list(0, 77),
         announce(3, 0),
         work_item(3, REQUEST_A, "look-up")
     ])]);
@@ -132,7 +137,12 @@
     for (need_mb, granted) in cases {
         let mut request = work_item(3, REQUEST_A, "look-up");
         request["need_mb"] = json!(need_mb);
-        let batch_replies = replies(&[json!([spawn(3), ledger(0, 77), announce(3, 0), request])]);
+        let batch_replies = replies(&[json!([
+            spawn(3),
+            engine_list(0, 77),
+            announce(3, 0),
+            request
+        ])]);
         let resources = order(&batch_replies[0], "limits_for");
         assert_eq!(resources["mem_mb"], json!(granted), "{need_mb}");
     }
@@ -147,7 +157,7 @@
     let batch_replies = replies(&[
         json!([
             spawn(3),
-            ledger(0, 77),
+            engine_list(0, 77),
             announce(3, 0),
             work_item(3, REQUEST_A, "look-up"),
             work_item(3, REQUEST_B, "load")
@@ -188,9 +198,9 @@
     let batch_replies = replies(&[json!([
         spawn(1),
         spawn(2),
-        ledger(0, 77),
+        engine_list(0, 77),
         announce(1, 0),
-        ledger(0, 88),
+        engine_list(0, 88),
         announce(2, 0),
         work_item(1, REQUEST_A, "look-up"),
         work_item(2, REQUEST_A, "look-up")
@@ -207,7 +217,7 @@
 #[test]
 fn a_restart_within_a_batch_discards_the_old_state() {
     let batch_replies = replies(&[
-        json!([spawn(1), ledger(0, 77), announce(1, 0)]),
+        json!([spawn(1), engine_list(0, 77), announce(1, 0)]),
         json!([work_item(1, REQUEST_A, "look-up"), {"cmd": "down", "i": 1}, spawn(1), work_item(1, REQUEST_B, "look-up")]),
     ]);
     assert!(
