--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -30,10 +30,10 @@
 impl Host {
     fn reply(&mut self, line: &str) -> Result<String, String> {
         let batch = Batch::decode(line)?;
- let (now, mut reply) = (millis_to_micros(batch.time_ms), Reply::new(batch.number));
-for message in batch.messages {
-self.handle_message(message)
-.map_err(|error| format!("batch {}: {error}", batch.number))?;
+        let (now, mut reply) = (millis_to_micros(batch.time_ms), Reply::new(batch.number));
+        for message in batch.messages {
+            self.handle_message(message)
+                .map_err(|error| format!("batch {}: {error}", batch.number))?;
         }
         for (id, instance) in &mut self.instances {
             if !instance.pending.is_empty() {
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -72,10 +72,10 @@
 }
 
 pub enum Message {
- Start {
-instance: u64,
-seed: u64,
-facts: Box<GatewaySettings>,
+    Start {
+        instance: u64,
+        seed: u64,
+        facts: Box<GatewaySettings>,
     },
     EngineList {
         buffer: u64,
@@ -300,8 +300,8 @@
 
 fn load_report(values: Option<BTreeMap<String, f64>>) -> Option<LoadReport> {
     let values = values?;
- let entries = values.iter().map(|(name, value)| (name.as_str(), *value));
-Some(sedgebeam_settings::load_report(entries))
+    let entries = values.iter().map(|(name, value)| (name.as_str(), *value));
+    Some(sedgebeam_settings::load_report(entries))
 }
 
 /// Converts an announced engine list to an event.
@@ -316,7 +316,7 @@
             "L" => EngineState::Draining,
             _ => EngineState::Gone,
         },
- started_at: millis_to_micros(row.started_at_ms),
+        started_at: millis_to_micros(row.started_at_ms),
     });
     let kind = match kind {
         AnnounceKind::Partial => ListKind::Changes,
@@ -334,14 +334,14 @@
     fn query(self, names: &Names) -> Result<Query, String> {
         let class = names.class(&self.class);
         Ok(Query {
- id: request_id(&self.request_id)?,
-class: class.ok_or_else(|| format!("unknown class {:?}", self.class))?,
-tenant: self.tenant.and_then(|tenant| names.tenant(&tenant)),
-key: self.key.as_deref().map(Key::from_name),
-remaining: millis_to_micros(self.remaining_ms),
-work: match self.options & HAS_ESTIMATE {
+            id: request_id(&self.request_id)?,
+            class: class.ok_or_else(|| format!("unknown class {:?}", self.class))?,
+            tenant: self.tenant.and_then(|tenant| names.tenant(&tenant)),
+            key: self.key.as_deref().map(Key::from_name),
+            remaining: millis_to_micros(self.remaining_ms),
+            work: match self.options & HAS_ESTIMATE {
                 0 => Micros(0),
- _ => millis_to_micros(self.estimated_work_ms),
+                _ => millis_to_micros(self.estimated_work_ms),
             },
             memory_mb: self.memory_mb,
             table_group: TableGroupId(self.table_group),
@@ -355,14 +355,14 @@
         let outcome = outcome(&self.outcome)?;
         let has_cost = outcome == Outcome::Ok && self.cost > 0;
         Ok(AttemptEnded {
- request: request_id(&self.request_id)?,
-attempt: AttemptNo(self.attempt),
-engine: EngineId(self.engine),
-outcome,
-elapsed: millis_to_micros(self.elapsed_ms),
-request_finished: self.request_finished,
-work: has_cost.then_some(Micros::from_millis(self.cost / 4096)),
-load_report: self.load_report,
+            request: request_id(&self.request_id)?,
+            attempt: AttemptNo(self.attempt),
+            engine: EngineId(self.engine),
+            outcome,
+            elapsed: millis_to_micros(self.elapsed_ms),
+            request_finished: self.request_finished,
+            work: has_cost.then_some(Micros::from_millis(self.cost / 4096)),
+            load_report: self.load_report,
         })
     }
 }
@@ -390,13 +390,13 @@
         EventMessage::Started(request, attempt) => {
             Event::Started(request_id(&request)?, AttemptNo(attempt))
         }
- EventMessage::Probed(text, engine, load_report) => {
-Event::Probed(EngineId(engine), outcome(&text)?, load_report)
-}
-EventMessage::ClientLeft(request) => Event::ClientLeft(request_id(&request)?),
-EventMessage::Ended(message) => {
-let mut ended = message.attempt_ended()?;
-ended.work = ended.work.filter(|_| names.reports_cost);
+        EventMessage::Probed(text, engine, load_report) => {
+            Event::Probed(EngineId(engine), outcome(&text)?, load_report)
+        }
+        EventMessage::ClientLeft(request) => Event::ClientLeft(request_id(&request)?),
+        EventMessage::Ended(message) => {
+            let mut ended = message.attempt_ended()?;
+            ended.work = ended.work.filter(|_| names.reports_cost);
             Event::Ended(ended)
         }
     }))
