--- a/dispatcher/src/descriptors.rs
+++ b/dispatcher/src/descriptors.rs
@@ -1,69 +1,78 @@
-//! What the descriptors of the process are for, stated in one place: whatever fills one part, the others keep theirs.
+//! Divides the file descriptors that the process may hold among its uses, so that exhausting one use leaves the others
+//! their share.
 
-/// Connections of Flight SQL clients at once, at the most.
-const MOST_FLIGHT: usize = 96;
-/// Callers at the door, and connections that are closed without a place: for each so many descriptors one, within bounds.
-const FOR_A_CALLER: usize = 32;
-const CALLERS: (usize, usize) = (16, 32);
-const FOR_A_FAREWELL: usize = 16;
-const FAREWELLS: (usize, usize) = (4, 16);
-/// The process itself: standard streams, listeners, signals, the pollers and wakers of two threads, the change log's
-/// connection with the one that takes its place, a file that is read and one that is written, and one just accepted.
-const OWN: usize = 24;
-/// The poller and the waker of each further worker, and what it shares of signals.
-const OF_A_WORKER: usize = 3;
-/// Administration clients at once, where there are any; more wait to be accepted.
+/// Connections of Flight SQL clients.
+const MAX_FLIGHT_CONNECTIONS: usize = 96;
+/// Callers of the control socket: one for each 32 descriptors, within these bounds.
+const DESCRIPTORS_PER_CONTROL_CALLER: usize = 32;
+const CONTROL_CALLER_BOUNDS: (usize, usize) = (16, 32);
+/// Rejected connections in their lingering close: one for each 16 descriptors, within these bounds.
+const DESCRIPTORS_PER_LINGERING_CLOSE: usize = 16;
+const LINGERING_CLOSE_BOUNDS: (usize, usize) = (4, 16);
+/// Descriptors of the process itself: standard streams, listeners, signals, the pollers and wakers of two threads, the
+/// connection to the change log and the one that replaces it, a file being read, one being written, and a connection that
+/// was just accepted.
+const PROCESS_DESCRIPTORS: usize = 24;
+/// The poller and the waker of each further worker, and its descriptor for signals.
+const DESCRIPTORS_PER_WORKER: usize = 3;
+/// Concurrent connections to the administration API where it is enabled; further ones wait in the accept queue.
 pub const MAX_ADMIN_CLIENTS: usize = 8;
-/// Clients take so much of what is left, and connections to engines the rest: the platform's clients hold a third of all, and
-/// hundreds of engines want a connection each.
-const CLIENTS_PART: f64 = 0.5;
+/// The share of the remaining descriptors for clients; connections to engines get the rest. The platform's clients hold a
+/// third of all descriptors, and hundreds of engines need a connection each.
+const CLIENT_SHARE: f64 = 0.5;
 
-/// The most that each part holds.
+/// The descriptors that each use may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Sessions of the PostgreSQL protocol.
+    /// Sessions of PostgreSQL clients.
     pub sessions: usize,
     /// Connections of Flight SQL clients.
     pub flight: usize,
     /// Connections to engines.
     pub engines: usize,
-    /// Callers at the door.
+    /// Callers of the control socket.
     pub control_callers: usize,
-    /// Connections that are closed without a place.
+    /// Rejected connections in their lingering close.
     pub lingering_closes: usize,
-    /// All else.
+    /// The process itself, further workers and the administration API.
     pub reserved: usize,
 }
 
 impl DescriptorBudget {
-    /// Of so many, with these parts of the program in use; none where they are too few.
+    /// Divides `max_descriptors` for the features in use; `None` if they are too few for any session or engine.
     pub fn divide(
-        sockets: usize,
+        max_descriptors: usize,
         workers: usize,
-        flight: bool,
-        admin: bool,
+        has_flight: bool,
+        has_admin: bool,
     ) -> Option<DescriptorBudget> {
-        let control_callers = (sockets / FOR_A_CALLER).clamp(CALLERS.0, CALLERS.1);
-        let lingering_closes = (sockets / FOR_A_FAREWELL).clamp(FAREWELLS.0, FAREWELLS.1);
-        let administrators = if admin { MAX_ADMIN_CLIENTS } else { 0 };
-        let reserved = OWN + OF_A_WORKER * (workers - 1) + administrators;
-        let left = sockets.checked_sub(control_callers + lingering_closes + reserved)?;
-        let clients = (left as f64 * CLIENTS_PART) as usize;
-        let flight = if flight {
-            (clients / 2).min(MOST_FLIGHT)
+        let control_callers = (max_descriptors / DESCRIPTORS_PER_CONTROL_CALLER)
+            .clamp(CONTROL_CALLER_BOUNDS.0, CONTROL_CALLER_BOUNDS.1);
+        let lingering_closes = (max_descriptors / DESCRIPTORS_PER_LINGERING_CLOSE)
+            .clamp(LINGERING_CLOSE_BOUNDS.0, LINGERING_CLOSE_BOUNDS.1);
+        let admin_clients = if has_admin { MAX_ADMIN_CLIENTS } else { 0 };
+        let reserved = PROCESS_DESCRIPTORS + DESCRIPTORS_PER_WORKER * (workers - 1) + admin_clients;
+        let remaining =
+            max_descriptors.checked_sub(control_callers + lingering_closes + reserved)?;
+        let clients = (remaining as f64 * CLIENT_SHARE) as usize;
+        let flight = if has_flight {
+            (clients / 2).min(MAX_FLIGHT_CONNECTIONS)
         } else {
             0
         };
-        let descriptors = DescriptorBudget {
+        let budget = DescriptorBudget {
             sessions: clients - flight,
             flight,
-            engines: left - clients,
+            engines: remaining - clients,
             control_callers,
             lingering_closes,
             reserved,
         };
-        assert!(descriptors.sum() <= sockets, "{descriptors:?} of {sockets}");
-        (descriptors.sessions > 0 && descriptors.engines > 0).then_some(descriptors)
+        assert!(
+            budget.sum() <= max_descriptors,
+            "{budget:?} of {max_descriptors}"
+        );
+        (budget.sessions > 0 && budget.engines > 0).then_some(budget)
     }
 
     fn sum(&self) -> usize {
--- a/dispatcher/src/drain_manager.rs
+++ b/dispatcher/src/drain_manager.rs
@@ -1,4 +1,4 @@
-//! The drain's state where all parts of the program see it: changed by calls and signals, and by time.
+//! The drain state shared by the whole process: operators' calls, signals and timers change it.
 
 use sedgebeam_fronts::connection_drain::DrainWatcher;
 use sedgebeam_operation::{Drain, Orders};
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// Handles on one state.
+/// A handle to the shared drain state; clones share it.
 #[derive(Clone)]
 pub struct DrainManager {
     shared: Arc<Shared>,
@@ -15,66 +15,66 @@
 
 struct Shared {
     drain: Mutex<Drain>,
-    orders: watch::Sender<Orders>,
-    began: Instant,
+    state: watch::Sender<Orders>,
+    started_at: Instant,
 }
 
 impl DrainManager {
-    /// `is_socket_inherited` where the platform holds the clients' socket.
+    /// `is_socket_inherited` is true where the platform holds the clients' listening socket.
     pub fn new(is_socket_inherited: bool) -> DrainManager {
         let drain = Drain::new(is_socket_inherited);
-        let (orders, _) = watch::channel(drain.orders(Duration::ZERO));
+        let (state, _) = watch::channel(drain.orders(Duration::ZERO));
         let shared = Shared {
             drain: Mutex::new(drain),
-            orders,
-            began: Instant::now(),
+            state,
+            started_at: Instant::now(),
         };
         DrainManager {
             shared: Arc::new(shared),
         }
     }
 
-    /// Changes the state, and tells those who wait for other orders.
+    /// Applies a change to the drain and notifies the subscribers if the state differs afterwards.
     pub fn update<T>(&self, change: impl FnOnce(&mut Drain, Duration) -> T) -> T {
-        // Nothing panics while it is held; what it holds would be whole all the same.
+        // No code panics while it holds this lock, and each change leaves the drain consistent, so a poisoned lock is usable.
         let mut drain = self
             .shared
             .drain
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let now = self.shared.began.elapsed();
-        let told = change(&mut drain, now);
-        let orders = drain.orders(now);
-        // Under the lock, so that no older orders come behind newer ones.
+        let now = self.shared.started_at.elapsed();
+        let result = change(&mut drain, now);
+        let state = drain.orders(now);
+        // Sent under the lock, so that subscribers never see an older state after a newer one.
         self.shared
-            .orders
-            .send_if_modified(|known| std::mem::replace(known, orders) != orders);
-        told
+            .state
+            .send_if_modified(|published| std::mem::replace(published, state) != state);
+        result
     }
 
-    /// What holds now, whether or not the time for it has been told yet.
+    /// The state at this moment, which may be ahead of the one that subscribers have seen.
     pub fn state(&self) -> Orders {
         self.update(|drain, now| drain.orders(now))
     }
 
     pub fn subscribe(&self) -> watch::Receiver<Orders> {
-        self.shared.orders.subscribe()
+        self.shared.state.subscribe()
     }
 
     pub fn drain_watcher(&self) -> DrainWatcher {
-        DrainWatcher::new(self.subscribe(), self.shared.began)
+        DrainWatcher::new(self.subscribe(), self.shared.started_at)
     }
 
-    /// Tells of what changes with time, for ever.
+    /// Publishes the changes that are due to time alone; never returns.
     pub async fn run_timer(self) {
-        let mut orders = self.subscribe();
+        let mut state = self.subscribe();
         loop {
-            let next = self.update(|drain, now| drain.next_change(now));
-            let at = next.map(|next| self.shared.began + next);
+            let next_change = self.update(|drain, now| drain.next_change(now));
+            let wake_at = next_change.map(|offset| self.shared.started_at + offset);
             tokio::select! {
-                // This holds a sender: the channel stays open.
-                _ = orders.changed() => {}
-                () = sleep_until(at.unwrap_or(self.shared.began)), if at.is_some() => {}
+                // Never fails: `self` holds the sender.
+                _ = state.changed() => {}
+                () = sleep_until(wake_at.unwrap_or(self.shared.started_at)), if wake_at.is_some() => {}
             }
         }
     }
--- a/dispatcher/src/inherited_listener.rs
+++ b/dispatcher/src/inherited_listener.rs
@@ -1,16 +1,16 @@
-//! The clients' socket where the platform holds it and every process inherits it.
+//! The clients' listening socket when the platform holds it and each process of the dispatcher inherits it.
 
 use filedescriptor::FileDescriptor;
 use std::io;
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
 
-/// A listener on the socket behind an inherited descriptor. It is a copy: the platform's own stays open, and
-/// with it what waits to be accepted.
+/// Opens a listener on a duplicate of an inherited descriptor. The inherited descriptor stays open, so the connections in
+/// the socket's accept queue survive when this process closes the listener.
 pub fn open(descriptor: i32) -> io::Result<TcpListener> {
-    let copied = FileDescriptor::dup(&descriptor).and_then(|copy| copy.as_file());
-    let listener = TcpListener::from(OwnedFd::from(copied.map_err(io::Error::other)?));
-    // What is no socket shows here, and not at the first client.
+    let duplicate = FileDescriptor::dup(&descriptor).and_then(|duplicate| duplicate.as_file());
+    let listener = TcpListener::from(OwnedFd::from(duplicate.map_err(io::Error::other)?));
+    // Fails now, rather than at the first client, if the descriptor is not a socket.
     listener.local_addr()?;
     listener.set_nonblocking(true)?;
     Ok(listener)
--- a/dispatcher/src/lib.rs
+++ b/dispatcher/src/lib.rs
@@ -1,7 +1,7 @@
-//! A dispatcher: clients in front, ledger engines behind, and the decision module between.
+//! The dispatcher: accepts client requests and forwards each to a ledger engine that a gateway chooses.
 //!
-//! This package wires the others up. Each peer has an actor with a bounded mailbox, and so have the
-//! change log and the module, whose actor is the broker.
+//! This crate connects the other crates of the workspace and holds the command line. Each client, each engine, the
+//! change log and each gateway is an actor with a bounded mailbox; the actor that owns a gateway is the broker.
 
 pub mod admin;
 pub mod change_log;
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -10,10 +10,10 @@
 use std::process::ExitCode;
 
 const USAGE: &str = "usage:
-  sedgebeam serve [--config FILE]         serve, as PROXY_CONFIG and the file say
-  sedgebeam check-config [--config FILE]  only check them
-  sedgebeam import-haproxy FILE           print a configuration made from one of HAProxy
-  sedgebeam version";
+  sedgebeam serve [--config FILE]         serve clients, configured by PROXY_CONFIG and FILE
+  sedgebeam check-config [--config FILE]  check that configuration and exit
+  sedgebeam import-haproxy FILE           convert an HAProxy configuration and print the result
+  sedgebeam version                       print the version";
 
 enum Command {
     Serve(Option<PathBuf>),
@@ -25,35 +25,35 @@
 
 fn parse() -> Result<Command, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
-    let (mut words, mut file) = (Vec::new(), None);
+    let (mut positional, mut config_path) = (Vec::new(), None);
     while let Some(argument) = parser.next()? {
         match argument {
             Short('h') | Long("help") => return Ok(Command::Help),
-            Long("config") => file = Some(PathBuf::from(parser.value()?)),
-            Value(word) => words.push(word.string()?),
+            Long("config") => config_path = Some(PathBuf::from(parser.value()?)),
+            Value(argument) => positional.push(argument.string()?),
             other => return Err(other.unexpected()),
         }
     }
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match (&words[..], file) {
-        (["serve"], file) => Ok(Command::Serve(file)),
-        (["check-config"], file) => Ok(Command::CheckConfig(file)),
+    let positional: Vec<&str> = positional.iter().map(String::as_str).collect();
+    match (&positional[..], config_path) {
+        (["serve"], config_path) => Ok(Command::Serve(config_path)),
+        (["check-config"], config_path) => Ok(Command::CheckConfig(config_path)),
         (["import-haproxy", path], None) => Ok(Command::Import(PathBuf::from(path))),
         (["version"], None) => Ok(Command::Version),
-        ([], _) => Err("a command is missing".into()),
-        (words, _) => Err(format!("no command {:?} of this form", words.join(" ")).into()),
+        ([], _) => Err("missing command".into()),
+        (positional, _) => Err(format!("unknown command {:?}", positional.join(" ")).into()),
     }
 }
 
-/// Prints what can be carried over, and to standard error, by line, what can't.
-fn import(path: &Path) -> ExitCode {
+/// Prints the converted configuration to standard output and each unsupported line, with its number, to standard error.
+fn import_haproxy(path: &Path) -> ExitCode {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(error) => return refuse(&format!("{}: {error}", path.display())),
+        Err(error) => return exit_invalid_input(&format!("{}: {error}", path.display())),
     };
     let imported = haproxy_import::import(&text);
-    for (line, why) in &imported.unsupported {
-        eprintln!("line {line}: {why}");
+    for (line, reason) in &imported.unsupported {
+        eprintln!("line {line}: {reason}");
     }
     print!("{}", imported.config_json);
     ExitCode::SUCCESS
@@ -63,13 +63,14 @@
     let filter = env_logger::Env::new().filter_or("SEDGEBEAM_LOG", "info");
     env_logger::Builder::from_env(filter).init();
     match parse() {
-        Ok(Command::Serve(file)) => serve(file),
-        Ok(Command::CheckConfig(file)) => match config::load(&Environment::read(), file.as_deref())
-        {
-            Ok(_) => ExitCode::SUCCESS,
-            Err(wrong) => refuse(&wrong),
-        },
-        Ok(Command::Import(path)) => import(&path),
+        Ok(Command::Serve(config_path)) => serve(config_path),
+        Ok(Command::CheckConfig(config_path)) => {
+            match config::load(&Environment::read(), config_path.as_deref()) {
+                Ok(_) => ExitCode::SUCCESS,
+                Err(error) => exit_invalid_input(&error),
+            }
+        }
+        Ok(Command::Import(path)) => import_haproxy(&path),
         Ok(Command::Help) => {
             println!("{USAGE}");
             ExitCode::SUCCESS
@@ -78,70 +79,71 @@
             println!("sedgebeam {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
-        Err(error) => refuse(&format!("{error}\n{USAGE}")),
+        Err(error) => exit_invalid_input(&format!("{error}\n{USAGE}")),
     }
 }
 
-fn refuse(why: &dyn std::fmt::Display) -> ExitCode {
-    eprintln!("sedgebeam: {why}");
+/// Status 2: the command line or the configuration is invalid.
+fn exit_invalid_input(reason: &dyn std::fmt::Display) -> ExitCode {
+    eprintln!("sedgebeam: {reason}");
     ExitCode::from(2)
 }
 
-fn serve(own: Option<PathBuf>) -> ExitCode {
+fn serve(own_config_path: Option<PathBuf>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     match runtime {
-        Ok(runtime) => runtime.block_on(start(own)),
-        Err(error) => broken(&error),
+        Ok(runtime) => runtime.block_on(start(own_config_path)),
+        Err(error) => exit_failure(&error),
     }
 }
 
-/// Heeds signals first of all, so that none that comes while the configuration is read ends the program.
-async fn start(own: Option<PathBuf>) -> ExitCode {
+/// Registers signal handlers first: a signal that arrives while the configuration is read must not kill the process.
+async fn start(own_config_path: Option<PathBuf>) -> ExitCode {
     let signals = match serve::Signals::register() {
         Ok(signals) => signals,
-        Err(error) => return broken(&error),
+        Err(error) => return exit_failure(&error),
     };
     let environment = Environment::read();
-    let beside = beside(&environment).await;
+    let membership = join_process_group(&environment).await;
     let source = ConfigSource {
         environment,
-        own_config_path: own,
+        own_config_path,
     };
-    let handed = beside
+    let predecessor = membership
         .as_ref()
-        .and_then(|beside| beside.predecessor_message.as_ref());
-    let config = match handed.filter(|handed| !handed.status.config_text.is_empty()) {
-        Some(handed) => source.load_for_upgrade(&handed.status.config_text),
+        .and_then(|membership| membership.predecessor_message.as_ref());
+    let config = match predecessor.filter(|message| !message.status.config_text.is_empty()) {
+        Some(message) => source.load_for_upgrade(&message.status.config_text),
         None => source.load(),
     };
     let config = match config {
         Ok(config) => config,
-        Err(wrong) => return refuse(&wrong),
+        Err(error) => return exit_invalid_input(&error),
     };
-    match serve::run(config, source, signals, beside).await {
+    match serve::run(config, source, signals, membership).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => broken(&error),
+        Err(error) => exit_failure(&error),
     }
 }
 
-/// Where the platform passes the clients' socket there may be another process of this dispatcher, in the folder that
-/// both have for temporary files.
-async fn beside(environment: &Environment) -> Option<GroupMembership> {
+/// Joins the other processes of this dispatcher. There can be others only where the platform passes the clients' listening
+/// socket; they meet in a directory below the one for temporary files.
+async fn join_process_group(environment: &Environment) -> Option<GroupMembership> {
     environment.inherited_socket.as_ref()?;
-    let place = SharedDirectoryPath {
+    let path = SharedDirectoryPath {
         parent: environment.temp_dir.clone()?,
         dispatcher_name: environment.name.clone().unwrap_or_default(),
     };
-    let (member, handed) = GroupMember::join(place).await;
+    let (member, predecessor_message) = GroupMember::join(path).await;
     Some(GroupMembership {
         member,
-        predecessor_message: handed,
+        predecessor_message,
     })
 }
 
-fn broken(error: &std::io::Error) -> ExitCode {
+fn exit_failure(error: &std::io::Error) -> ExitCode {
     eprintln!("sedgebeam: {error}");
     ExitCode::FAILURE
 }
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -1,7 +1,7 @@
-//! Serves: starts the parts of the program, takes clients, and ends in order.
+//! Runs the dispatcher: starts its components, serves clients and shuts down gracefully.
 //!
-//! `startup` brings up what serving needs, `listeners` the fronts, `sessions` and `flight` take the clients of the two
-//! protocols, `limits` divides what two processes of one dispatcher share, and `shutdown` ends it all.
+//! `startup` starts what serving needs, `listeners` opens the fronts, `sessions` and `flight` serve the clients of the two
+//! protocols, `limits` divides limits among the processes of one dispatcher, and `shutdown` ends the process.
 
 mod flight;
 mod limits;
@@ -30,75 +30,76 @@
 use std::sync::Arc;
 use tokio::sync::{Semaphore, mpsc, watch};
 
-/// This process beside others of its dispatcher, and what the one that serves has told.
+/// The membership of this process among those of its dispatcher, and the message of the one that served before it.
 pub struct GroupMembership {
     pub member: GroupMember,
     pub predecessor_message: Option<HandoverMessage>,
 }
 
-/// What the parts of a running program have in common.
+/// The components that a running dispatcher shares.
 struct Program {
     config: Config,
     drain_manager: DrainManager,
     metrics: Figures,
     clock: Clock,
     worker_pool: Arc<WorkerPool>,
-    /// For connections that are closed without a place.
-    farewells: Arc<Semaphore>,
-    /// Hears once the last call is over.
-    end: watch::Sender<bool>,
-    /// Every session holds one; when the last is dropped, all have ended.
-    alive: mpsc::Sender<()>,
+    /// Permits for rejected connections in their lingering close.
+    lingering_closes: Arc<Semaphore>,
+    /// Set once no new requests are taken; the listeners then stop.
+    listeners_stop: watch::Sender<bool>,
+    /// Each session holds a clone; all have ended when the last one is dropped.
+    session_guard: mpsc::Sender<()>,
 }
 
-/// Serves until told to end, and until all that was taken is answered.
+/// Serves until SIGTERM or SIGINT, and then until every accepted request is answered.
 pub async fn run(
     config: Config,
     source: ConfigSource,
     signals: Signals,
-    beside: Option<GroupMembership>,
+    membership: Option<GroupMembership>,
 ) -> io::Result<()> {
     let Signals {
         hangup,
         mut terminate,
         mut interrupt,
     } = signals;
-    let (member, handed) = match beside {
-        Some(beside) => (Some(beside.member), beside.predecessor_message),
+    let (member, predecessor_message) = match membership {
+        Some(membership) => (Some(membership.member), membership.predecessor_message),
         None => (None, None),
     };
-    let (whole, whole_told) = watch::channel(config.connection_limits);
-    let (divided, divided_told) = watch::channel(config.connection_limits);
-    let (alive, all_ended) = mpsc::channel::<()>(1);
-    let program = Program::start(config, divided_told, alive).await?;
-    let seq = program.restore_list(handed).await?;
-    let (changelog, reached) = program.follow_changelog(seq);
-    let file_in_use = program.heed_reloads(source, hangup, changelog, whole);
+    let (dispatcher_limits, dispatcher_limits_receiver) = watch::channel(config.connection_limits);
+    let (process_limits, process_limits_receiver) = watch::channel(config.connection_limits);
+    let (session_guard, sessions_ended) = mpsc::channel::<()>(1);
+    let program = Program::start(config, process_limits_receiver, session_guard).await?;
+    let seq = program.restore_list(predecessor_message).await?;
+    let (change_log_address, position) = program.follow_change_log(seq);
+    let applied_config_text =
+        program.handle_reloads(source, hangup, change_log_address, dispatcher_limits);
     let session_slots = SessionSlots::new(program.config.descriptor_budget.sessions);
-    let (others_told, others) = watch::channel(PeerUsage::NONE);
+    let (peer_usage_sender, peer_usage) = watch::channel(PeerUsage::NONE);
     let limits = SharedLimits {
-        sessions: program.config.descriptor_budget.sessions,
+        max_sessions: program.config.descriptor_budget.sessions,
         session_slots: session_slots.clone(),
-        whole: whole_told,
-        divided,
+        dispatcher_limits: dispatcher_limits_receiver,
+        process_limits,
     };
-    supervise::spawn_critical("limits", limits.divide(others));
+    supervise::spawn_critical("limits", limits.run(peer_usage));
     if let Some(member) = member {
-        let own = ProcessContext {
+        let context = ProcessContext {
             clock: program.clock,
             router: program.worker_pool.router.clone(),
             session_slots: session_slots.clone(),
             drain_state: program.drain_manager.subscribe(),
-            change_log_position: reached.clone(),
-            applied_config_text: file_in_use,
+            change_log_position: position.clone(),
+            applied_config_text,
         };
         supervise::spawn_critical(
             "other processes",
-            peer_process::run(member, own, others_told),
+            peer_process::run(member, context, peer_usage_sender),
         );
     }
     let shutdown = program
-        .take_clients(session_slots, reached, all_ended)
+        .open_fronts(session_slots, position, sessions_ended)
         .await?;
     tokio::select! {
         _ = terminate.recv() => {}
@@ -109,16 +110,17 @@
 }
 
 impl Program {
-    /// Opens all fronts and returns what it takes to end. From then on sessions alone hold the program.
-    async fn take_clients(
+    /// Opens all fronts and returns the handles for the shutdown. It drops this value's session guard, so that from then on
+    /// only sessions hold one.
+    async fn open_fronts(
         self,
         session_slots: SessionSlots,
-        reached: watch::Receiver<ChangeLogPosition>,
-        all_ended: mpsc::Receiver<()>,
+        position: watch::Receiver<ChangeLogPosition>,
+        sessions_ended: mpsc::Receiver<()>,
     ) -> io::Result<Shutdown> {
         self.open_other_fronts().await?;
-        let (accepting, address) = self.accept_sessions(session_slots).await?;
-        self.prepare(reached).await?;
+        let (accept_task, address) = self.accept_sessions(session_slots).await?;
+        self.wait_until_prepared(position).await?;
         log::info!(
             "{} serves PostgreSQL clients on {address}",
             self.config.name
@@ -127,9 +129,9 @@
             longest_deadline: self.longest_deadline(),
             router: self.worker_pool.router.clone(),
             drain_manager: self.drain_manager,
-            end: self.end,
-            accepting,
-            all_ended,
+            listeners_stop: self.listeners_stop,
+            accept_task,
+            sessions_ended,
         })
     }
 }
--- a/dispatcher/src/serve/limits.rs
+++ b/dispatcher/src/serve/limits.rs
@@ -1,42 +1,45 @@
-//! What two processes of one dispatcher share, as during an upgrade: connections to engines and sessions.
+//! Divides the limits on sessions and engine connections among the processes of one dispatcher, as during an upgrade.
 
 use crate::peer_process::PeerUsage;
 use sedgebeam_fronts::session_slots::SessionSlots;
 use sedgebeam_settings::Connections;
 use tokio::sync::watch;
 
-/// A process takes at least one in so many of the sessions of one dispatcher, whatever another has.
-const LEAST_SESSIONS_DIVISOR: usize = 8;
+/// A process may always have one in eight of the dispatcher's sessions, however many its peers have.
+const MIN_SESSION_SHARE_DIVISOR: usize = 8;
 
-/// The limits of one dispatcher, and where this process's share of them is told.
+/// The limits of the dispatcher, and the channel for this process's share of them.
 pub(super) struct SharedLimits {
-    pub sessions: usize,
+    /// Sessions of all processes of the dispatcher.
+    pub max_sessions: usize,
     pub session_slots: SessionSlots,
-    pub whole: watch::Receiver<Connections>,
-    pub divided: watch::Sender<Connections>,
+    /// Limits on engine connections for all processes of the dispatcher.
+    pub dispatcher_limits: watch::Receiver<Connections>,
+    /// This process's share of them.
+    pub process_limits: watch::Sender<Connections>,
 }
 
 impl SharedLimits {
-    /// Divides them whenever they change, or others do; for ever. Connections to engines are divided evenly. What
-    /// sessions the other process has are its own: none of them is closed for being one too many, as a request may
-    /// be on its way to it.
-    pub async fn divide(mut self, mut others: watch::Receiver<PeerUsage>) {
+    /// Divides the limits again whenever they or the peers change; ends when the limits can't change any more. Engine
+    /// connections are divided evenly. Sessions of a peer count against this process's share and are never closed for
+    /// exceeding it, as a request may be on its way to one of them.
+    pub async fn run(mut self, mut peer_usage: watch::Receiver<PeerUsage>) {
         loop {
-            let whole = *self.whole.borrow_and_update();
-            let beside = *others.borrow_and_update();
-            self.divided.send_replace(Connections {
-                most: (whole.most / beside.process_count).max(1),
-                in_all: (whole.in_all / beside.process_count).max(1),
-                ..whole
+            let limits = *self.dispatcher_limits.borrow_and_update();
+            let peers = *peer_usage.borrow_and_update();
+            self.process_limits.send_replace(Connections {
+                most: (limits.most / peers.process_count).max(1),
+                in_all: (limits.in_all / peers.process_count).max(1),
+                ..limits
             });
-            let left = self.sessions.saturating_sub(beside.session_count);
+            let remaining = self.max_sessions.saturating_sub(peers.session_count);
             self.session_slots
-                .set_max_sessions(left.max(self.sessions / LEAST_SESSIONS_DIVISOR));
+                .set_max_sessions(remaining.max(self.max_sessions / MIN_SESSION_SHARE_DIVISOR));
             let changed = tokio::select! {
-                changed = self.whole.changed() => changed,
-                // Where nobody looks for others there are none.
-                changed = others.changed() => match changed {
-                    Err(_) => self.whole.changed().await,
+                changed = self.dispatcher_limits.changed() => changed,
+                // The sender is dropped at once in a process that looks for no peers.
+                changed = peer_usage.changed() => match changed {
+                    Err(_) => self.dispatcher_limits.changed().await,
                     changed => changed,
                 },
             };
--- a/dispatcher/src/serve/listeners.rs
+++ b/dispatcher/src/serve/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of clients and of the administration.
+//! Opens the listeners of the client fronts and of the administration API.
 
 use super::Program;
 use super::flight::serve_flight;
@@ -15,23 +15,24 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// The opening of a listener.
-type Opening = BoxFuture<'static, io::Result<()>>;
+/// Opens one listener and starts serving it.
+type OpenListener = BoxFuture<'static, io::Result<()>>;
 
-/// A listener there. Beside another process of this dispatcher, that one's is waited for.
-async fn bind(address: SocketAddr, wait_for_other: bool) -> io::Result<TcpListener> {
+/// Binds an address. With `wait_for_peer`, waits while a peer process still has it.
+async fn bind(address: SocketAddr, wait_for_peer: bool) -> io::Result<TcpListener> {
     loop {
         match listen(address).await {
-            // It has been tried for a while, with pauses.
-            Err(error) if wait_for_other && error.kind() == io::ErrorKind::AddrInUse => {}
+            // `listen` has retried with pauses before it returned this error.
+            Err(error) if wait_for_peer && error.kind() == io::ErrorKind::AddrInUse => {}
             bound => return bound,
         }
     }
 }
 
 impl Program {
-    /// Serves the fronts and the administration that the dispatcher's own file names. Where the clients' socket is passed
-    /// another process may hold their addresses still: they come up once it lets them go.
+    /// Opens the Flight SQL front and the administration API where the dispatcher's own file names them. If the clients'
+    /// socket is inherited, a peer process may still have these addresses; then they are opened in the background, as
+    /// soon as it releases them.
     pub(super) async fn open_other_fronts(&self) -> io::Result<()> {
         let flight = self
             .config
@@ -41,65 +42,75 @@
             .config
             .admin_listen
             .map(|address| self.open_admin(address));
-        for opening in flight.into_iter().chain(admin) {
-            if !self.may_have_predecessor() {
-                opening.await?;
+        for open_listener in flight.into_iter().chain(admin) {
+            if !self.may_have_peer() {
+                open_listener.await?;
                 continue;
             }
             supervise::spawn_critical("a listener", async move {
-                if let Err(error) = opening.await {
-                    log::error!("a listener: {error}");
+                if let Err(error) = open_listener.await {
+                    log::error!("can't open a listener: {error}");
                 }
             });
         }
         Ok(())
     }
 
-    /// Another process of this dispatcher may still hold addresses of its listeners.
-    fn may_have_predecessor(&self) -> bool {
+    /// Whether a peer process may exist that still has the addresses of the listeners.
+    fn may_have_peer(&self) -> bool {
         self.config.inherited_socket.is_some()
     }
 
-    fn open_flight(&self, address: SocketAddr) -> Opening {
-        let shared = FrontContext {
+    fn open_flight(&self, address: SocketAddr) -> OpenListener {
+        let front_context = FrontContext {
             router: self.worker_pool.router.clone(),
         };
-        let front = flight::Front::new(shared, self.config.seed);
-        let (worker_pool, end, alive) = (
+        let front = flight::Front::new(front_context, self.config.seed);
+        let (worker_pool, stop, session_guard) = (
             self.worker_pool.clone(),
-            self.end.clone(),
-            self.alive.downgrade(),
+            self.listeners_stop.clone(),
+            self.session_guard.downgrade(),
         );
-        let (name, most) = (
+        let (name, max_connections) = (
             self.config.name.clone(),
             self.config.descriptor_budget.flight,
         );
-        let wait_for_other = self.may_have_predecessor();
+        let wait_for_peer = self.may_have_peer();
         Box::pin(async move {
-            let listener = bind(address, wait_for_other).await?;
+            let listener = bind(address, wait_for_peer).await?;
             let address = listener.local_addr()?;
             log::info!("{name} serves Flight SQL clients on {address}");
-            // Without a session left the program is ending.
-            if let Some(alive) = alive.upgrade() {
-                serve_flight(listener, &worker_pool, &front, &end, &alive, most);
+            // Fails once all sessions have ended, as then the process is ending.
+            if let Some(session_guard) = session_guard.upgrade() {
+                serve_flight(
+                    listener,
+                    &worker_pool,
+                    &front,
+                    &stop,
+                    &session_guard,
+                    max_connections,
+                );
             }
             Ok(())
         })
     }
 
-    fn open_admin(&self, address: SocketAddr) -> Opening {
-        let (router, end) = (self.worker_pool.router.clone(), self.end.subscribe());
+    fn open_admin(&self, address: SocketAddr) -> OpenListener {
+        let (router, stop) = (
+            self.worker_pool.router.clone(),
+            self.listeners_stop.subscribe(),
+        );
         let name = self.config.name.clone();
-        let wait_for_other = self.may_have_predecessor();
+        let wait_for_peer = self.may_have_peer();
         Box::pin(async move {
-            let listener = bind(address, wait_for_other).await?;
+            let listener = bind(address, wait_for_peer).await?;
             log::info!("{name} is administered on {}", listener.local_addr()?);
-            supervise::spawn_critical("the administration", admin::serve(listener, router, end));
+            supervise::spawn_critical("the administration", admin::serve(listener, router, stop));
             Ok(())
         })
     }
 
-    /// Accepts clients of the PostgreSQL protocol, as the drain allows; where, too.
+    /// Starts to accept PostgreSQL clients as the drain state allows; returns the task that accepts and its address.
     pub(super) async fn accept_sessions(
         &self,
         session_slots: SessionSlots,
@@ -110,26 +121,29 @@
             None => listen(config.listen).await?,
         };
         let address = listener.local_addr()?;
-        let began = self.clock.micros(Instant::now());
-        let shared = FrontContext {
+        let started_at = self.clock.micros(Instant::now());
+        let front_context = FrontContext {
             router: self.worker_pool.router.clone(),
         };
         let sessions = Sessions {
             worker_pool: self.worker_pool.clone(),
-            serving: pg::SessionContext {
-                front_context: shared,
+            session_context: pg::SessionContext {
+                front_context,
                 max_message_bytes: config.max_message_bytes,
-                lingering_closes: self.farewells.clone(),
+                lingering_closes: self.lingering_closes.clone(),
             },
             drain_watcher: self.drain_manager.drain_watcher(),
-            alive: self.alive.clone(),
+            session_guard: self.session_guard.clone(),
             session_slots,
-            // Two processes of one dispatcher may have one seed, and a client's cancel may come to either.
-            last_key: sedgebeam_core::splitmix64(config.seed ^ sedgebeam_core::splitmix64(began.0)),
+            // Two processes of one dispatcher may have the same seed, and a client's cancel request may reach either of them;
+            // the start time keeps their keys apart.
+            last_key: sedgebeam_core::splitmix64(
+                config.seed ^ sedgebeam_core::splitmix64(started_at.0),
+            ),
         };
-        let newcomers_are_ours = config.inherited_socket.is_none();
-        let accepting =
-            sessions.accept(listener, self.drain_manager.subscribe(), newcomers_are_ours);
-        Ok((supervise::spawn_critical("accepting", accepting), address))
+        let owns_accept_queue = config.inherited_socket.is_none();
+        let accept_loop =
+            sessions.accept(listener, self.drain_manager.subscribe(), owns_accept_queue);
+        Ok((supervise::spawn_critical("accepting", accept_loop), address))
     }
 }
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of PostgreSQL clients: accepted here, and served on the workers.
+//! Accepts PostgreSQL clients and assigns their sessions to workers.
 
 use crate::worker_pool::WorkerPool;
 use futures::FutureExt;
@@ -15,48 +15,49 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// A pause after an accept that failed, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Accepts that may fail, with a pause each, before what waits at the end is given up: half a second.
-const MOST_FAILURES: usize = 25;
-/// Distance of the keys of sessions that follow on one another: an odd number, so that none comes twice soon.
-const KEY_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Pause after a failed accept, so that a lack of descriptors doesn't make the loop spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Failed accepts after which the shutdown leaves the rest of the accept queue alone: half a second with the pauses.
+const MAX_ACCEPT_FAILURES: usize = 25;
+/// Difference between the keys of consecutive sessions. It is odd, so a key repeats only after all 2^64.
+const SESSION_KEY_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Accepts sessions and gives each to a worker.
 pub(super) struct Sessions {
     pub worker_pool: Arc<WorkerPool>,
-    pub serving: pg::SessionContext,
+    pub session_context: pg::SessionContext,
     pub drain_watcher: DrainWatcher,
-    pub alive: mpsc::Sender<()>,
+    /// Each session holds a clone; the process ends when the last one is dropped.
+    pub session_guard: mpsc::Sender<()>,
     pub session_slots: SessionSlots,
-    /// The key of the last session; each next one is mixed from it.
+    /// The key of the last session; the next one is derived from it.
     pub last_key: u64,
 }
 
 impl Sessions {
-    /// Accepts connections as the drain allows, until the last call is over.
+    /// Accepts connections as the drain state allows, until the shutdown takes no new requests.
     ///
-    /// `newcomers_are_ours` where no other process accepts from the same socket.
+    /// `owns_accept_queue` is true where no other process accepts from the same socket.
     pub async fn accept(
         mut self,
         listener: TcpListener,
-        mut orders: watch::Receiver<Orders>,
-        newcomers_are_ours: bool,
+        mut drain_state: watch::Receiver<Orders>,
+        owns_accept_queue: bool,
     ) {
         loop {
             let Orders {
                 newcomers, over, ..
-            } = *orders.borrow_and_update();
+            } = *drain_state.borrow_and_update();
             if over {
                 log::info!("ending: accepting is over");
-                if newcomers_are_ours {
-                    self.turn_away_queued(&listener).await;
+                if owns_accept_queue {
+                    self.reject_queued(&listener).await;
                 }
                 return;
             }
             let accepted = tokio::select! {
                 biased;
-                changed = orders.changed() => match changed {
+                changed = drain_state.changed() => match changed {
                     Ok(()) => continue,
                     Err(_) => return,
                 },
@@ -64,82 +65,86 @@
             };
             match accepted {
                 Ok((stream, _)) if newcomers == Newcomers::TurnedAway => {
-                    self.turn_away(stream, pg::RejectReason::Draining);
+                    self.reject(stream, pg::RejectReason::Draining);
                     yield_now().await;
                 }
                 Ok((stream, _)) => self.start(stream).await,
                 Err(error) => {
                     log::warn!("accepting: {error}");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Refuses what waits to be accepted: dropping the listener would reset it, and a request may have been written to it.
-    async fn turn_away_queued(&self, listener: &TcpListener) {
+    /// Rejects the connections in the accept queue with an error. Dropping the listener would reset them, and a client may
+    /// have written a request already.
+    async fn reject_queued(&self, listener: &TcpListener) {
         let mut failures = 0;
-        while failures < MOST_FAILURES {
-            // What the system has told of by now.
+        while failures < MAX_ACCEPT_FAILURES {
+            // Lets the runtime poll the readiness of the listener.
             yield_now().await;
             match listener.accept().now_or_never() {
-                Some(Ok((stream, _))) => self.turn_away(stream, pg::RejectReason::Draining),
+                Some(Ok((stream, _))) => self.reject(stream, pg::RejectReason::Draining),
                 Some(Err(error)) => {
                     log::warn!("accepting: {error}");
                     failures += 1;
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
                 None => return,
             }
         }
     }
 
-    /// Refuses a connection with a word.
-    fn turn_away(&self, stream: TcpStream, why: pg::RejectReason) {
-        let serving = self.serving.clone();
-        let refusal = async move { pg::reject_connection(stream, &serving, why).await };
-        supervise::spawn_supervised("a refusal".to_string(), refusal, || {});
+    /// Sends an error and closes the connection.
+    fn reject(&self, stream: TcpStream, reason: pg::RejectReason) {
+        let session_context = self.session_context.clone();
+        let rejection =
+            async move { pg::reject_connection(stream, &session_context, reason).await };
+        supervise::spawn_supervised("a rejection".to_string(), rejection, || {});
     }
 
     fn next_key(&mut self) -> SessionKey {
-        self.last_key = self.last_key.wrapping_add(KEY_STEP);
+        self.last_key = self.last_key.wrapping_add(SESSION_KEY_STEP);
         SessionKey(self.last_key)
     }
 
-    /// Starts a session on a worker, if it gets a place.
+    /// Starts a session on a worker if a session slot is free or an idle session can be evicted.
     async fn start(&mut self, stream: TcpStream) {
-        let Some((place, gave_way)) = self.session_slots.acquire() else {
-            log::debug!("all sessions are busy: a connection is turned away");
-            self.turn_away(stream, pg::RejectReason::NoFreeSlot);
-            // Where it can't stay, its descriptor is free before the next one is accepted.
+        let Some((session_slot, has_evicted)) = self.session_slots.acquire() else {
+            log::debug!("rejecting a connection: all sessions are busy");
+            self.reject(stream, pg::RejectReason::NoFreeSlot);
+            // Lets the rejection close the descriptor before the next connection is accepted.
             yield_now().await;
             return;
         };
-        if gave_way {
-            // Whoever gave way lets its descriptor go before the next one is accepted.
+        if has_evicted {
+            // Lets the evicted session close its descriptor before the next connection is accepted.
             yield_now().await;
         }
         set_nodelay(&stream);
-        let (serving, key) = (self.serving.clone(), self.next_key());
-        let leave = self
+        let (session_context, key) = (self.session_context.clone(), self.next_key());
+        let connection_drain = self
             .drain_watcher
             .new_connection(sedgebeam_core::splitmix64(key.0) as f64 / u64::MAX as f64);
-        let alive = self.alive.clone();
-        let several = self.worker_pool.has_several_workers();
+        let session_guard = self.session_guard.clone();
+        let has_several_workers = self.worker_pool.has_several_workers();
         let (_, worker) = self.worker_pool.choose_worker();
-        let counted = worker.track_connection();
+        let connection_guard = worker.track_connection();
         let task = async move {
-            // It is served where it is read: its socket's events must come on its worker's thread.
-            let stream = if several {
+            // Registers the socket with the worker's own poller: the thread that serves a session receives its events.
+            let stream = if has_several_workers {
                 stream.into_std().and_then(TcpStream::from_std)
             } else {
                 Ok(stream)
             };
             match stream {
-                Ok(stream) => pg::serve(stream, serving, key, leave, place).await,
-                Err(error) => log::warn!("a session is not handed over: {error}"),
+                Ok(stream) => {
+                    pg::serve(stream, session_context, key, connection_drain, session_slot).await
+                }
+                Err(error) => log::warn!("can't transfer a session to a worker: {error}"),
             }
-            drop((alive, counted));
+            drop((session_guard, connection_guard));
         };
         worker.spawn("a session", task);
     }
--- a/dispatcher/src/serve/shutdown.rs
+++ b/dispatcher/src/serve/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the program: all that was taken is answered first.
+//! Graceful shutdown: the process ends once every accepted request has its answer.
 
 use crate::drain_manager::DrainManager;
 use sedgebeam_operation::Drain;
@@ -8,52 +8,53 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until};
 
-/// SIGKILL comes as early as the longest deadline, counted as this where it is longer, and 0.7 s after SIGTERM.
-const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// What is still open is answered so long after that deadline: 0.2 s before the kill.
-const LAST_ANSWERS_AFTER: Duration = Duration::from_millis(500);
+/// The platform may send SIGKILL 0.7 s plus the longest deadline after SIGTERM, and counts a longer deadline as this.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Open requests get their final answer this long after the longest deadline, which is 0.2 s before SIGKILL.
+const LAST_ANSWERS_DELAY: Duration = Duration::from_millis(500);
 
-/// What it takes to end.
+/// The handles that the shutdown needs.
 pub(super) struct Shutdown {
     pub drain_manager: DrainManager,
     pub router: RequestRouter,
-    /// Tells listeners that the last call is over.
-    pub end: watch::Sender<bool>,
-    /// The task that accepts clients of the PostgreSQL protocol.
-    pub accepting: JoinHandle<Option<()>>,
-    /// Closed when the last session has ended.
-    pub all_ended: mpsc::Receiver<()>,
-    /// The longest that a client waits.
+    /// Set once no new requests are taken; the listeners then stop.
+    pub listeners_stop: watch::Sender<bool>,
+    /// The task that accepts PostgreSQL clients.
+    pub accept_task: JoinHandle<Option<()>>,
+    /// Closes when the last session has ended.
+    pub sessions_ended: mpsc::Receiver<()>,
+    /// The longest time that a client of any class waits for its answer.
     pub longest_deadline: Duration,
 }
 
 impl Shutdown {
-    /// Ends: takes nothing new after the last call, and waits until all that was taken is answered.
+    /// Stops taking requests once the grace period of the drain is over, then waits until all accepted ones are answered.
     pub async fn run(mut self) {
-        // Said once it holds: whoever reads it may ask at the door at once.
+        // Logged after the state has changed: a reader of the log may ask the control socket at once.
         self.drain_manager.update(Drain::end);
         log::info!("ending: last call");
-        let patience = self.longest_deadline.min(MAX_DEADLINE) + LAST_ANSWERS_AFTER;
-        let last_answers = Instant::now() + patience;
-        // Accepting ends by itself then; sessions end when they are idle. The sender is held by the drain's state.
+        let wait_limit = self.longest_deadline.min(MAX_COUNTED_DEADLINE) + LAST_ANSWERS_DELAY;
+        let last_answers = Instant::now() + wait_limit;
+        // From then on the accept task ends by itself, and so does each session once it is idle. The wait can't fail: the drain
+        // manager holds the sender.
         let _ = self
             .drain_manager
             .subscribe()
-            .wait_for(|orders| orders.over)
+            .wait_for(|state| state.over)
             .await;
-        let _ = self.end.send(true);
-        let _ = self.accepting.await;
-        let ended = async { while self.all_ended.recv().await.is_some() {} };
+        let _ = self.listeners_stop.send(true);
+        let _ = self.accept_task.await;
+        let ended = async { while self.sessions_ended.recv().await.is_some() {} };
         let mut ended = std::pin::pin!(ended);
         tokio::select! {
             () = &mut ended => {}
-            // What engines have not answered by then would be killed with the process.
+            // A request without an answer by then would get none: SIGKILL ends the process.
             () = sleep_until(last_answers) => {
-                log::info!("the last moment: all that is open is answered");
+                log::info!("answering all open requests before the process is killed");
                 self.router.shut_down().await;
                 ended.await;
             }
         }
-        log::info!("ended: all that was taken is answered");
+        log::info!("ended: all accepted requests are answered");
     }
 }
--- a/dispatcher/src/serve/signals.rs
+++ b/dispatcher/src/serve/signals.rs
@@ -1,9 +1,9 @@
-//! The signals that the program heeds.
+//! The signals that the dispatcher handles: SIGHUP reloads the configuration, SIGTERM and SIGINT shut down.
 
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Receivers of the signals.
+/// The streams of the handled signals.
 pub struct Signals {
     pub(super) hangup: Signal,
     pub(super) terminate: Signal,
@@ -11,7 +11,7 @@
 }
 
 impl Signals {
-    /// Heeds them from here on: one that comes before would end the program, whatever it has taken.
+    /// Installs the handlers. A signal that arrives earlier has its default action, which kills the process.
     pub fn register() -> io::Result<Signals> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -1,4 +1,4 @@
-//! What comes up before clients are taken: operators' calls, the workers, the list of engines and reloading.
+//! Startup before clients are accepted: the control socket, the workers, the engine list and configuration reloads.
 
 use super::Program;
 use crate::change_log::{self, ChangeLogPosition};
@@ -23,15 +23,15 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::{Instant, timeout};
 
-/// A process that begins beside another waits so long for the change log: it has to serve within six seconds.
-const CATCH_UP: Duration = Duration::from_secs(2);
+/// A process that may start beside a peer waits this long for the change log, as it must serve within six seconds.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Program {
-    /// Starts what answers operators, the drain's clock, and the workers.
+    /// Starts the control socket, the drain timer and the workers.
     pub(super) async fn start(
         config: Config,
         connections: watch::Receiver<Connections>,
-        alive: mpsc::Sender<()>,
+        session_guard: mpsc::Sender<()>,
     ) -> io::Result<Program> {
         let drain_manager = DrainManager::new(config.inherited_socket.is_some());
         let metrics = Figures::default();
@@ -39,57 +39,60 @@
         for class in &config.names.classes {
             metrics.class(class);
         }
-        let farewells = Arc::new(Semaphore::new(config.descriptor_budget.lingering_closes));
-        open_control_socket(&config, &drain_manager, &metrics, clock, &farewells).await?;
+        let lingering_closes = Arc::new(Semaphore::new(config.descriptor_budget.lingering_closes));
+        open_control_socket(&config, &drain_manager, &metrics, clock, &lingering_closes).await?;
         supervise::spawn_critical("the drain", drain_manager.clone().run_timer());
-        let wires = NetworkTransport {
+        let transport = NetworkTransport {
             connections,
             metrics: metrics.clone(),
             slots: ConnectionSlots::default(),
         };
-        let worker_pool = WorkerPool::start(&config, Arc::new(wires), &metrics, clock).await?;
+        let worker_pool = WorkerPool::start(&config, Arc::new(transport), &metrics, clock).await?;
         Ok(Program {
             config,
             drain_manager,
             metrics,
             clock,
             worker_pool: Arc::new(worker_pool),
-            farewells,
-            end: watch::channel(false).0,
-            alive,
+            lingering_closes,
+            listeners_stop: watch::channel(false).0,
+            session_guard,
         })
     }
 
-    /// Has the brokers begin with the list of the file, or with what another process has told where that is newer;
-    /// the change log's number that goes with it.
-    pub(super) async fn restore_list(&self, handed: Option<HandoverMessage>) -> io::Result<u64> {
+    /// Gives the brokers the engine list of the configuration, or the predecessor's where that is newer, and the state that
+    /// the predecessor handed over. Returns the change log's sequence number of the list.
+    pub(super) async fn restore_list(
+        &self,
+        predecessor_message: Option<HandoverMessage>,
+    ) -> io::Result<u64> {
         let (known, router) = (&self.config.known_changes, &self.worker_pool.router);
-        let ended = |_| io::Error::other("the broker ended at once");
+        let broker_ended = |_| io::Error::other("the broker ended at once");
         let saved = change_log::fold_changes(known.changes.clone());
         router
             .update_engine_list(Listing::Saved, saved)
             .await
-            .map_err(ended)?;
-        let Some(share) = handed else {
+            .map_err(broker_ended)?;
+        let Some(message) = predecessor_message else {
             return Ok(known.seq);
         };
-        let held = share.handover_state_at(self.clock.micros(Instant::now()));
-        let stated = share.status;
-        let seq = stated.change_log_seq.max(known.seq);
-        if stated.change_log_seq > known.seq {
-            let told = router
-                .update_engine_list(Listing::Complete, stated.targets)
+        let handover_state = message.handover_state_at(self.clock.micros(Instant::now()));
+        let status = message.status;
+        let seq = status.change_log_seq.max(known.seq);
+        if status.change_log_seq > known.seq {
+            let updated = router
+                .update_engine_list(Listing::Complete, status.targets)
                 .await;
-            told.map_err(ended)?;
+            updated.map_err(broker_ended)?;
         }
-        router.restore(held).await;
-        peer_process::reapply_admin_settings(router, stated.drained_engines, stated.tenants).await;
+        router.restore(handover_state).await;
+        peer_process::reapply_admin_settings(router, status.drained_engines, status.tenants).await;
         log::info!("begun with what the process before it knew, up to change {seq}");
         Ok(seq)
     }
 
-    /// Follows the change log from this number on; where to tell its address, and how far it has come.
-    pub(super) fn follow_changelog(
+    /// Follows the change log from this sequence number on. Returns the sender of its address and the position reached.
+    pub(super) fn follow_change_log(
         &self,
         seq: u64,
     ) -> (
@@ -97,60 +100,61 @@
         watch::Receiver<ChangeLogPosition>,
     ) {
         let config = &self.config;
-        let (changelog, address) = watch::channel(config.change_log_address);
-        let (reached, heard) = watch::channel(ChangeLogPosition {
+        let (address_sender, address) = watch::channel(config.change_log_address);
+        let (position, position_receiver) = watch::channel(ChangeLogPosition {
             seq,
             caught_up: false,
         });
         let pauses = Pauses::new(config.settings.gateways, config.seed);
         let following =
-            change_log::follow(address, reached, self.worker_pool.router.clone(), pauses);
+            change_log::follow(address, position, self.worker_pool.router.clone(), pauses);
         supervise::spawn_critical("the change log", following);
-        (changelog, heard)
+        (address_sender, position_receiver)
     }
 
-    /// Has the configuration read again at each hangup; the text of the file in use.
-    pub(super) fn heed_reloads(
+    /// Reloads the configuration at each SIGHUP. Returns the text of the applied platform file.
+    pub(super) fn handle_reloads(
         &self,
         source: ConfigSource,
         hangup: Signal,
-        changelog: watch::Sender<Option<SocketAddr>>,
-        connections: watch::Sender<Connections>,
+        change_log_address: watch::Sender<Option<SocketAddr>>,
+        connection_limits: watch::Sender<Connections>,
     ) -> watch::Receiver<Arc<str>> {
-        let (retired, retired_told) = watch::channel(());
-        let names = self.worker_pool.router.clone();
-        supervise::spawn_critical(
-            "names",
-            async move { names.expire_names(retired_told).await },
-        );
-        let (in_use, in_use_told) =
+        let (names_retired, names_retired_receiver) = watch::channel(());
+        let router = self.worker_pool.router.clone();
+        supervise::spawn_critical("names", async move {
+            router.expire_names(names_retired_receiver).await
+        });
+        let (applied_config_text, applied_config_text_receiver) =
             watch::channel(self.config.platform_config_text.as_str().into());
-        let reload = ConfigReloader {
+        let reloader = ConfigReloader {
             source,
             applied_config: self.config.platform_config.clone(),
             router: self.worker_pool.router.clone(),
-            change_log_address: changelog,
-            connection_limits: connections,
-            applied_config_text: in_use,
-            names_retired: retired,
+            change_log_address,
+            connection_limits,
+            applied_config_text,
+            names_retired,
             metrics: self.metrics.clone(),
         };
-        supervise::spawn_critical("reloading", reload.run(hangup));
-        in_use_told
+        supervise::spawn_critical("reloading", reloader.run(hangup));
+        applied_config_text_receiver
     }
 
-    /// Waits until the list and the engines are there, and says so.
-    pub(super) async fn prepare(
+    /// Waits until the brokers have the engine list, then marks the process as prepared.
+    pub(super) async fn wait_until_prepared(
         &self,
-        mut heard: watch::Receiver<ChangeLogPosition>,
+        mut position: watch::Receiver<ChangeLogPosition>,
     ) -> io::Result<()> {
         if self.config.inherited_socket.is_some() && self.config.change_log_address.is_some() {
-            let caught_up = heard.wait_for(|reached| reached.caught_up);
-            if timeout(CATCH_UP, caught_up).await.is_err() {
-                log::warn!("the change log says nothing: beginning with the list known");
+            let caught_up = position.wait_for(|position| position.caught_up);
+            if timeout(CATCH_UP_TIMEOUT, caught_up).await.is_err() {
+                log::warn!(
+                    "no complete answer from the change log yet; starting with the last known engine list"
+                );
             }
         }
-        // Once one has answered, the brokers have the list.
+        // A broker answers this request only after it has applied the list.
         let health = self
             .worker_pool
             .router
@@ -161,7 +165,7 @@
         Ok(())
     }
 
-    /// The longest that a client of any class waits.
+    /// The longest time that a client of any class waits for its answer.
     pub(super) fn longest_deadline(&self) -> Duration {
         let classes = self.config.settings.classes.iter();
         let longest = classes.map(|class| class.give_up).max();
@@ -174,7 +178,7 @@
     drain_manager: &DrainManager,
     metrics: &Figures,
     clock: Clock,
-    farewells: &Arc<Semaphore>,
+    lingering_closes: &Arc<Semaphore>,
 ) -> io::Result<()> {
     let Some(address) = config.control_listen else {
         return Ok(());
@@ -184,7 +188,7 @@
         metrics: metrics.clone(),
         clock,
         max_callers: config.descriptor_budget.control_callers,
-        lingering_closes: farewells.clone(),
+        lingering_closes: lingering_closes.clone(),
     };
     let address = control_socket::open(address, context).await?;
     log::info!("{} takes calls of operators on {address}", config.name);
--- a/dispatcher/src/worker_pool.rs
+++ b/dispatcher/src/worker_pool.rs
@@ -1,9 +1,9 @@
-//! The workers: one on the program's own thread, or several, each with a thread, a runtime and a shard of
-//! the decision module of its own.
+//! The workers: one on the main thread, or several, each with its own thread, runtime and, up to the number of shards, a
+//! broker with a shard of the gateway.
 //!
-//! Connections are accepted on the program's thread and handed over to workers; a request goes to the
-//! shard that its id names. A broker that dies takes no other with it: what it had taken is answered, its
-//! part of the engines returns to the others, and it is started anew.
+//! Connections are accepted on the main thread and transferred to workers; a request goes to the shard that its id names.
+//! A crash of one broker leaves the others running: its requests are answered, its leases on engines return to the other
+//! shards, and it is restarted.
 
 use crate::config::Config;
 use core_affinity::CoreId;
@@ -22,17 +22,17 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::time::sleep;
 
-/// A broker that has died is started anew after this: one that dies at once must not spin.
-const REBIRTH: Duration = Duration::from_millis(50);
+/// Delay before a crashed broker is restarted, so that one that crashes at once doesn't make the loop spin.
+const RESTART_DELAY: Duration = Duration::from_millis(50);
 
-/// One worker.
+/// A thread that serves connections.
 #[derive(Clone)]
 pub struct Worker {
     runtime: Handle,
     connections: Arc<AtomicUsize>,
 }
 
-/// Counts a connection at its worker until it is dropped.
+/// Counts one connection of a worker while it exists.
 pub struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl Drop for ConnectionGuard {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Runs a task there; its panic is logged.
+    /// Spawns a task on the worker's runtime and logs its panic, if any.
     pub fn spawn(&self, name: &'static str, task: impl Future<Output = ()> + Send + 'static) {
         supervise::spawn_supervised_on(&self.runtime, name.to_string(), task, || {});
     }
@@ -60,30 +60,35 @@
     }
 }
 
-/// All workers, and the router before their brokers.
+/// All workers, and the router that hands requests to their brokers.
 pub struct WorkerPool {
     pub router: RequestRouter,
     workers: Vec<Worker>,
-    /// The first so many of them have a shard.
-    shards: usize,
-    turn: AtomicUsize,
-    /// Brokers that have come after one that had died.
-    restarts: Arc<AtomicUsize>,
+    /// The first `shard_count` workers have a shard each.
+    shard_count: usize,
+    /// Number of connections placed; rotates the choice among equally loaded workers.
+    placement_count: AtomicUsize,
+    /// Brokers restarted after a crash.
+    broker_restarts: Arc<AtomicUsize>,
 }
 
 impl WorkerPool {
-    /// Starts the brokers, on threads of their own where there are several workers.
+    /// Starts the workers and their brokers: on the main thread, or on one thread each where there are several workers.
     pub async fn start(
         config: &Config,
         engine_transport: Arc<dyn EngineTransport>,
         metrics: &Figures,
         clock: Clock,
     ) -> io::Result<WorkerPool> {
-        let tuning = config.runtime_settings();
-        let router =
-            RequestRouter::new(config.shards, config.seed, metrics.clone(), tuning.clone());
-        let setup = BrokerConfig {
-            runtime_settings: Arc::new(tuning),
+        let runtime_settings = config.runtime_settings();
+        let router = RequestRouter::new(
+            config.shards,
+            config.seed,
+            metrics.clone(),
+            runtime_settings.clone(),
+        );
+        let broker_config = BrokerConfig {
+            runtime_settings: Arc::new(runtime_settings),
             seed: config.seed,
             clock,
             metrics: metrics.clone(),
@@ -91,69 +96,72 @@
             shard: None,
         };
         if config.workers > 1 {
-            WorkerPool::several(config, router, setup).await
+            WorkerPool::start_sharded(config, router, broker_config).await
         } else {
-            WorkerPool::alone(router, setup).await
+            WorkerPool::start_single(router, broker_config).await
         }
     }
 
-    async fn alone(router: RequestRouter, setup: BrokerConfig) -> io::Result<WorkerPool> {
-        let (broker, mailbox, incoming) = broker::new(setup);
+    async fn start_single(
+        router: RequestRouter,
+        broker_config: BrokerConfig,
+    ) -> io::Result<WorkerPool> {
+        let (broker, mailbox, incoming) = broker::new(broker_config);
         supervise::spawn_critical("the broker", broker.run(incoming));
         let opened = router.open_shard(0, mailbox).await;
         opened.map_err(|_| io::Error::other("the broker ended at once"))?;
         Ok(WorkerPool {
             router,
             workers: vec![Worker::new(Handle::current())],
-            shards: 1,
-            turn: AtomicUsize::new(0),
-            restarts: Arc::default(),
+            shard_count: 1,
+            placement_count: AtomicUsize::new(0),
+            broker_restarts: Arc::default(),
         })
     }
 
-    async fn several(
+    async fn start_sharded(
         config: &Config,
         router: RequestRouter,
-        setup: BrokerConfig,
+        broker_config: BrokerConfig,
     ) -> io::Result<WorkerPool> {
-        let tuning = &setup.runtime_settings;
-        let (open, settings) = (tuning.most_open, &tuning.settings);
-        let shared = ShardLeases::new(config.shards, open, settings, router.clone());
-        widen_descriptors(config.max_descriptors);
+        let runtime_settings = &broker_config.runtime_settings;
+        let (max_open, settings) = (runtime_settings.most_open, &runtime_settings.settings);
+        let shard_leases = ShardLeases::new(config.shards, max_open, settings, router.clone());
+        preallocate_descriptor_table(config.max_descriptors);
         let cores = if config.pin_workers {
             core_affinity::get_core_ids().unwrap_or_default()
         } else {
             Vec::new()
         };
-        let (mut workers, restarts) = (Vec::new(), Arc::<AtomicUsize>::default());
-        for shard in 0..config.workers {
-            let core = cores.get(shard % cores.len().max(1)).copied();
-            let worker = Worker::new(thread(shard, core)?);
+        let (mut workers, broker_restarts) = (Vec::new(), Arc::<AtomicUsize>::default());
+        for index in 0..config.workers {
+            let core = cores.get(index % cores.len().max(1)).copied();
+            let worker = Worker::new(spawn_runtime_thread(index, core)?);
             workers.push(worker.clone());
-            if shard >= config.shards {
+            if index >= config.shards {
                 continue;
             }
-            let setup = BrokerConfig {
-                shard: Some(Shard::new(shared.clone(), shard)),
-                ..setup.clone()
+            let broker_config = BrokerConfig {
+                shard: Some(Shard::new(shard_leases.clone(), index)),
+                ..broker_config.clone()
             };
-            let life = live(
-                shard,
-                setup,
+            let supervision = supervise_broker(
+                index,
+                broker_config,
                 router.clone(),
-                shared.clone(),
-                restarts.clone(),
+                shard_leases.clone(),
+                broker_restarts.clone(),
             );
-            worker.spawn("a worker", life);
+            worker.spawn("a worker", supervision);
         }
         let pool = WorkerPool {
             router,
             workers,
-            shards: config.shards,
-            turn: AtomicUsize::new(0),
-            restarts,
+            shard_count: config.shards,
+            placement_count: AtomicUsize::new(0),
+            broker_restarts,
         };
-        // Clients are accepted once every shard takes requests.
+        // The caller accepts clients after this: by then each shard takes requests.
         pool.router.wait_until_open().await;
         Ok(pool)
     }
@@ -162,90 +170,89 @@
         &self.workers
     }
 
-    /// Whether connections must be handed over to another thread.
+    /// Whether connections must be transferred to another thread.
     pub fn has_several_workers(&self) -> bool {
         self.workers.len() > 1
     }
 
-    /// The worker for a new connection.
+    /// Chooses the worker for a new connection; returns its index too.
     pub fn choose_worker(&self) -> (usize, &Worker) {
-        let load = |(shard, worker): (usize, &Worker)| WorkerLoad {
+        let load = |(index, worker): (usize, &Worker)| WorkerLoad {
             connections: worker.connections.load(Ordering::Relaxed),
-            is_alive: shard >= self.shards || self.router.is_alive(shard),
+            is_alive: index >= self.shard_count || self.router.is_alive(index),
         };
         let loads: Vec<WorkerLoad> = self.workers.iter().enumerate().map(load).collect();
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let place = placement::choose_worker(&loads, turn);
-        (place, &self.workers[place])
+        let placement_count = self.placement_count.fetch_add(1, Ordering::Relaxed);
+        let index = placement::choose_worker(&loads, placement_count);
+        (index, &self.workers[index])
     }
 
-    /// Brokers that were started after another had died, and serve.
+    /// The number of brokers that were restarted after a crash and take requests.
     pub fn broker_restarts(&self) -> usize {
-        self.restarts.load(Ordering::Relaxed)
+        self.broker_restarts.load(Ordering::Relaxed)
     }
 }
 
-/// Has the system make its table of descriptors as large as it may become, while there is one thread: when it
-/// grows in a process of several, whoever needs a descriptor waits for all processors, and a burst of new
-/// connections is not accepted in time (measured: a tenth of 900 at once was tried again by the clients'
-/// systems, a second later).
-fn widen_descriptors(sockets: usize) {
-    let Ok(highest) = i32::try_from(sockets.saturating_sub(1)) else {
+/// Makes the kernel grow the process's descriptor table to its full size while there is one thread. When the table of a
+/// process with several threads grows, each new descriptor waits for all processors, and a burst of connections is not
+/// accepted in time (measured: of 900 simultaneous connects, the clients' systems retried a tenth after a second).
+fn preallocate_descriptor_table(max_descriptors: usize) {
+    let Ok(highest) = i32::try_from(max_descriptors.saturating_sub(1)) else {
         return;
     };
     match rustix::io::fcntl_dupfd_cloexec(std::io::stderr(), highest) {
         Ok(descriptor) => drop(descriptor),
-        // Fewer may be allowed than the configuration says; they are then had one by one.
-        Err(error) => log::debug!("descriptors up to {highest}: {error}"),
+        // The system may allow fewer than the configuration states; the table then grows on demand.
+        Err(error) => log::debug!("can't preallocate descriptors up to {highest}: {error}"),
     }
 }
 
-/// Starts a thread with a runtime, which runs until the program ends.
-fn thread(shard: usize, core: Option<CoreId>) -> io::Result<Handle> {
-    let (told, hears) = mpsc::channel();
+/// Starts a thread with a runtime that runs until the process ends.
+fn spawn_runtime_thread(index: usize, core: Option<CoreId>) -> io::Result<Handle> {
+    let (handle_sender, handle_receiver) = mpsc::channel();
     let run = move || {
         if let Some(core) = core
             && !core_affinity::set_for_current(core)
         {
-            log::warn!("worker {shard} can't be pinned to core {}", core.id);
+            log::warn!("worker {index} can't be pinned to core {}", core.id);
         }
         match Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => {
-                // Whoever asked for it waits for this word.
-                let _ = told.send(Ok(runtime.handle().clone()));
+                // Can't fail: the thread that spawned this one waits for the handle.
+                let _ = handle_sender.send(Ok(runtime.handle().clone()));
                 runtime.block_on(std::future::pending::<()>());
             }
-            Err(error) => drop(told.send(Err(error))),
+            Err(error) => drop(handle_sender.send(Err(error))),
         }
     };
-    let name = format!("worker-{shard}");
+    let name = format!("worker-{index}");
     std::thread::Builder::new().name(name).spawn(run)?;
-    hears.recv().map_err(io::Error::other)?
+    handle_receiver.recv().map_err(io::Error::other)?
 }
 
-/// The life of a shard: its broker, and another one whenever that has died.
-async fn live(
+/// Runs the broker of a shard and restarts it after each crash.
+async fn supervise_broker(
     shard: usize,
-    setup: BrokerConfig,
+    broker_config: BrokerConfig,
     router: RequestRouter,
-    shared: Arc<ShardLeases>,
-    restarts: Arc<AtomicUsize>,
+    shard_leases: Arc<ShardLeases>,
+    broker_restarts: Arc<AtomicUsize>,
 ) {
-    for life in 0.. {
-        let (broker, mailbox, incoming) = broker::new(setup.clone());
-        let running = tokio::spawn(broker.run(incoming));
-        // A broker that is gone already is told of below.
+    for restart_count in 0.. {
+        let (broker, mailbox, incoming) = broker::new(broker_config.clone());
+        let broker_task = tokio::spawn(broker.run(incoming));
+        // Fails if the broker has ended already, which is handled below.
         let _ = router.open_shard(shard, mailbox).await;
-        if life > 0 {
-            restarts.fetch_add(1, Ordering::Relaxed);
+        if restart_count > 0 {
+            broker_restarts.fetch_add(1, Ordering::Relaxed);
         }
-        let ended = running.await;
+        let ended = broker_task.await;
         router.close_shard(shard);
         match ended {
             Ok(()) => return,
-            Err(error) => log::error!("the broker of worker {shard} died: {error}"),
+            Err(error) => log::error!("the broker of worker {shard} crashed: {error}"),
         }
-        shared.shard_crashed(shard);
-        sleep(REBIRTH).await;
+        shard_leases.shard_crashed(shard);
+        sleep(RESTART_DELAY).await;
     }
 }
