--- a/dispatcher/src/change_log.rs
+++ b/dispatcher/src/change_log.rs
@@ -1,4 +1,4 @@
-//! The change log's actor: follows the list of ledger engines and tells the broker.
+//! Engine discovery: follows the change log over HTTP and sends its changes of the engine list to the brokers.
 
 use futures::StreamExt;
 use miniserde::{Deserialize, json};
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Decoder, FramedRead};
 
-/// A change of the list, as the change log tells it.
+/// An event of the change log: a change of the engine list, or the complete list.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Change {
     pub seq: u64,
@@ -22,7 +22,7 @@
 }
 
 impl Change {
-    /// A change that names these engines, as none of the change log.
+    /// A change that adds these engines and has no sequence number of the change log.
     pub fn from_targets(targets: Vec<Target>) -> Change {
         let fleet = Fleet {
             is_complete: None,
@@ -39,6 +39,7 @@
     }
 }
 
+/// The engines that an event lists: all of them, or those that changed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Fleet {
     #[serde(rename = "all")]
@@ -46,27 +47,26 @@
     pub targets: Vec<Target>,
 }
 
-/// How far the change log has been heard.
+/// The position reached in the change log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChangeLogPosition {
     pub seq: u64,
-    /// It has told all that it had when it was asked.
+    /// Every event that the log held at the time of the request has been received.
     pub caught_up: bool,
 }
 
-/// The longest line that the change log may write: a whole list of the largest fleet, 3,200 engines, with 640 bytes for each.
-const MOST_LINE: usize = 2 << 20;
-/// A comment comes each second; after this long without a byte the connection is taken for dead.
-const SILENCE: Duration = Duration::from_millis(1800);
-/// The length of the line end behind a chunk.
-const CHUNK_END: usize = 2;
-/// What the change log has to tell of the time before it writes at once: after so long without an event, that
-/// was all.
-const CAUGHT_UP: Duration = Duration::from_millis(150);
-/// A connect may take so long: the system sends a first packet that got lost again after one second (RFC 6298, 2.1).
-const CONNECT: Duration = Duration::from_millis(1500);
+/// The longest line of the change log: a complete list of the largest fleet, 3,200 engines of 640 bytes each.
+const MAX_LINE_BYTES: usize = 2 << 20;
+/// The log sends a comment each second; after this long without a byte the connection counts as dead.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
+/// The length of the CRLF after each chunk.
+const CHUNK_END_BYTES: usize = 2;
+/// The log sends its past events at once; after this long without one, all of them have arrived.
+const CAUGHT_UP_SILENCE: Duration = Duration::from_millis(150);
+/// Time limit of a connect. The system resends a lost first packet after one second (RFC 6298, 2.1).
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Folds the changes up to the start into the list that they leave.
+/// Applies changes in order to an empty list; returns the resulting engine list.
 pub fn fold_changes(changes: Vec<Change>) -> Vec<Target> {
     let mut list: Vec<Target> = Vec::new();
     for change in changes {
@@ -75,7 +75,7 @@
     list
 }
 
-/// Follows the change log for ever, wherever it is; where it is nowhere, that it is somewhere is waited for.
+/// Follows the change log at its current address, forever. Without an address, waits for one.
 pub async fn follow(
     mut address: watch::Receiver<Option<SocketAddr>>,
     position: watch::Sender<ChangeLogPosition>,
@@ -84,25 +84,25 @@
 ) {
     let mut follower = Follower::new(position.borrow().seq);
     loop {
-        let before = position.borrow().seq;
+        let previous_seq = position.borrow().seq;
         let Some(current) = *address.borrow_and_update() else {
-            moved(&mut address).await;
+            address_changed(&mut address).await;
             continue;
         };
         tokio::select! {
             biased;
-            // The old log tells nothing more: the new one is asked, with the number reached.
-            () = moved(&mut address) => pauses.heard(),
+            // Connects to the new address and continues from the sequence number reached.
+            () = address_changed(&mut address) => pauses.heard(),
             ended = listen(current, &position, &router, &mut follower) => match ended {
-                Ok(()) => log::info!("the change log ended the connection after {}", position.borrow().seq),
+                Ok(()) => log::info!("the change log closed the connection after change {}", position.borrow().seq),
                 Err(error) => log::warn!("the change log after {}: {error}", position.borrow().seq),
             },
         }
-        if position.borrow().seq > before {
+        if position.borrow().seq > previous_seq {
             pauses.heard();
         }
         tokio::select! {
-            () = moved(&mut address) => {
+            () = address_changed(&mut address) => {
                 pauses.heard();
                 sleep(pauses.draw()).await;
             }
@@ -111,43 +111,43 @@
     }
 }
 
-/// Waits until the change log is elsewhere; for ever, where nobody can say so any more.
-async fn moved(address: &mut watch::Receiver<Option<SocketAddr>>) {
+/// Waits until the address of the change log changes; forever once its sender is dropped.
+async fn address_changed(address: &mut watch::Receiver<Option<SocketAddr>>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// One connection to the change log, until it ends.
+/// Receives events over one connection to the change log until it ends.
 async fn listen(
     address: SocketAddr,
     position: &watch::Sender<ChangeLogPosition>,
     router: &RequestRouter,
     follower: &mut Follower,
 ) -> io::Result<()> {
-    let late = |_| io::Error::new(io::ErrorKind::TimedOut, "no word for too long");
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await;
-    let stream = stream.map_err(late)??;
+    let timed_out = |_| io::Error::new(io::ErrorKind::TimedOut, "no data in time");
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+    let stream = stream.map_err(timed_out)??;
     set_nodelay(&stream);
     let mut stream = SocketStream::new(stream);
-    let after = follower.asks_after();
+    let last_event_id = follower.asks_after();
     let request = format!(
-        "GET /changes HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {after}\r\n\r\n"
+        "GET /changes HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {last_event_id}\r\n\r\n"
     );
     stream.write_all(request.as_bytes()).await?;
-    let mut lines = FramedRead::new(stream, Events::default());
+    let mut events = FramedRead::new(stream, EventDecoder::default());
     loop {
-        let event = match timeout(CAUGHT_UP, lines.next()).await {
+        let event = match timeout(CAUGHT_UP_SILENCE, events.next()).await {
             Ok(event) => event,
             Err(_) => {
-                if lines.decoder().begun {
-                    if !tell(follower.quiet(), position, router, follower).await {
+                if events.decoder().has_head {
+                    if !update_brokers(follower.quiet(), position, router, follower).await {
                         return Ok(());
                     }
                     position.send_modify(|position| position.caught_up = true);
                 }
-                let rest = timeout(SILENCE - CAUGHT_UP, lines.next());
-                rest.await.map_err(late)?
+                let next_event = timeout(SILENCE_TIMEOUT - CAUGHT_UP_SILENCE, events.next());
+                next_event.await.map_err(timed_out)?
             }
         };
         let Some(event) = event else { return Ok(()) };
@@ -155,22 +155,22 @@
         let (seq, listing) = (change.seq, change.listing());
         let next = follower.hear(seq, listing, change.fleet.targets);
         if next == Next::Again {
-            let what = if follower.rebuilds() {
+            let retry = if follower.rebuilds() {
                 "asking for the whole list"
             } else {
                 "asking for what is missing"
             };
-            let why = format!("{seq} follows {}: {what}", position.borrow().seq);
-            return Err(io::Error::other(why));
+            let reason = format!("{seq} follows {}: {retry}", position.borrow().seq);
+            return Err(io::Error::other(reason));
         }
-        if !tell(next, position, router, follower).await {
+        if !update_brokers(next, position, router, follower).await {
             return Ok(());
         }
     }
 }
 
-/// Tells the brokers what follows from what the change log said; false where nobody takes it any more.
-async fn tell(
+/// Sends the brokers the update that follows from an event, if any; false if they have ended.
+async fn update_brokers(
     next: Next,
     position: &watch::Sender<ChangeLogPosition>,
     router: &RequestRouter,
@@ -182,85 +182,102 @@
     if router.update_engine_list(listing, targets).await.is_err() {
         return false;
     }
-    // Only now: what is dropped while it waits for the broker has not been told.
+    // Only now: if this future is dropped while it waits for a broker, the update counts as not sent.
     follower.told(seq);
     position.send_modify(|position| position.seq = seq);
     true
 }
 
-/// Decodes the answer of the change log: its head, and then its events; `None` for a sign of life.
+/// Decodes the HTTP response of the change log: its head, and then its server-sent events. A keep-alive comment is `None`.
 #[derive(Default)]
-struct Events {
-    begun: bool,
-    chunked: bool,
-    /// Bytes of the chunk under way that are still to come, with the line end behind it.
-    chunk: usize,
+struct EventDecoder {
+    /// The head of the response has been read.
+    has_head: bool,
+    is_chunked: bool,
+    /// Remaining bytes of the current chunk, with the CRLF after it.
+    chunk_remaining: usize,
+    /// Received text of the body that is not decoded yet.
     text: Vec<u8>,
+    /// The data lines of the current event.
     data: Vec<u8>,
 }
 
-fn unreadable(why: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why)
+fn invalid_data(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-impl Events {
-    /// Takes the head of the answer; false while it is not whole.
-    fn head(&mut self, bytes: &mut bytes::BytesMut) -> io::Result<bool> {
+impl EventDecoder {
+    /// Reads the head of the response; false while it is incomplete.
+    fn read_head(&mut self, bytes: &mut bytes::BytesMut) -> io::Result<bool> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
-        let status = response.parse(bytes).map_err(|_| unreadable("not HTTP"))?;
+        let status = response
+            .parse(bytes)
+            .map_err(|_| invalid_data("the response is not HTTP"))?;
         let httparse::Status::Complete(length) = status else {
-            return if bytes.len() > MOST_LINE {
-                Err(unreadable("an endless head"))
+            return if bytes.len() > MAX_LINE_BYTES {
+                Err(invalid_data("the response head is too long"))
             } else {
                 Ok(false)
             };
         };
         if response.code != Some(200) {
-            return Err(unreadable("its status is not 200"));
+            return Err(invalid_data("the HTTP status is not 200"));
         }
-        self.chunked = response.headers.iter().any(|header| {
+        self.is_chunked = response.headers.iter().any(|header| {
             header.name.eq_ignore_ascii_case("transfer-encoding")
                 && header.value.eq_ignore_ascii_case(b"chunked")
         });
-        self.begun = true;
+        self.has_head = true;
         let _ = bytes.split_to(length);
         Ok(true)
     }
 
-    /// Moves what came into the text, without the frame of its chunks.
-    fn body(&mut self, bytes: &mut bytes::BytesMut) -> io::Result<()> {
-        if !self.chunked {
+    /// Moves received bytes of the body to the text, without the framing of chunks.
+    fn read_body(&mut self, bytes: &mut bytes::BytesMut) -> io::Result<()> {
+        if !self.is_chunked {
             self.text.extend_from_slice(&bytes.split());
         }
-        while self.chunked && !bytes.is_empty() {
-            if self.chunk > 0 {
-                let (text, end) = (self.chunk.saturating_sub(CHUNK_END), self.chunk);
-                let part = bytes.split_to(if text > 0 { text } else { end }.min(bytes.len()));
-                self.chunk -= part.len();
-                if text > 0 {
+        while self.is_chunked && !bytes.is_empty() {
+            if self.chunk_remaining > 0 {
+                let (text_bytes, end_bytes) = (
+                    self.chunk_remaining.saturating_sub(CHUNK_END_BYTES),
+                    self.chunk_remaining,
+                );
+                let part = bytes.split_to(
+                    if text_bytes > 0 {
+                        text_bytes
+                    } else {
+                        end_bytes
+                    }
+                    .min(bytes.len()),
+                );
+                self.chunk_remaining -= part.len();
+                if text_bytes > 0 {
                     self.text.extend_from_slice(&part);
                 }
                 continue;
             }
-            match httparse::parse_chunk_size(bytes).map_err(|_| unreadable("a bad chunk"))? {
+            match httparse::parse_chunk_size(bytes)
+                .map_err(|_| invalid_data("invalid chunk size"))?
+            {
                 httparse::Status::Partial => break,
                 httparse::Status::Complete((start, size)) => {
                     let size = usize::try_from(size).unwrap_or(usize::MAX);
-                    self.chunk = size.saturating_add(CHUNK_END);
+                    self.chunk_remaining = size.saturating_add(CHUNK_END_BYTES);
                     let _ = bytes.split_to(start);
                 }
             }
         }
-        if self.text.len() > MOST_LINE {
-            Err(unreadable("an endless line"))
+        if self.text.len() > MAX_LINE_BYTES {
+            Err(invalid_data("a line is too long"))
         } else {
             Ok(())
         }
     }
 
-    /// The next line, without its end.
-    fn line(&mut self) -> Option<Vec<u8>> {
+    /// Takes the next complete line, without its line end.
+    fn next_line(&mut self) -> Option<Vec<u8>> {
         let end = self.text.iter().position(|byte| *byte == b'\n')?;
         let mut line: Vec<u8> = self.text.drain(..=end).collect();
         line.truncate(end);
@@ -269,22 +286,24 @@
     }
 }
 
-impl Decoder for Events {
+impl Decoder for EventDecoder {
     type Item = Option<Change>;
     type Error = io::Error;
 
     fn decode(&mut self, bytes: &mut bytes::BytesMut) -> io::Result<Option<Self::Item>> {
-        if !self.begun && !self.head(bytes)? {
+        if !self.has_head && !self.read_head(bytes)? {
             return Ok(None);
         }
-        self.body(bytes)?;
-        while let Some(line) = self.line() {
+        self.read_body(bytes)?;
+        while let Some(line) = self.next_line() {
             if let Some(data) = line.strip_prefix(b"data:") {
                 self.data.extend_from_slice(data);
             } else if line.is_empty() && !self.data.is_empty() {
                 let data = std::mem::take(&mut self.data);
-                let text = std::str::from_utf8(&data).map_err(|_| unreadable("not UTF-8"))?;
-                let change = json::from_str(text).map_err(|_| unreadable("an unreadable event"))?;
+                let text = std::str::from_utf8(&data)
+                    .map_err(|_| invalid_data("an event is not UTF-8"))?;
+                let change = json::from_str(text)
+                    .map_err(|_| invalid_data("an event is not a valid change"))?;
                 return Ok(Some(Some(change)));
             } else if line.starts_with(b":") {
                 return Ok(Some(None));
@@ -302,12 +321,13 @@
     const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n";
     const DATA: &str = r#"{"seq":41,"fleet":{"rev":7,"all":false,"targets":[{"uid":"s-00c41f7a","endpoint":"127.1.0.9:10080","az":"east","model":"std","pod_group":2,"state":"up","capacity_hint":4,"boot_ms":0}]}}"#;
 
-    /// The numbers of the events in the text, which comes in pieces of so many bytes.
-    fn heard(text: &str, piece: usize) -> io::Result<Vec<u64>> {
-        let (mut events, mut bytes, mut seqs) = (Events::default(), BytesMut::new(), Vec::new());
-        for part in text.as_bytes().chunks(piece) {
+    /// Decodes the text in pieces of `piece_bytes`; returns the sequence numbers of its events.
+    fn decode_seqs(text: &str, piece_bytes: usize) -> io::Result<Vec<u64>> {
+        let (mut decoder, mut bytes, mut seqs) =
+            (EventDecoder::default(), BytesMut::new(), Vec::new());
+        for part in text.as_bytes().chunks(piece_bytes) {
             bytes.extend_from_slice(part);
-            while let Some(event) = events.decode(&mut bytes)? {
+            while let Some(event) = decoder.decode(&mut bytes)? {
                 seqs.extend(event.map(|change| change.seq));
             }
         }
@@ -315,7 +335,7 @@
     }
 
     #[test]
-    fn events_are_read_however_they_are_cut() {
+    fn events_are_decoded_whatever_the_sizes_of_the_pieces() {
         let body = format!(": hello\nid: 41\ndata: {DATA}\n\n:\n\nid: 41\r\ndata: {DATA}\r\n\r\n");
         let plain = format!("{HEAD}\r\n{body}");
         let mut chunked = format!("{HEAD}Transfer-Encoding: chunked\r\n\r\n");
@@ -324,27 +344,30 @@
             chunked.push_str(&format!("{:x}\r\n{part}\r\n", part.len()));
         }
         for text in [plain, chunked] {
-            for piece in [1, 7, 4096] {
-                assert_eq!(heard(&text, piece).expect("is read"), [41, 41]);
+            for piece_bytes in [1, 7, 4096] {
+                assert_eq!(
+                    decode_seqs(&text, piece_bytes).expect("valid events"),
+                    [41, 41]
+                );
             }
         }
     }
 
     #[test]
-    fn what_is_not_the_change_log_ends_the_connection() {
+    fn an_invalid_response_is_an_error() {
         for text in [
             "HTTP/1.1 404 Not Found\r\n\r\n".to_string(),
             "no HTTP at all\r\n\r\n".to_string(),
             format!("{HEAD}\r\ndata: not JSON\n\n"),
             format!("{HEAD}Transfer-Encoding: chunked\r\n\r\nxyz\r\n"),
-            format!("{HEAD}\r\n{}", "x".repeat(MOST_LINE + 1)),
+            format!("{HEAD}\r\n{}", "x".repeat(MAX_LINE_BYTES + 1)),
         ] {
-            assert!(heard(&text, 4096).is_err(), "{:.60}", text);
+            assert!(decode_seqs(&text, 4096).is_err(), "{:.60}", text);
         }
     }
 
     #[test]
-    fn the_list_at_the_start_is_what_the_changes_leave() {
+    fn changes_are_applied_in_order_to_the_initial_list() {
         let target = |uid: &str, state: &str| Target {
             uid: uid.to_string(),
             state: state.to_string(),
--- a/dispatcher/src/control_socket.rs
+++ b/dispatcher/src/control_socket.rs
@@ -1,7 +1,7 @@
-//! The door for operators: one line from each caller, and its answer.
+//! The control socket: operators connect, send one command line and get its answer.
 //!
-//! It has a thread of its own and reads what is published, so that no call waits for the brokers or behind
-//! requests. Callers that connect and finish nothing hold a bounded number of places for a bounded time.
+//! It runs on a separate thread and reads only published state, so that no command waits for the brokers or for requests.
+//! The number of callers without a complete line is bounded, and so is the time that each may take.
 
 use crate::drain_manager::DrainManager;
 use futures::StreamExt;
@@ -21,28 +21,29 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// A caller has so long for its line and for taking its answer.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-/// What a caller still says when it has its answer is read for so long, and so much of it: closing on bytes
-/// that nobody has read would take the answer away from it.
-const FAREWELL: Duration = Duration::from_millis(500);
-const MOST_FAREWELL: u64 = 64 * 1024;
-/// A pause after an accept that failed, so that a lack of descriptors does not spin.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Time limit for receiving a command line, and again for sending its answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bounds of the lingering close: after the answer, further input is read and discarded. A close with unread input resets
+/// the connection, and the caller could lose its answer.
+const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_LINGERING_CLOSE_BYTES: u64 = 64 * 1024;
+/// Pause after a failed accept, so that a lack of descriptors doesn't make the loop spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the door answers from.
+/// What the commands read and change.
 #[derive(Clone)]
 pub struct ControlContext {
     pub drain_manager: DrainManager,
     pub metrics: Figures,
     pub clock: Clock,
-    /// Callers at once; beyond it whoever has been here for longest without a whole line gives way.
+    /// Concurrent callers without an answer. Beyond that, the one that has been without a complete line for longest is
+    /// disconnected.
     pub max_callers: usize,
-    /// Held by callers that have their answer and are still there.
+    /// Permits for callers in their lingering close.
     pub lingering_closes: Arc<Semaphore>,
 }
 
-/// Opens the door, on a thread of its own.
+/// Opens the control socket and serves it on a separate thread; returns its address.
 pub async fn open(address: SocketAddr, context: ControlContext) -> io::Result<SocketAddr> {
     let listener = listen(address).await?.into_std()?;
     let address = listener.local_addr()?;
@@ -50,9 +51,9 @@
         .enable_all()
         .build()?;
     let run = move || {
-        let kept = runtime.block_on(async { tokio::spawn(keep(listener, context)).await });
-        // Without a door the front would take the dispatcher for dead, and nobody would know why.
-        log::error!("the door died: {kept:?}");
+        let result = runtime.block_on(async { tokio::spawn(serve(listener, context)).await });
+        // Without this socket the platform's front would take the dispatcher for dead, with no trace of the reason.
+        log::error!("the control socket failed: {result:?}");
         std::process::exit(1);
     };
     std::thread::Builder::new()
@@ -61,105 +62,110 @@
     Ok(address)
 }
 
-/// Serves callers for ever.
-async fn keep(listener: Bound, context: ControlContext) -> io::Result<()> {
+/// Serves callers; returns only on an error.
+async fn serve(listener: Bound, context: ControlContext) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
     let mut callers = FuturesUnordered::new();
-    let mut waiting: VecDeque<CancellationToken> = VecDeque::new();
-    // Each caller without its answer has one of these.
-    let places = Arc::new(());
+    let mut without_line: VecDeque<CancellationToken> = VecDeque::new();
+    // Each caller without an answer holds a clone.
+    let caller_count = Arc::new(());
     loop {
-        waiting.retain(|caller| !caller.is_cancelled());
-        let full = Arc::strong_count(&places) > context.max_callers;
+        without_line.retain(|eviction| !eviction.is_cancelled());
+        let is_full = Arc::strong_count(&caller_count) > context.max_callers;
         tokio::select! {
             biased;
             Some(()) = callers.next() => {}
-            // Those who take their answer soon have it; more than these wait to be accepted.
-            accepted = listener.accept(), if !full || !waiting.is_empty() => match accepted {
+            // When all callers have sent their line, further ones wait in the accept queue until an answer is sent.
+            accepted = listener.accept(), if !is_full || !without_line.is_empty() => match accepted {
                 Ok((stream, _)) => {
-                    if full && let Some(longest) = waiting.pop_front() {
-                        longest.cancel();
+                    if is_full && let Some(oldest) = without_line.pop_front() {
+                        oldest.cancel();
                     }
-                    let gives_way = CancellationToken::new();
-                    waiting.push_back(gives_way.clone());
-                    callers.push(caller(SocketStream::new(stream), context.clone(), gives_way, places.clone()));
+                    let eviction = CancellationToken::new();
+                    without_line.push_back(eviction.clone());
+                    callers.push(serve_caller(SocketStream::new(stream), context.clone(), eviction, caller_count.clone()));
                 }
                 Err(error) => {
-                    log::warn!("the door: {error}");
-                    sleep(PAUSE).await;
+                    log::warn!("can't accept a caller of the control socket: {error}");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// One caller, until it has its answer, its time is over or it gives way.
-async fn caller(
+/// Serves one caller until it has its answer, its time is over or it is evicted.
+async fn serve_caller(
     mut stream: SocketStream,
     context: ControlContext,
-    gives_way: CancellationToken,
-    place: Arc<()>,
+    eviction: CancellationToken,
+    caller_guard: Arc<()>,
 ) {
-    let asked = tokio::select! {
+    let received = tokio::select! {
         biased;
-        asked = timeout(CALL_LIMIT, line(&mut stream)) => asked,
-        () = gives_way.cancelled() => return,
+        received = timeout(CALL_TIMEOUT, read_line(&mut stream)) => received,
+        () = eviction.cancelled() => return,
     };
-    // It waits for nobody any more, and so gives way to nobody.
-    gives_way.cancel();
-    let answered = match asked {
-        Ok(Ok(Some(line))) => answer(&mut stream, &context, &line).await,
+    // A caller whose line is complete can't be evicted any more: this takes it from the list of candidates.
+    eviction.cancel();
+    let result = match received {
+        Ok(Ok(Some(line))) => send_answer(&mut stream, &context, &line).await,
         Ok(Ok(None)) => return,
         Ok(Err(error)) => Err(error),
         Err(_) => Err(io::Error::new(
             io::ErrorKind::TimedOut,
-            "no whole line in time",
+            "no complete line in time",
         )),
     };
-    if let Err(error) = answered {
-        log::debug!("a caller at the door: {error}");
+    if let Err(error) = result {
+        log::debug!("a caller of the control socket: {error}");
         return;
     }
-    drop(place);
-    // Where too many stay with their answer, those who come now go without a farewell.
-    if let Ok(_farewell) = context.lingering_closes.try_acquire() {
-        let mut rest = stream.take(MOST_FAREWELL);
+    drop(caller_guard);
+    // Without a free permit the connection is closed at once.
+    if let Ok(_permit) = context.lingering_closes.try_acquire() {
+        let mut remaining_input = stream.take(MAX_LINGERING_CLOSE_BYTES);
         let mut sink = tokio::io::sink();
-        // Whether it is read to its end matters no more.
-        let _ = timeout(FAREWELL, tokio::io::copy(&mut rest, &mut sink)).await;
+        // The answer is sent, so a failure here doesn't matter.
+        let _ = timeout(
+            LINGERING_CLOSE_TIMEOUT,
+            tokio::io::copy(&mut remaining_input, &mut sink),
+        )
+        .await;
     }
 }
 
-/// The line of a caller; `None` where it ended without a word.
-async fn line(stream: &mut SocketStream) -> io::Result<Option<Vec<u8>>> {
+/// Reads the line of a caller; `None` if the caller closed its side without sending anything.
+async fn read_line(stream: &mut SocketStream) -> io::Result<Option<Vec<u8>>> {
     let mut line = Vec::new();
-    let mut bytes = [0; MOST_LINE];
+    let mut buffer = [0; MOST_LINE];
     loop {
-        let room = bytes.len() - line.len();
-        let count = stream.read(&mut bytes[..room]).await?;
-        line.extend_from_slice(&bytes[..count]);
+        let remaining_bytes = buffer.len() - line.len();
+        let count = stream.read(&mut buffer[..remaining_bytes]).await?;
+        line.extend_from_slice(&buffer[..count]);
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
             return Ok(Some(line));
         }
-        // A caller that ends its side has said all that it will.
+        // The end of the stream, or the maximum length, ends the line too.
         if count == 0 || line.len() >= MOST_LINE {
             return Ok(Some(line).filter(|line| !line.is_empty()));
         }
     }
 }
 
-async fn answer(
+async fn send_answer(
     stream: &mut SocketStream,
     context: &ControlContext,
     line: &[u8],
 ) -> io::Result<()> {
-    let told = told(context, line);
-    timeout(CALL_LIMIT, stream.write_all(told.as_bytes())).await??;
+    let answer = execute(context, line);
+    timeout(CALL_TIMEOUT, stream.write_all(answer.as_bytes())).await??;
     stream.shutdown().await
 }
 
-fn told(context: &ControlContext, line: &[u8]) -> String {
+/// Executes a command line; returns the text of its answer.
+fn execute(context: &ControlContext, line: &[u8]) -> String {
     match Call::read(line) {
         Some(Call::Ping) if context.drain_manager.state().ready => "200 ready\n".to_string(),
         Some(Call::Ping) => "400 not ready\n".to_string(),
@@ -168,12 +174,12 @@
             Err(error) => format!("400 {error}\n"),
         },
         Some(Call::LameDuck) => {
-            log::info!("lame duck: clients are sent away");
+            log::info!("lame duck: draining client connections");
             context.drain_manager.update(Drain::lame_duck);
             "200 draining\n".to_string()
         }
         Some(Call::Rejoin) if context.drain_manager.update(|drain, _| drain.rejoin()) => {
-            log::info!("rejoined: clients are taken");
+            log::info!("rejoined: accepting clients");
             "200 serving\n".to_string()
         }
         Some(Call::Rejoin) => "400 the process is ending\n".to_string(),
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -1,7 +1,7 @@
-//! New configurations while the program runs: SIGHUP has the files read again.
+//! Configuration reload: SIGHUP makes the dispatcher read its files again.
 //!
-//! A file is taken whole or not at all. What it changes are the settings and the address of the change log;
-//! every other key takes a restart.
+//! A file is applied completely or not at all. Only the settings and the address of the change log change; every other key
+//! needs a restart.
 
 use crate::config::{self, Config, ConfigError, Environment, config_error};
 use miniserde::json::{self, Value};
@@ -17,14 +17,14 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A file that is bad may be half written still: it is read again so often, at this distance.
-const TRIES: u32 = 4;
-/// What is counted of it must show within half a second.
-const BETWEEN: Duration = Duration::from_millis(100);
-/// The list so far is news of its own, and need not be of the form that it had.
-const SKIPPED: [&str; 1] = ["known"];
+/// An invalid file may be only partly written, so it is read up to this many times, this far apart.
+const MAX_ATTEMPTS: u32 = 4;
+/// All attempts together must end soon enough that the metric of a reload shows within half a second.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Keys whose content is not compared with the running file: the initial engine list may differ in any way.
+const UNCOMPARED_KEYS: [&str; 1] = ["known"];
 
-/// Where the configuration is read from, now and later.
+/// Where the configuration is read from, at the start and at each reload.
 pub struct ConfigSource {
     pub environment: Environment,
     pub own_config_path: Option<PathBuf>,
@@ -35,97 +35,110 @@
         config::load(&self.environment, self.own_config_path.as_deref())
     }
 
-    /// The same at a start beside a process that has a file in use: what it would turn down is not begun with.
-    pub fn load_for_upgrade(&self, in_use: &str) -> Result<Config, ConfigError> {
-        let running: Option<Value> = json::from_str(in_use).ok();
-        let lacks = |config: &Config| {
-            let running = running.as_ref();
-            running.and_then(|running| file::missing(running, &config.platform_config, &SKIPPED))
+    /// Loads the configuration of a process that starts beside another one. A file that the other process would reject at a
+    /// reload is not used; the text that the other process uses is loaded instead.
+    pub fn load_for_upgrade(&self, peer_config_text: &str) -> Result<Config, ConfigError> {
+        let peer_config: Option<Value> = json::from_str(peer_config_text).ok();
+        let missing_key = |config: &Config| {
+            let peer_config = peer_config.as_ref();
+            peer_config.and_then(|peer_config| {
+                file::missing(peer_config, &config.platform_config, &UNCOMPARED_KEYS)
+            })
         };
-        let why = match self.load() {
-            Ok(config) => match lacks(&config) {
+        let error = match self.load() {
+            Ok(config) => match missing_key(&config) {
                 None => return Ok(config),
                 Some(key) => config_error(&key, "missing"),
             },
-            Err(wrong) => wrong,
+            Err(error) => error,
         };
-        log::warn!("beginning with the configuration in use: {why}");
+        log::warn!("starting with the configuration of the running process: {error}");
         config::load_from_text(
             &self.environment,
-            in_use.to_string(),
+            peer_config_text.to_string(),
             self.own_config_path.as_deref(),
         )
     }
 }
 
-/// What hears of a new configuration.
+/// Reloads the configuration and passes it to the components that use it.
 pub struct ConfigReloader {
     pub source: ConfigSource,
-    /// The platform's file that was last taken.
+    /// The platform's file that was applied last.
     pub applied_config: Value,
     pub router: RequestRouter,
     pub change_log_address: watch::Sender<Option<SocketAddr>>,
     pub connection_limits: watch::Sender<Connections>,
-    /// The text of the file that is in use.
+    /// The text of that file.
     pub applied_config_text: watch::Sender<Arc<str>>,
-    /// Classes may have been retired.
+    /// Notified after a reload, which may have retired classes.
     pub names_retired: watch::Sender<()>,
     pub metrics: Figures,
 }
 
 impl ConfigReloader {
-    /// Reads the configuration again at each hangup, for ever.
+    /// Reloads the configuration at each SIGHUP.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             let mut attempt = 1;
-            while let Err(wrong) = self.read().await {
-                log::warn!("the running configuration is kept ({attempt} of {TRIES}): {wrong}");
-                if attempt == TRIES {
+            while let Err(error) = self.reload().await {
+                log::warn!(
+                    "the running configuration is kept ({attempt} of {MAX_ATTEMPTS}): {error}"
+                );
+                if attempt == MAX_ATTEMPTS {
                     self.metrics.reloaded(false);
                     break;
                 }
                 attempt += 1;
                 tokio::select! {
-                    // This hangup reads a newer file; the one before is not waited for any longer.
-                    again = hangup.recv() => {
-                        if again.is_none() {
+                    // A new signal announces a newer file, so the attempts start again and the earlier reload counts as failed.
+                    signal = hangup.recv() => {
+                        if signal.is_none() {
                             return;
                         }
                         self.metrics.reloaded(false);
                         attempt = 1;
                     }
-                    () = sleep(BETWEEN) => {}
+                    () = sleep(RETRY_DELAY) => {}
                 }
             }
         }
     }
 
-    /// Reads the files, and takes them where nothing is wrong with them.
-    async fn read(&mut self) -> Result<(), ConfigError> {
+    /// Reads the files and applies them if they are valid.
+    async fn reload(&mut self) -> Result<(), ConfigError> {
         let config = self.source.load()?;
-        if let Some(key) = file::missing(&self.applied_config, &config.platform_config, &SKIPPED) {
+        if let Some(key) = file::missing(
+            &self.applied_config,
+            &config.platform_config,
+            &UNCOMPARED_KEYS,
+        ) {
             return Err(config_error(
                 &key,
-                "it is there in the running configuration, and missing now",
+                "it is in the running configuration and missing from the new one",
             ));
         }
         if !self.router.reconfigure(&config.runtime_settings()).await {
-            let why = format!("there are more than {MOST_PLACES}, with those that end");
-            return Err(config_error("settings.services or settings.tenants", why));
+            let reason =
+                format!("there are more than {MOST_PLACES}, including those being retired");
+            return Err(config_error(
+                "settings.services or settings.tenants",
+                reason,
+            ));
         }
         self.metrics.reloaded(true);
         self.names_retired.send_replace(());
         self.connection_limits
             .send_replace(config.connection_limits);
-        let moved = self.change_log_address.send_if_modified(|address| {
+        let has_moved = self.change_log_address.send_if_modified(|address| {
             std::mem::replace(address, config.change_log_address) != config.change_log_address
         });
-        match (moved, config.change_log_address) {
+        match (has_moved, config.change_log_address) {
             (false, _) => log::info!("the configuration was read again and taken"),
             (true, Some(address)) => {
-                log::info!("taken; the change log is at {address} from now on")
+                log::info!("configuration applied; the change log is now at {address}")
             }
-            (true, None) => log::info!("taken; there is no change log from now on"),
+            (true, None) => log::info!("configuration applied; there is no change log now"),
         }
         self.applied_config = config.platform_config;
         self.applied_config_text
