--- a/dispatcher/src/peer_process.rs
+++ b/dispatcher/src/peer_process.rs
@@ -1,6 +1,8 @@
-//! Other processes of one dispatcher: what they hold is heard, and what this one holds is told to them.
+//! Exchange of state between the processes of one dispatcher, as during an upgrade: usage of shared limits, and the state
+//! that a process hands over to its successor.
 //!
-//! They look for one another ten times a second in a folder that they share, and write only while there is another.
+//! Each process looks for peers ten times a second in a shared directory, and writes its message there only while there is
+//! a peer.
 
 mod shared_directory;
 
@@ -21,108 +23,109 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Time between two looks for others, drawn from so far below to so far above.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-const SPREAD: f64 = 0.2;
-/// A process that starts waits so long for a share of the one that serves: three looks, and one to spare.
-const SHARE_WITHIN: Duration = Duration::from_millis(400);
-const SHARE_LOOK: Duration = Duration::from_millis(20);
-/// A process that can't join at once tries for so long before it starts without; it has to be ready within six seconds.
-const JOIN_WITHIN: Duration = Duration::from_millis(500);
+/// Time between two polls of the shared directory, and its relative jitter in either direction.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const POLL_JITTER: f64 = 0.2;
+/// How long a starting process waits for the message of the serving one: three of its poll intervals, and one to spare.
+const PREDECESSOR_TIMEOUT: Duration = Duration::from_millis(400);
+const PREDECESSOR_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a process retries to join before it starts without; it must be ready within six seconds.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What each other process that lives was seen to tell.
-type Seen = Vec<(Incarnation, Option<HandoverMessage>)>;
+/// Each live peer, with its last message if there is a valid one.
+type PeerMessages = Vec<(Incarnation, Option<HandoverMessage>)>;
 
-/// This process among those of its dispatcher.
+/// The membership of this process among those of its dispatcher.
 pub enum GroupMember {
     Joined(SharedDirectory),
-    /// Its files can't be written yet: whether there are others is not known.
+    /// The shared directory can't be written yet, so it is not known whether there are peers.
     Joining(SharedDirectoryPath),
 }
 
 impl GroupMember {
-    /// Joins those that are there, and hears from the one that serves.
-    pub async fn join(place: SharedDirectoryPath) -> (GroupMember, Option<HandoverMessage>) {
-        match timeout(JOIN_WITHIN, place.join_with_retries()).await {
-            Ok(folder) => {
-                let handed = handed(&folder).await;
-                (GroupMember::Joined(folder), handed)
+    /// Joins the shared directory and reads the message of the serving process, if there is one.
+    pub async fn join(path: SharedDirectoryPath) -> (GroupMember, Option<HandoverMessage>) {
+        match timeout(JOIN_TIMEOUT, path.join_with_retries()).await {
+            Ok(directory) => {
+                let predecessor_message = wait_for_predecessor(&directory).await;
+                (GroupMember::Joined(directory), predecessor_message)
             }
-            Err(_) => (GroupMember::Joining(place), None),
+            Err(_) => (GroupMember::Joining(path), None),
         }
     }
 }
 
-/// What the process that serves tells, where there is one.
-async fn handed(folder: &SharedDirectory) -> Option<HandoverMessage> {
-    let until = Instant::now() + SHARE_WITHIN;
-    let mut pair = ProcessPair::new(folder.own);
+/// Waits for the message of the serving process; `None` without one.
+async fn wait_for_predecessor(directory: &SharedDirectory) -> Option<HandoverMessage> {
+    let deadline = Instant::now() + PREDECESSOR_TIMEOUT;
+    let mut pair = ProcessPair::new(directory.own_incarnation);
     loop {
-        let seen = folder.read_peers();
-        let alone = seen.as_ref().is_ok_and(Vec::is_empty);
-        if alone || Instant::now() >= until {
+        let peers = directory.read_peers();
+        let is_alone = peers.as_ref().is_ok_and(Vec::is_empty);
+        if is_alone || Instant::now() >= deadline {
             return None;
         }
-        let seen = seen.unwrap_or_default();
-        pair.update(Phase::Starting, lives(&seen));
-        let heir = pair.predecessor();
-        let told = seen.into_iter().find(|(life, _)| Some(*life) == heir);
-        if let Some((_, Some(share))) = told {
-            return Some(share);
+        let peers = peers.unwrap_or_default();
+        pair.update(Phase::Starting, peer_phases(&peers));
+        let predecessor = pair.predecessor();
+        let found = peers
+            .into_iter()
+            .find(|(incarnation, _)| Some(*incarnation) == predecessor);
+        if let Some((_, Some(message))) = found {
+            return Some(message);
         }
-        sleep(SHARE_LOOK).await;
+        sleep(PREDECESSOR_POLL_INTERVAL).await;
     }
 }
 
-fn lives(seen: &Seen) -> Vec<(Incarnation, Option<Phase>)> {
-    let lives = seen.iter();
-    lives
-        .map(|(life, share)| (*life, phase(share.as_ref())))
+fn peer_phases(peers: &PeerMessages) -> Vec<(Incarnation, Option<Phase>)> {
+    let peers = peers.iter();
+    peers
+        .map(|(incarnation, message)| (*incarnation, phase(message.as_ref())))
         .collect()
 }
 
-fn phase(share: Option<&HandoverMessage>) -> Option<Phase> {
-    share.map(|share| share.status.phase)
+fn phase(message: Option<&HandoverMessage>) -> Option<Phase> {
+    message.map(|message| message.status.phase)
 }
 
-/// What others leave of the limits of one dispatcher.
+/// What the peers use of the limits of the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerUsage {
-    /// Among how many processes limits are divided.
+    /// Number of processes among which limits are divided, this one included.
     pub process_count: usize,
-    /// Sessions that the others have.
+    /// Sessions of the peers.
     pub session_count: usize,
 }
 
 impl PeerUsage {
-    /// There are none.
+    /// There are no peers.
     pub const NONE: PeerUsage = PeerUsage {
         process_count: 1,
         session_count: 0,
     };
-    /// There may be another, of which nothing is known.
+    /// There may be a peer, of which nothing is known.
     const UNKNOWN: PeerUsage = PeerUsage {
         process_count: 2,
         session_count: 0,
     };
 }
 
-/// What this process tells of itself.
+/// The parts of this process whose state goes into its messages.
 pub struct ProcessContext {
     pub clock: Clock,
     pub router: RequestRouter,
     pub session_slots: SessionSlots,
     pub drain_state: watch::Receiver<Orders>,
-    /// The change log's number.
     pub change_log_position: watch::Receiver<crate::change_log::ChangeLogPosition>,
-    /// The platform's file that is in use.
+    /// The text of the platform's file that is in use.
     pub applied_config_text: watch::Receiver<Arc<str>>,
 }
 
 impl ProcessContext {
     fn phase(&self) -> Phase {
-        let orders = *self.drain_state.borrow();
-        match orders {
+        let drain_state = *self.drain_state.borrow();
+        match drain_state {
             Orders { ends: true, .. } => Phase::Ending,
             Orders {
                 prepared: false, ..
@@ -135,174 +138,204 @@
         self.clock.micros(Instant::now())
     }
 
-    /// What it tells to those that it has found.
-    async fn share(&self, name: &str, found: Vec<Incarnation>) -> HandoverMessage {
-        // The number first: a list that is newer than its number only hears of some change twice.
+    /// Composes the message for the peers found.
+    async fn compose_message(
+        &self,
+        dispatcher_name: &str,
+        peers: Vec<Incarnation>,
+    ) -> HandoverMessage {
+        // The sequence number is read before the list: a list newer than its number at worst gets a change twice.
         let seq = self.change_log_position.borrow().seq;
-        let file = self.applied_config_text.borrow().to_string();
-        let (targets, drained, tenants) = self.router.replicated_state().await;
-        let held = self.router.handover_state().await;
+        let config_text = self.applied_config_text.borrow().to_string();
+        let (targets, drained_engines, tenants) = self.router.replicated_state().await;
+        let handover_state = self.router.handover_state().await;
         HandoverMessage {
             status: ProcessStatus {
-                dispatcher_name: name.to_string(),
+                dispatcher_name: dispatcher_name.to_string(),
                 written_at_unix_us: unix_now().0,
                 writer_clock: Some(self.now()),
-                known_processes: Some(found),
+                known_processes: Some(peers),
                 phase: self.phase(),
                 change_log_seq: seq,
                 targets,
                 session_count: self.session_slots.in_use(),
-                drained_engines: drained,
+                drained_engines,
                 tenants,
-                config_text: file,
+                config_text,
             },
-            handover_state: held,
+            handover_state,
         }
     }
 }
 
-/// Takes part as long as the process runs, and tells what the others leave.
-pub async fn run(member: GroupMember, own: ProcessContext, left: watch::Sender<PeerUsage>) {
-    let (folder, known) = match member {
-        GroupMember::Joined(folder) => (folder, Some(PeerUsage::NONE.process_count)),
-        GroupMember::Joining(place) => {
-            // As beside one that sends to cold engines and has half of all limits.
-            left.send_replace(PeerUsage::UNKNOWN);
-            own.router
+/// Exchanges messages with the peers and publishes their usage; never returns.
+pub async fn run(
+    member: GroupMember,
+    context: ProcessContext,
+    peer_usage: watch::Sender<PeerUsage>,
+) {
+    let (directory, published_count) = match member {
+        GroupMember::Joined(directory) => (directory, Some(PeerUsage::NONE.process_count)),
+        GroupMember::Joining(path) => {
+            // Assumes a peer that sends to cold engines and has half of all limits.
+            peer_usage.send_replace(PeerUsage::UNKNOWN);
+            context
+                .router
                 .set_peer_process_usage(HandoverState::default(), false)
                 .await;
-            (place.join_with_retries().await, None)
+            (path.join_with_retries().await, None)
         }
     };
-    Meeting::new(folder, own).hold(known, left).await;
+    PeerExchange::new(directory, context)
+        .run(published_count, peer_usage)
+        .await;
 }
 
-/// This process's regular looks for the others.
-struct Meeting {
-    folder: Arc<SharedDirectory>,
-    own: ProcessContext,
+/// The exchange of messages through the shared directory.
+struct PeerExchange {
+    directory: Arc<SharedDirectory>,
+    context: ProcessContext,
     pair: ProcessPair,
-    seen: Seen,
+    peers: PeerMessages,
     freshness: Freshness,
-    seed: u64,
+    jitter_seed: u64,
 }
 
-impl Meeting {
-    fn new(folder: SharedDirectory, own: ProcessContext) -> Meeting {
-        let Incarnation { generation, nonce } = folder.own;
-        Meeting {
-            pair: ProcessPair::new(folder.own),
-            seed: generation ^ u64::from(nonce),
-            folder: Arc::new(folder),
-            own,
-            seen: Vec::new(),
+impl PeerExchange {
+    fn new(directory: SharedDirectory, context: ProcessContext) -> PeerExchange {
+        let Incarnation { generation, nonce } = directory.own_incarnation;
+        PeerExchange {
+            pair: ProcessPair::new(directory.own_incarnation),
+            jitter_seed: generation ^ u64::from(nonce),
+            directory: Arc::new(directory),
+            context,
+            peers: Vec::new(),
             freshness: Freshness::default(),
         }
     }
 
-    /// Looks and tells for ever. Until now limits were divided among so many processes; `None` where that was a guess.
-    async fn hold(mut self, mut known: Option<usize>, left: watch::Sender<PeerUsage>) {
-        let alone = Some(PeerUsage::NONE.process_count);
+    /// Polls and publishes; never returns. `published_count` is the number of processes among which limits were divided
+    /// before; `None` if that was a guess.
+    async fn run(
+        mut self,
+        mut published_count: Option<usize>,
+        peer_usage: watch::Sender<PeerUsage>,
+    ) {
+        let alone_count = Some(PeerUsage::NONE.process_count);
         loop {
-            self.look().await;
-            let others = self.others();
-            let parts = Some(others.process_count);
-            if parts != known {
-                log::info!("{} processes serve as one dispatcher", others.process_count);
+            self.refresh_peers().await;
+            let usage = self.peer_usage();
+            let process_count = Some(usage.process_count);
+            if process_count != published_count {
+                log::info!("{} processes serve as one dispatcher", usage.process_count);
             }
-            left.send_if_modified(|left| std::mem::replace(left, others) != others);
-            // The brokers first: what is told next may have the other begin with what this one must leave.
-            if parts != alone || known != alone {
-                self.tell_brokers().await;
+            peer_usage.send_if_modified(|published| std::mem::replace(published, usage) != usage);
+            // The brokers first: a peer that reads the next message may take capacity that the brokers must release before.
+            if process_count != alone_count || published_count != alone_count {
+                self.update_brokers().await;
             }
-            if parts != alone {
-                self.tell_others().await;
+            if process_count != alone_count {
+                self.publish_message().await;
             }
-            known = parts;
-            sleep_until(Instant::now() + self.pause()).await;
+            published_count = process_count;
+            sleep_until(Instant::now() + self.next_poll_delay()).await;
         }
     }
 
-    /// Sees who is there. Where that fails for a moment, those seen last are still there, in a phase that is not known.
-    async fn look(&mut self) {
-        let folder = self.folder.clone();
-        let seen = tokio::task::spawn_blocking(move || folder.read_peers()).await;
-        match seen.map_err(io::Error::other).and_then(|seen| seen) {
-            Ok(seen) => self.seen = seen,
+    /// Reads the live peers and their messages. If that fails, the peers of the last poll count as live, in an unknown phase.
+    async fn refresh_peers(&mut self) {
+        let directory = self.directory.clone();
+        let peers = tokio::task::spawn_blocking(move || directory.read_peers()).await;
+        match peers.map_err(io::Error::other).and_then(|peers| peers) {
+            Ok(peers) => self.peers = peers,
             Err(error) => {
-                log::warn!("looking for other processes: {error}");
-                self.seen.iter_mut().for_each(|(_, share)| *share = None);
+                log::warn!("can't look for other processes: {error}");
+                self.peers
+                    .iter_mut()
+                    .for_each(|(_, message)| *message = None);
             }
         }
-        let now = self.own.now();
-        for (life, share) in &mut self.seen {
-            let fresh = |told: &HandoverMessage| {
+        let now = self.context.now();
+        for (incarnation, message) in &mut self.peers {
+            let is_fresh = |received: &HandoverMessage| {
                 self.freshness
-                    .is_fresh(*life, told.status.written_at_unix_us, now)
+                    .is_fresh(*incarnation, received.status.written_at_unix_us, now)
             };
-            *share = share.take().filter(fresh);
+            *message = message.take().filter(is_fresh);
         }
-        self.freshness.retain(&self.found());
-        self.pair.update(self.own.phase(), lives(&self.seen));
+        self.freshness.retain(&self.live_peers());
+        self.pair
+            .update(self.context.phase(), peer_phases(&self.peers));
     }
 
-    fn found(&self) -> Vec<Incarnation> {
-        self.seen.iter().map(|(life, _)| *life).collect()
+    fn live_peers(&self) -> Vec<Incarnation> {
+        self.peers
+            .iter()
+            .map(|(incarnation, _)| *incarnation)
+            .collect()
     }
 
-    fn others(&self) -> PeerUsage {
-        let told = self.seen.iter().filter_map(|(_, share)| share.as_ref());
+    fn peer_usage(&self) -> PeerUsage {
+        let messages = self
+            .peers
+            .iter()
+            .filter_map(|(_, message)| message.as_ref());
         PeerUsage {
             process_count: self.pair.process_count(),
-            session_count: told.map(|share| share.status.session_count).sum(),
+            session_count: messages.map(|message| message.status.session_count).sum(),
         }
     }
 
-    async fn tell_brokers(&self) {
-        let now = self.own.now();
-        let told = self.seen.iter().filter_map(|(_, share)| share.as_ref());
-        let held = told.fold(HandoverState::default(), |sum, share| {
-            sum.merge(share.handover_state_at(now))
+    async fn update_brokers(&self) {
+        let now = self.context.now();
+        let messages = self
+            .peers
+            .iter()
+            .filter_map(|(_, message)| message.as_ref());
+        let usage = messages.fold(HandoverState::default(), |sum, message| {
+            sum.merge(message.handover_state_at(now))
         });
-        self.own
+        self.context
             .router
-            .set_peer_process_usage(held, self.pair.may_use_cold_engines())
+            .set_peer_process_usage(usage, self.pair.may_use_cold_engines())
             .await;
     }
 
-    async fn tell_others(&self) {
-        let share = self
-            .own
-            .share(&self.folder.dispatcher_name, self.found())
+    async fn publish_message(&self) {
+        let message = self
+            .context
+            .compose_message(&self.directory.dispatcher_name, self.live_peers())
             .await;
-        let folder = self.folder.clone();
-        let written = tokio::task::spawn_blocking(move || folder.publish(&share)).await;
-        if let Err(error) = written.map_err(io::Error::other).and_then(|done| done) {
-            log::warn!("telling the other process: {error}");
+        let directory = self.directory.clone();
+        let written = tokio::task::spawn_blocking(move || directory.publish(&message)).await;
+        if let Err(error) = written.map_err(io::Error::other).and_then(|result| result) {
+            log::warn!("can't write the message for the other process: {error}");
         }
     }
 
-    fn pause(&mut self) -> Duration {
-        self.seed = sedgebeam_core::splitmix64(self.seed);
-        let draw = 2.0 * (self.seed as f64 / u64::MAX as f64) - 1.0;
-        LOOK_EVERY.mul_f64(1.0 + SPREAD * draw)
+    fn next_poll_delay(&mut self) -> Duration {
+        self.jitter_seed = sedgebeam_core::splitmix64(self.jitter_seed);
+        let draw = 2.0 * (self.jitter_seed as f64 / u64::MAX as f64) - 1.0;
+        POLL_INTERVAL.mul_f64(1.0 + POLL_JITTER * draw)
     }
 }
 
-/// Has brokers begin with what the administration had set before.
+/// Applies the drains and tenant shares that operators had set in the previous process.
 pub async fn reapply_admin_settings(
     router: &RequestRouter,
-    drained: Vec<String>,
+    drained_engines: Vec<String>,
     tenants: Vec<Tenant>,
 ) {
     let tenants = tenants.into_iter();
-    let tenants = tenants.map(|t| AdminRequest::SetTenant(t.name, t.share, t.requests_per_second));
-    let drains = drained
+    let tenants = tenants.map(|tenant| {
+        AdminRequest::SetTenant(tenant.name, tenant.share, tenant.requests_per_second)
+    });
+    let drains = drained_engines
         .into_iter()
         .map(|uid| AdminRequest::Drain(uid, true));
-    for asked in drains.chain(tenants) {
-        if let Err(denied) = router.administer(asked).await {
-            log::info!("what was set before is not set again: {denied:?}");
+    for request in drains.chain(tenants) {
+        if let Err(error) = router.administer(request).await {
+            log::info!("can't reapply a setting of the previous process: {error:?}");
         }
     }
 }
--- a/dispatcher/src/peer_process/shared_directory.rs
+++ b/dispatcher/src/peer_process/shared_directory.rs
@@ -1,7 +1,7 @@
-//! The folder that the processes of one dispatcher share, and the files of each in it.
+//! The directory that the processes of one dispatcher share, and their files in it.
 //!
-//! Each process locks a file of its own for as long as it lives, however it dies; what one has left behind, the next to
-//! look removes. A file that can't be read or written for a moment says nothing about who lives.
+//! Each process holds a lock on its own file, which the system releases however the process ends. Files of a dead process
+//! are removed by the next one that reads the directory. An I/O error says nothing about whether a process is alive.
 
 use sedgebeam_handover::{HandoverMessage, Incarnation};
 use sedgebeam_port::clock::to_micros;
@@ -13,26 +13,28 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
-const LIVES: &str = "lives-";
-const TELLS: &str = "tells-";
-/// A file has this kind until it is whole.
-const NEW: &str = "new-";
-/// Time between two tries to join.
-const JOIN_PAUSE: Duration = Duration::from_millis(50);
+/// Prefix of the lock files.
+const LOCK_PREFIX: &str = "lives-";
+/// Prefix of the message files.
+const MESSAGE_PREFIX: &str = "tells-";
+/// Prefix of files that are not complete yet.
+const INCOMPLETE_PREFIX: &str = "new-";
+/// Time between two attempts to join.
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Where the processes of a dispatcher meet.
+/// Where the shared directory of a dispatcher is.
 #[derive(Clone, Debug)]
 pub struct SharedDirectoryPath {
-    /// The folder that all of them have for temporary files.
+    /// The directory for temporary files, the same for all processes of the dispatcher.
     pub parent: PathBuf,
-    /// The dispatcher's name.
+    /// The dispatcher's name; messages of dispatchers with other names are ignored.
     pub dispatcher_name: String,
 }
 
-/// The folder, and this process in it.
+/// The shared directory, joined by this process.
 pub struct SharedDirectory {
     path: PathBuf,
-    pub(super) own: Incarnation,
+    pub(super) own_incarnation: Incarnation,
     pub(super) dispatcher_name: String,
     /// Locked until the process ends.
     _lock: File,
@@ -43,102 +45,107 @@
     to_micros(now.unwrap_or_default())
 }
 
-/// The processes that have files there, living or not.
-fn known(path: &Path) -> io::Result<Vec<Incarnation>> {
-    let mut known = Vec::new();
+/// The processes with files in the directory, alive or dead.
+fn known_incarnations(path: &Path) -> io::Result<Vec<Incarnation>> {
+    let mut incarnations = Vec::new();
     for entry in std::fs::read_dir(path)? {
         let name = entry?.file_name();
-        let kinds = [LIVES, TELLS, NEW].into_iter();
-        let mut lives = kinds.filter_map(|kind| name.to_str()?.strip_prefix(kind));
-        known.extend(lives.next().and_then(Incarnation::parse));
+        let prefixes = [LOCK_PREFIX, MESSAGE_PREFIX, INCOMPLETE_PREFIX].into_iter();
+        let mut names = prefixes.filter_map(|prefix| name.to_str()?.strip_prefix(prefix));
+        incarnations.extend(names.next().and_then(Incarnation::parse));
     }
-    Ok(known)
+    Ok(incarnations)
 }
 
-/// Tells this process apart from one that begins at the same moment.
-fn draw() -> u32 {
+/// A random number that distinguishes this process from one that starts at the same moment.
+fn random_nonce() -> u32 {
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
     hasher.finish() as u32
 }
 
 impl SharedDirectoryPath {
-    /// Makes this process known there.
+    /// Creates the directory if needed, and this process's lock file in it.
     pub fn join(&self) -> io::Result<SharedDirectory> {
         let path = self.parent.join("sedgebeam");
         DirBuilder::new()
             .recursive(true)
             .mode(0o700)
             .create(&path)?;
-        let own = Incarnation::after(known(&path)?.into_iter(), draw());
-        // Locked before it has its name: one without a lock is taken for that of a dead process.
-        let hidden = path.join(format!("{NEW}{}", own.name()));
+        let own_incarnation =
+            Incarnation::after(known_incarnations(&path)?.into_iter(), random_nonce());
+        // The file is locked before it gets its name: a lock file without a lock counts as that of a dead process.
+        let incomplete_path = path.join(format!("{INCOMPLETE_PREFIX}{}", own_incarnation.name()));
         let lock = OpenOptions::new()
             .write(true)
             .create_new(true)
-            .open(&hidden)?;
-        let named = path.join(format!("{LIVES}{}", own.name()));
-        let joined = lock.lock().and_then(|()| std::fs::rename(&hidden, named));
+            .open(&incomplete_path)?;
+        let lock_path = path.join(format!("{LOCK_PREFIX}{}", own_incarnation.name()));
+        let joined = lock
+            .lock()
+            .and_then(|()| std::fs::rename(&incomplete_path, lock_path));
         if joined.is_err() {
-            // It would stay for good, one more with each try.
-            let _ = std::fs::remove_file(&hidden);
+            // Otherwise each failed attempt would leave one more file.
+            let _ = std::fs::remove_file(&incomplete_path);
         }
         joined?;
         Ok(SharedDirectory {
             path,
-            own,
+            own_incarnation,
             dispatcher_name: self.dispatcher_name.clone(),
             _lock: lock,
         })
     }
 
-    /// Joins as soon as it can.
+    /// Retries until it has joined.
     pub async fn join_with_retries(&self) -> SharedDirectory {
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
             match self.join() {
                 Ok(folder) => return folder,
-                Err(error) if tries == 0 => {
+                Err(error) if attempts == 0 => {
                     let parent = self.parent.display();
-                    log::warn!("{parent}: {error}; trying again");
+                    log::warn!("can't join the processes in {parent}: {error}; retrying");
                 }
                 Err(_) => {}
             }
-            tries += 1;
-            sleep(JOIN_PAUSE).await;
+            attempts += 1;
+            sleep(JOIN_RETRY_DELAY).await;
         }
     }
 }
 
 impl SharedDirectory {
-    fn of(&self, kind: &str, life: Incarnation) -> PathBuf {
-        self.path.join(format!("{kind}{}", life.name()))
+    fn file_path(&self, prefix: &str, incarnation: Incarnation) -> PathBuf {
+        self.path.join(format!("{prefix}{}", incarnation.name()))
     }
 
-    /// The others that live.
-    fn others(&self) -> io::Result<Vec<Incarnation>> {
-        let mut others = Vec::new();
+    /// The live peers.
+    fn live_peers(&self) -> io::Result<Vec<Incarnation>> {
+        let mut peers = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
             let name = entry?.file_name();
-            let life = name.to_str().and_then(|name| name.strip_prefix(LIVES));
-            let life = life
+            let incarnation = name
+                .to_str()
+                .and_then(|name| name.strip_prefix(LOCK_PREFIX));
+            let incarnation = incarnation
                 .and_then(Incarnation::parse)
-                .filter(|life| *life != self.own);
-            if let Some(life) = life
-                && self.lives(life)?
+                .filter(|incarnation| *incarnation != self.own_incarnation);
+            if let Some(incarnation) = incarnation
+                && self.is_alive(incarnation)?
             {
-                others.push(life);
+                peers.push(incarnation);
             }
         }
-        Ok(others)
+        Ok(peers)
     }
 
-    /// Whether a process holds its lock; what is left of one that does not is removed.
-    fn lives(&self, life: Incarnation) -> io::Result<bool> {
-        let path = self.of(LIVES, life);
+    /// Whether a process holds its lock; the files of one that doesn't are removed.
+    fn is_alive(&self, incarnation: Incarnation) -> io::Result<bool> {
+        let path = self.file_path(LOCK_PREFIX, incarnation);
         let file = match File::open(&path) {
             Ok(file) => file,
-            // Another that looked has removed it.
+            // Another process has removed it.
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(false),
             Err(error) => return Err(error),
         };
@@ -147,43 +154,57 @@
             Err(TryLockError::Error(error)) => return Err(error),
             Ok(()) => {}
         }
-        for left in [path, self.of(TELLS, life), self.of(NEW, life)] {
-            if let Err(error) = std::fs::remove_file(&left) {
-                log::debug!("{}: {error}", left.display());
+        for leftover in [
+            path,
+            self.file_path(MESSAGE_PREFIX, incarnation),
+            self.file_path(INCOMPLETE_PREFIX, incarnation),
+        ] {
+            if let Err(error) = std::fs::remove_file(&leftover) {
+                log::debug!("can't remove {}: {error}", leftover.display());
             }
         }
         Ok(false)
     }
 
-    /// What another tells to this process.
-    fn read(&self, life: Incarnation) -> Option<HandoverMessage> {
-        let bytes = std::fs::read(self.of(TELLS, life)).ok()?;
-        let share = HandoverMessage::decode(&bytes, &self.dispatcher_name);
-        share
-            .inspect_err(|why| log::debug!("what {} tells: {why:?}", life.name()))
+    /// Reads the message of a peer if it is addressed to this process.
+    fn read_message(&self, incarnation: Incarnation) -> Option<HandoverMessage> {
+        let bytes = std::fs::read(self.file_path(MESSAGE_PREFIX, incarnation)).ok()?;
+        let message = HandoverMessage::decode(&bytes, &self.dispatcher_name);
+        message
+            .inspect_err(|error| {
+                log::debug!(
+                    "invalid message of process {}: {error:?}",
+                    incarnation.name()
+                )
+            })
             .ok()
-            .filter(|share| share.is_addressed_to(self.own, unix_now()))
+            .filter(|message| message.is_addressed_to(self.own_incarnation, unix_now()))
     }
 
-    /// Tells the others; whole, as it has its name only once it is written.
-    pub(super) fn publish(&self, share: &HandoverMessage) -> io::Result<()> {
-        let hidden = self.of(NEW, self.own);
-        std::fs::write(&hidden, share.encode())?;
-        std::fs::rename(&hidden, self.of(TELLS, self.own))
+    /// Writes the message for the peers. It gets its name once it is complete, so no peer reads part of it.
+    pub(super) fn publish(&self, message: &HandoverMessage) -> io::Result<()> {
+        let incomplete_path = self.file_path(INCOMPLETE_PREFIX, self.own_incarnation);
+        std::fs::write(&incomplete_path, message.encode())?;
+        std::fs::rename(
+            &incomplete_path,
+            self.file_path(MESSAGE_PREFIX, self.own_incarnation),
+        )
     }
 
-    /// The others that live, and what each tells.
+    /// The live peers, each with its message if there is a valid one.
     pub(super) fn read_peers(&self) -> io::Result<Vec<(Incarnation, Option<HandoverMessage>)>> {
-        let others = self.others()?.into_iter();
-        Ok(others.map(|life| (life, self.read(life))).collect())
+        let peers = self.live_peers()?.into_iter();
+        Ok(peers
+            .map(|incarnation| (incarnation, self.read_message(incarnation)))
+            .collect())
     }
 }
 
 impl Drop for SharedDirectory {
     fn drop(&mut self) {
-        for kind in [TELLS, LIVES] {
-            // What stays is removed by the next to look.
-            let _ = std::fs::remove_file(self.of(kind, self.own));
+        for prefix in [MESSAGE_PREFIX, LOCK_PREFIX] {
+            // If this fails, the next process that reads the directory removes the file.
+            let _ = std::fs::remove_file(self.file_path(prefix, self.own_incarnation));
         }
     }
 }
