--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -1,7 +1,7 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads and checks the configuration and applies defaults; no other module does.
 //!
-//! `file` reads JSON files and finds the faulty key, `keys` lists the keys and which file counts, `checks` turns their
-//! values into settings or an error, and `limits` derives sizes from the limits stated.
+//! `file` reads JSON files and finds the faulty key, `keys` declares the keys and the precedence of the files, `checks`
+//! turns their values into settings or an error, and `limits` derives sizes from the stated limits.
 
 mod checks;
 mod environment;
@@ -27,47 +27,48 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The name of a dispatcher that is given none.
+/// The name of a dispatcher whose configuration has none.
 const DEFAULT_NAME: &str = "sedgebeam";
 
-/// What a dispatcher needs to know at its start.
+/// The checked configuration of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: String,
-    /// Where clients of the PostgreSQL protocol connect.
+    /// Listen address for PostgreSQL clients.
     pub listen: SocketAddr,
-    /// Where Flight SQL clients connect.
+    /// Listen address for Flight SQL clients.
     pub flight_listen: Option<SocketAddr>,
-    /// Where the administration listens.
+    /// Listen address of the administration API.
     pub admin_listen: Option<SocketAddr>,
-    /// Where operators call.
+    /// Listen address of the control socket.
     pub control_listen: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform holds it.
+    /// The descriptor of the listening socket for PostgreSQL clients, where the platform passes one.
     pub inherited_socket: Option<i32>,
     pub change_log_address: Option<SocketAddr>,
     pub known_changes: KnownChanges,
     pub seed: u64,
-    /// What the process's descriptors are for.
+    /// The division of the file descriptors among their uses.
     pub descriptor_budget: DescriptorBudget,
-    /// The longest message that a session may send.
+    /// The longest message that a session accepts.
     pub max_message_bytes: usize,
     pub settings: Settings,
     pub names: Names,
     pub connection_limits: Connections,
-    /// Threads that serve, each with a shard of the decision module where there are several.
+    /// Threads that serve connections. Where there are several, the first `shards` of them have a shard of the gateway each.
     pub workers: usize,
     pub pin_workers: bool,
-    /// Shards of the decision module, each with a worker.
+    /// Shards of the gateway, each on one worker.
     pub shards: usize,
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// The platform's file as it was read, and its text.
+    /// The platform's file as it was read; null without one.
     pub platform_config: Value,
+    /// The text of that file; empty without one.
     pub platform_config_text: String,
 }
 
 impl Config {
-    /// What can change while the program runs.
+    /// The settings that a reload can change.
     pub fn runtime_settings(&self) -> Tuning {
         Tuning {
             settings: self.settings.clone(),
@@ -77,106 +78,112 @@
     }
 }
 
-/// The change log up to the start.
+/// The changes of the engine list that are known at the start, and the sequence number that they reach.
 #[derive(Clone, Debug, Default)]
 pub struct KnownChanges {
     pub seq: u64,
     pub changes: Vec<Change>,
 }
 
-/// Reads the environment's file and the dispatcher's own; where both hold a key, the former counts.
-pub fn load(environment: &Environment, own: Option<&Path>) -> Result<Config, ConfigError> {
+/// Reads the platform's file, which the environment names, and the dispatcher's own. A key in both is taken from the
+/// platform's file.
+pub fn load(environment: &Environment, own_path: Option<&Path>) -> Result<Config, ConfigError> {
     let path = environment.config_path.as_deref().map(Path::new);
-    build(environment, File::read("PROXY_CONFIG", path)?, own)
+    build(environment, File::read("PROXY_CONFIG", path)?, own_path)
 }
 
-/// The same from the text of the environment's file that an earlier process had in use.
+/// The same with the text of the platform's file that another process has in use.
 pub fn load_from_text(
     environment: &Environment,
-    text: String,
-    own: Option<&Path>,
+    platform_config_text: String,
+    own_path: Option<&Path>,
 ) -> Result<Config, ConfigError> {
     let path = Path::new("the file in use before");
-    let file = File::parse("PROXY_CONFIG", path, text)?;
-    build(environment, Some(file), own)
+    let file = File::parse("PROXY_CONFIG", path, platform_config_text)?;
+    build(environment, Some(file), own_path)
 }
 
 fn build(
     environment: &Environment,
-    platform: Option<File>,
-    own: Option<&Path>,
+    platform_file: Option<File>,
+    own_path: Option<&Path>,
 ) -> Result<Config, ConfigError> {
-    if environment.config_path.is_none() && own.is_none() {
-        let why = "names no file, and there is no --config";
-        return Err(config_error("PROXY_CONFIG", why));
+    if environment.config_path.is_none() && own_path.is_none() {
+        let reason = "names no file, and there is no --config";
+        return Err(config_error("PROXY_CONFIG", reason));
     }
-    let own = File::read("--config", own)?;
-    let platform_keys: SharedKeys = file::decode_or_default(platform.as_ref())?;
-    let fallback_keys: SharedKeys = file::decode_or_default(own.as_ref())?;
+    let own_file = File::read("--config", own_path)?;
+    let platform_keys: SharedKeys = file::decode_or_default(platform_file.as_ref())?;
+    let fallback_keys: SharedKeys = file::decode_or_default(own_file.as_ref())?;
     let keys = platform_keys.or(fallback_keys).overridden_by(environment);
-    let own_keys: OwnKeys = file::decode_or_default(own.as_ref())?;
-    check(environment, keys, own_keys, platform)
+    let own_keys: OwnKeys = file::decode_or_default(own_file.as_ref())?;
+    check(environment, keys, own_keys, platform_file)
 }
 
-/// Checks the keys, in the order in which faults are reported.
+/// Checks the keys; their order here decides which of several errors is reported.
 fn check(
     environment: &Environment,
     keys: SharedKeys,
-    own: OwnKeys,
-    platform: Option<File>,
+    own_keys: OwnKeys,
+    platform_file: Option<File>,
 ) -> Result<Config, ConfigError> {
-    let facts = keys
+    let settings_keys = keys
         .settings
         .ok_or_else(|| config_error("settings", "missing"))?;
-    let limits = Limits::of(keys.limits.unwrap_or_default());
-    let known = checks::known(keys.known, own.engines)?;
-    let workers = checks::workers(own.workers.as_ref())?;
-    let shards = checks::shards(own.shards, workers)?;
-    let flight = checks::listener("flight.listen", own.flight)?;
-    let admin = checks::listener("admin.listen", own.admin)?;
-    let has_flight = flight.is_some();
-    let descriptors =
-        DescriptorBudget::divide(limits.sockets, workers, has_flight, admin.is_some());
-    let descriptors = descriptors.ok_or_else(|| {
-        let why = format!("limits.sockets has too few descriptors for {workers}");
-        config_error("workers", why)
+    let limits = Limits::from_keys(keys.limits.unwrap_or_default());
+    let known_changes = checks::known_changes(keys.known, own_keys.engines)?;
+    let workers = checks::workers(own_keys.workers.as_ref())?;
+    let shards = checks::shards(own_keys.shards, workers)?;
+    let flight_listen = checks::listener("flight.listen", own_keys.flight)?;
+    let admin_listen = checks::listener("admin.listen", own_keys.admin)?;
+    let has_flight = flight_listen.is_some();
+    let descriptor_budget = DescriptorBudget::divide(
+        limits.max_descriptors,
+        workers,
+        has_flight,
+        admin_listen.is_some(),
+    );
+    let descriptor_budget = descriptor_budget.ok_or_else(|| {
+        let reason = format!("limits.sockets has too few descriptors for {workers}");
+        config_error("workers", reason)
     })?;
-    let engines = change_log::fold_changes(known.changes.clone()).len();
-    let told = facts.connections();
-    // One for each shard, however many dispatchers there are.
-    let told_most = told.most.max(shards);
-    let to_engine = limits::engine_connections(descriptors.engines, engines).min(told_most);
-    let connections = Connections {
-        max_open: limits.max_open(told.max_open),
-        in_all: descriptors.engines,
-        most: checks::connections_per_shard(to_engine, shards)?,
-        ..told
+    let engine_count = change_log::fold_changes(known_changes.changes.clone()).len();
+    let stated = settings_keys.connections();
+    // At least one for each shard, however many dispatchers share an engine.
+    let stated_max = stated.most.max(shards);
+    let max_per_engine =
+        limits::max_connections_per_engine(descriptor_budget.engines, engine_count).min(stated_max);
+    let connection_limits = Connections {
+        max_open: limits.max_open_requests(stated.max_open),
+        in_all: descriptor_budget.engines,
+        most: checks::connections_per_shard(max_per_engine, shards)?,
+        ..stated
     };
     let listen = checks::address("listen", keys.listen.as_deref())?;
-    let (text, file) = match platform {
+    let (platform_config_text, platform_config) = match platform_file {
         Some(file) => (file.text, file.root),
         None => (String::new(), Value::Null),
     };
     Ok(Config {
         name: keys.name.unwrap_or_else(|| DEFAULT_NAME.to_string()),
         listen: listen.ok_or_else(|| config_error("listen", "missing"))?,
-        flight_listen: flight,
-        admin_listen: admin,
+        flight_listen,
+        admin_listen,
         control_listen: checks::address("control", keys.control.as_deref())?,
-        inherited_socket: checks::passed_socket(environment.inherited_socket.as_deref())?,
+        inherited_socket: checks::inherited_socket(environment.inherited_socket.as_deref())?,
         change_log_address: checks::address("changelog", keys.changelog.as_deref())?,
-        known_changes: known,
+        known_changes,
         seed: checks::seed(keys.seed.as_deref())?,
-        max_message_bytes: limits.longest_message(descriptors.sessions),
-        descriptor_budget: descriptors,
-        settings: checks::settings(&facts)?,
-        names: facts.names(),
-        connection_limits: connections,
+        max_message_bytes: limits.max_message_bytes(descriptor_budget.sessions),
+        descriptor_budget,
+        settings: checks::settings(&settings_keys)?,
+        names: settings_keys.names(),
+        connection_limits,
         workers,
-        pin_workers: own.pin_workers.unwrap_or_default(),
+        pin_workers: own_keys.pin_workers.unwrap_or_default(),
         shards,
-        max_descriptors: limits.sockets,
-        platform_config_text: text,
-        platform_config: file,
+        max_descriptors: limits.max_descriptors,
+        platform_config_text,
+        platform_config,
     })
 }
--- a/dispatcher/src/config/environment.rs
+++ b/dispatcher/src/config/environment.rs
@@ -2,17 +2,17 @@
 
 use std::path::PathBuf;
 
-/// The environment, as far as it is configuration.
+/// The environment variables that configure a dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     pub name: Option<String>,
     pub listen: Option<String>,
-    /// The path of the platform's file.
+    /// The path of the platform's configuration file.
     pub config_path: Option<String>,
     pub control: Option<String>,
-    /// The descriptor of the clients' listening socket.
+    /// The descriptor of the clients' listening socket, passed by the platform.
     pub inherited_socket: Option<String>,
-    /// Where temporary files go; not where the system would put them, as all dispatchers may share that.
+    /// The directory for temporary files. There is no default: different dispatchers may share the system's one.
     pub temp_dir: Option<PathBuf>,
 }
 
--- a/dispatcher/src/config/error.rs
+++ b/dispatcher/src/config/error.rs
@@ -1,6 +1,6 @@
 //! Configuration errors.
 
-/// A fault, by its key.
+/// An invalid or missing key.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError {
     pub key: String,
@@ -13,9 +13,9 @@
     }
 }
 
-pub fn config_error(key: &str, why: impl Into<String>) -> ConfigError {
+pub fn config_error(key: &str, reason: impl Into<String>) -> ConfigError {
     ConfigError {
         key: key.to_string(),
-        reason: why.into(),
+        reason: reason.into(),
     }
 }
--- a/dispatcher/src/config/file.rs
+++ b/dispatcher/src/config/file.rs
@@ -1,13 +1,13 @@
-//! Reads a JSON file, and names the key that makes it unreadable.
+//! Reads JSON configuration files and names the key that makes one invalid.
 
 use super::error::{ConfigError, config_error};
 use miniserde::json::Value;
 use miniserde::{Deserialize, json};
 use std::path::Path;
 
-/// A file, read once: whoever replaces it meanwhile must not have half of each taken.
+/// A file. It is read once, so that a replacement in the meantime can't mix two versions.
 pub(super) struct File<'a> {
-    /// The variable or option that names it.
+    /// The environment variable or option that gives its path.
     origin: &'a str,
     path: &'a Path,
     pub text: String,
@@ -15,7 +15,7 @@
 }
 
 impl<'a> File<'a> {
-    /// Reads the file at a path; none where there is no path.
+    /// Reads the file at a path; `None` without a path.
     pub fn read(origin: &'a str, path: Option<&'a Path>) -> Result<Option<File<'a>>, ConfigError> {
         let Some(path) = path else { return Ok(None) };
         let text = std::fs::read_to_string(path)
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Reads the keys of one kind from it.
+    /// Decodes the keys that `T` declares.
     pub fn decode<T: Deserialize>(&self) -> Result<T, ConfigError> {
         if let Ok(keys) = json::from_str(&self.text) {
             return Ok(keys);
@@ -44,12 +44,12 @@
             key if key.is_empty() => self.origin.to_string(),
             key => key,
         };
-        let why = format!("in {}: not of the form expected here", self.path.display());
-        Err(config_error(&key, why))
+        let reason = format!("in {}: not of the expected form", self.path.display());
+        Err(config_error(&key, reason))
     }
 }
 
-/// The keys of one kind from a file; the defaults without one.
+/// Decodes the keys that `T` declares; the defaults without a file.
 pub(super) fn decode_or_default<T: Default + Deserialize>(
     file: Option<&File>,
 ) -> Result<T, ConfigError> {
@@ -59,7 +59,7 @@
     }
 }
 
-/// The deepest key without which the file could be read.
+/// The path of the deepest key without which the file could be decoded.
 pub(super) fn faulty_key<T: Deserialize>(root: &Value) -> String {
     let mut path: Vec<String> = Vec::new();
     while let Some(step) = faulty_step::<T>(root, &path) {
@@ -68,15 +68,15 @@
     path.join(".")
 }
 
-/// The step below the path without which the file could be read.
+/// The step below the path without which the file could be decoded.
 fn faulty_step<T: Deserialize>(root: &Value, path: &[String]) -> Option<String> {
     let mut copy = root.clone();
-    let holder = descend(&mut copy, path)?;
-    let mut steps = steps_of(holder).into_iter();
+    let parent = descend(&mut copy, path)?;
+    let mut steps = steps_of(parent).into_iter();
     steps.find(|step| {
-        let mut deeper = path.to_vec();
-        deeper.push(step.clone());
-        can_decode::<T>(&without(root, &deeper))
+        let mut step_path = path.to_vec();
+        step_path.push(step.clone());
+        can_decode::<T>(&without(root, &step_path))
     })
 }
 
@@ -85,22 +85,22 @@
     path.iter().try_fold(root, |value, step| child(value, step))
 }
 
-/// The whole with the value at a path taken out: null in an object, nothing in an array.
+/// A copy of `root` without the value at a path: it becomes null in an object and is removed from an array.
 fn without(root: &Value, path: &[String]) -> Value {
-    let mut whole = root.clone();
-    let Some((last, above)) = path.split_last() else {
-        return whole;
+    let mut copy = root.clone();
+    let Some((last, parent_path)) = path.split_last() else {
+        return copy;
     };
-    match descend(&mut whole, above) {
+    match descend(&mut copy, parent_path) {
         Some(Value::Object(object)) => drop(object.insert(last.clone(), Value::Null)),
         Some(Value::Array(array)) => {
-            if let Some(place) = last.parse().ok().filter(|place| *place < array.len()) {
-                array.remove(place);
+            if let Some(index) = last.parse().ok().filter(|index| *index < array.len()) {
+                array.remove(index);
             }
         }
         _ => {}
     }
-    whole
+    copy
 }
 
 fn child<'a>(value: &'a mut Value, step: &str) -> Option<&'a mut Value> {
@@ -111,10 +111,11 @@
     }
 }
 
+/// The keys of an object, or the indices of an array.
 fn steps_of(value: &Value) -> Vec<String> {
     match value {
         Value::Object(object) => object.keys().cloned().collect(),
-        Value::Array(array) => (0..array.len()).map(|place| place.to_string()).collect(),
+        Value::Array(array) => (0..array.len()).map(|index| index.to_string()).collect(),
         _ => Vec::new(),
     }
 }
--- a/dispatcher/src/config/keys.rs
+++ b/dispatcher/src/config/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the configuration files, as they are written there.
+//! The keys of the configuration files, under the names that they have there.
 
 use super::environment::Environment;
 use crate::change_log::Change;
@@ -7,8 +7,8 @@
 use sedgebeam_port::Target;
 use sedgebeam_settings::Facts;
 
-/// What the platform tells a dispatcher; the dispatcher's own file may hold the same keys. A platform that
-/// knows more keys than these is not misread: what it means by them is not for this program.
+/// The keys of the platform's file; the dispatcher's own file may have them too. Further keys of the platform are ignored,
+/// also those that have a meaning in the dispatcher's own file.
 #[derive(Default, Deserialize)]
 pub(super) struct SharedKeys {
     pub name: Option<String>,
@@ -22,7 +22,7 @@
 }
 
 impl SharedKeys {
-    /// These keys, and those of another file for what is absent here.
+    /// These keys; absent ones are taken from `fallback`.
     pub fn or(self, fallback: SharedKeys) -> SharedKeys {
         SharedKeys {
             name: self.name.or(fallback.name),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The same with what the environment's variables say.
+    /// These keys, overridden by the environment variables.
     pub fn overridden_by(self, environment: &Environment) -> SharedKeys {
         SharedKeys {
             name: environment.name.clone().or(self.name),
@@ -47,7 +47,7 @@
     }
 }
 
-/// The keys that count in the dispatcher's own file alone.
+/// The keys that are read from the dispatcher's own file only.
 #[derive(Default, Deserialize)]
 pub(super) struct OwnKeys {
     pub engines: Option<Vec<Target>>,
@@ -58,21 +58,21 @@
     pub shards: Option<u64>,
 }
 
-/// `limits`
+/// The object `limits`.
 #[derive(Default, Deserialize)]
 pub(super) struct LimitKeys {
     pub sockets: Option<u64>,
     pub memory_mb: Option<f64>,
 }
 
-/// `known`
+/// The object `known`: the initial engine list, as changes up to a sequence number.
 #[derive(Default, Deserialize)]
 pub(super) struct KnownKeys {
     pub seq: Option<u64>,
     pub results: Option<Vec<Change>>,
 }
 
-/// `flight` and `admin`
+/// The objects `flight` and `admin`.
 #[derive(Default, Deserialize)]
 pub(super) struct ListenerKeys {
     pub listen: Option<String>,
--- a/dispatcher/src/config/limits.rs
+++ b/dispatcher/src/config/limits.rs
@@ -1,58 +1,61 @@
-//! Sizes that follow from the limits stated, and the limits where none are stated.
+//! Default limits of the process, and sizes derived from its limits.
 
 use super::keys::LimitKeys;
 
-/// Limits of a process whose file states none, and the least that a file can state.
+/// Limits where the file states none, and the lowest that take effect.
 const DEFAULT_MEMORY_MB: f64 = 256.0;
 const MIN_MEMORY_MB: f64 = 16.0;
-const DEFAULT_SOCKETS: u64 = 1024;
-const MIN_SOCKETS: u64 = 64;
-/// The share of the memory that messages may fill which come to all sessions at once, and its bounds for one.
-const MESSAGES_SHARE: f64 = 0.25;
-const MIN_MESSAGE: usize = 16 * 1024;
-const MAX_MESSAGE: usize = 256 * 1024;
+const DEFAULT_DESCRIPTORS: u64 = 1024;
+const MIN_DESCRIPTORS: u64 = 64;
+/// The share of the memory that messages of all sessions may fill at once, and the bounds of the resulting maximum length.
+const MESSAGE_MEMORY_SHARE: f64 = 0.25;
+const MIN_MESSAGE_BYTES: usize = 16 * 1024;
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
-/// Requests that may be open at once for each megabyte.
+/// Concurrent open requests for each megabyte of memory.
 const OPEN_REQUESTS_PER_MB: f64 = 64.0;
-/// Engines that may come on top of those that are known.
+/// New engines for which connections are kept free.
 const SPARE_ENGINES: usize = 2;
-/// Bounds of the connections to one engine.
+/// Bounds of the number of connections to one engine.
 const MIN_ENGINE_CONNECTIONS: usize = 2;
 const MAX_ENGINE_CONNECTIONS: usize = 32;
 
-/// What the process may hold.
+/// The resource limits of the process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// Descriptors.
-    pub sockets: usize,
+    /// File descriptors.
+    pub max_descriptors: usize,
     pub memory_mb: f64,
 }
 
 impl Limits {
-    pub fn of(keys: LimitKeys) -> Limits {
-        let sockets = keys.sockets.unwrap_or(DEFAULT_SOCKETS).max(MIN_SOCKETS);
+    pub fn from_keys(keys: LimitKeys) -> Limits {
+        let max_descriptors = keys
+            .sockets
+            .unwrap_or(DEFAULT_DESCRIPTORS)
+            .max(MIN_DESCRIPTORS);
         let memory_mb = keys.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
         Limits {
-            sockets: sockets as usize,
+            max_descriptors: max_descriptors as usize,
             memory_mb: memory_mb.max(MIN_MEMORY_MB),
         }
     }
 
-    /// The longest message: guards against sessions that all send the longest one at once.
-    pub fn longest_message(&self, sessions: usize) -> usize {
-        let share = self.memory_mb * BYTES_PER_MB * MESSAGES_SHARE / sessions as f64;
-        (share as usize).clamp(MIN_MESSAGE, MAX_MESSAGE)
+    /// The longest message that a session accepts; bounds the memory if all sessions send one of this length at once.
+    pub fn max_message_bytes(&self, sessions: usize) -> usize {
+        let share = self.memory_mb * BYTES_PER_MB * MESSAGE_MEMORY_SHARE / sessions as f64;
+        (share as usize).clamp(MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES)
     }
 
-    /// Requests that may be open at once, where the settings allow so many.
-    pub fn max_open(&self, allowed: usize) -> usize {
-        allowed.min((self.memory_mb * OPEN_REQUESTS_PER_MB) as usize)
+    /// The number of concurrent open requests: that of the settings, or fewer if the memory does not suffice.
+    pub fn max_open_requests(&self, settings_max: usize) -> usize {
+        settings_max.min((self.memory_mb * OPEN_REQUESTS_PER_MB) as usize)
     }
 }
 
-/// Connections to one engine: its share of the descriptors that engines may hold, with room for new engines. All of them
-/// together are bounded by those.
-pub(super) fn engine_connections(descriptors: usize, engines: usize) -> usize {
-    let share = descriptors / (engines + SPARE_ENGINES);
+/// The maximum number of connections to one engine: an even share of the descriptors for engines, with some kept for new
+/// engines. The total of all engines is limited separately, to those descriptors.
+pub(super) fn max_connections_per_engine(descriptors: usize, engine_count: usize) -> usize {
+    let share = descriptors / (engine_count + SPARE_ENGINES);
     share.clamp(MIN_ENGINE_CONNECTIONS, MAX_ENGINE_CONNECTIONS)
 }
