--- a/dispatcher/src/admin.rs
+++ b/dispatcher/src/admin.rs
@@ -1,15 +1,16 @@
-//! The administration API: HTTP and JSON, one request after the other on a connection.
+//! The administration API: JSON over HTTP, one request at a time on each connection.
 //!
-//! | request | what it does |
+//! | request | effect |
 //! | --- | --- |
-//! | `GET /health` | whether there is an engine to send to |
-//! | `GET /counters` | requests and attempts since the start, by class and tenant |
-//! | `GET /engines` | the engines, and what is out there |
-//! | `POST /engines` | adds the engine of the body, or changes it |
-//! | `DELETE /engines/UID` | removes it |
-//! | `POST /engines/UID/drain`, `DELETE` the same | sends it nothing new; ends that |
-//! | `GET /tenants` | the tenants and their shares |
-//! | `PUT /tenants/NAME` | sets its share, or adds it |
+//! | `GET /health` | reports whether any engine takes requests |
+//! | `GET /counters` | reports requests and attempts since the start, by class and tenant |
+//! | `GET /engines` | lists the engines with their attempts in flight |
+//! | `POST /engines` | adds or changes the engine in the body |
+//! | `DELETE /engines/UID` | removes an engine |
+//! | `POST /engines/UID/drain` | drains an engine: it gets no new requests |
+//! | `DELETE /engines/UID/drain` | ends the drain |
+//! | `GET /tenants` | lists the tenants and their shares |
+//! | `PUT /tenants/NAME` | adds a tenant or changes its share |
 
 use crate::descriptors::MAX_ADMIN_CLIENTS;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -24,245 +25,249 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-const MOST_HEAD: usize = 8 * 1024;
-const MOST_BODY: usize = 16 * 1024;
-/// A connection on which nothing whole is asked for this long is closed: the places are few.
-const IDLE: Duration = Duration::from_millis(2500);
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024;
+/// A connection without a complete request for this long is closed, as connections are few.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A request, decoded.
 #[derive(Debug, PartialEq, Eq)]
-struct Call {
+struct HttpRequest {
     method: String,
-    path: Vec<String>,
+    path_segments: Vec<String>,
     body: Bytes,
-    close: bool,
+    close_connection: bool,
 }
 
 #[derive(Debug, PartialEq, Eq)]
-struct Told {
+struct HttpResponse {
     status: u16,
     body: String,
-    close: bool,
+    close_connection: bool,
 }
 
 #[derive(Deserialize)]
 struct TenantShare {
-    portion: f64,
-    allowance_per_s: Option<f64>,
+    #[serde(rename = "portion")]
+    share: f64,
+    #[serde(rename = "allowance_per_s")]
+    requests_per_second: Option<f64>,
 }
 
 #[derive(Serialize)]
-struct Problem<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
 #[derive(Default)]
-struct Http;
+struct HttpCodec;
 
-fn invalid(why: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why)
+fn invalid_data(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-/// The words of a path, with `%41` and the like decoded.
-fn path(text: &str) -> Option<Vec<String>> {
-    let decode = |word: &str| {
+/// The segments of a path, with percent-encoding (`%41`) decoded; `None` if that is invalid or not UTF-8.
+fn path_segments(text: &str) -> Option<Vec<String>> {
+    let decode = |segment: &str| {
         let mut bytes = Vec::new();
-        let mut rest = word.bytes();
-        while let Some(byte) = rest.next() {
+        let mut encoded = segment.bytes();
+        while let Some(byte) = encoded.next() {
             if byte != b'%' {
                 bytes.push(byte);
                 continue;
             }
-            let hex = [rest.next()?, rest.next()?];
+            let hex = [encoded.next()?, encoded.next()?];
             bytes.push(u8::from_str_radix(std::str::from_utf8(&hex).ok()?, 16).ok()?);
         }
         String::from_utf8(bytes).ok()
     };
     text.split('/')
-        .filter(|word| !word.is_empty())
+        .filter(|segment| !segment.is_empty())
         .map(decode)
         .collect()
 }
 
-impl Decoder for Http {
-    type Item = Call;
+impl Decoder for HttpCodec {
+    type Item = HttpRequest;
     type Error = io::Error;
 
-    fn decode(&mut self, bytes: &mut BytesMut) -> io::Result<Option<Call>> {
+    fn decode(&mut self, bytes: &mut BytesMut) -> io::Result<Option<HttpRequest>> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut request = httparse::Request::new(&mut headers);
-        let status = request.parse(bytes).map_err(|_| invalid("not HTTP"))?;
-        let httparse::Status::Complete(head) = status else {
-            let endless = bytes.len() > MOST_HEAD;
-            return if endless {
-                Err(invalid("an endless head"))
+        let status = request.parse(bytes).map_err(|_| invalid_data("not HTTP"))?;
+        let httparse::Status::Complete(head_bytes) = status else {
+            let is_too_long = bytes.len() > MAX_HEAD_BYTES;
+            return if is_too_long {
+                Err(invalid_data("an endless head"))
             } else {
                 Ok(None)
             };
         };
         let header = |name: &str| {
-            let mut found = request
+            let mut matching = request
                 .headers
                 .iter()
                 .filter(|header| header.name.eq_ignore_ascii_case(name));
-            found
+            matching
                 .next()
                 .map(|header| std::str::from_utf8(header.value).unwrap_or_default().trim())
         };
         if header("transfer-encoding").is_some() {
-            return Err(invalid("a body needs a Content-Length here"));
+            return Err(invalid_data("a body needs a Content-Length here"));
         }
         let length = header("content-length").map_or(Ok(0), str::parse::<usize>);
-        let length = length.map_err(|_| invalid("a bad Content-Length"))?;
-        if length > MOST_BODY {
-            return Err(invalid("a body too long"));
+        let length = length.map_err(|_| invalid_data("a bad Content-Length"))?;
+        if length > MAX_BODY_BYTES {
+            return Err(invalid_data("a body too long"));
         }
-        let close = header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+        let close_connection =
+            header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
         let method = request.method.unwrap_or_default().to_string();
-        let path = path(request.path.unwrap_or_default()).ok_or_else(|| invalid("a bad path"))?;
-        if bytes.len() < head + length {
+        let path_segments = path_segments(request.path.unwrap_or_default())
+            .ok_or_else(|| invalid_data("a bad path"))?;
+        if bytes.len() < head_bytes + length {
             return Ok(None);
         }
-        bytes.advance(head);
+        bytes.advance(head_bytes);
         let body = bytes.split_to(length).freeze();
-        Ok(Some(Call {
+        Ok(Some(HttpRequest {
             method,
-            path,
+            path_segments,
             body,
-            close,
+            close_connection,
         }))
     }
 }
 
-impl Encoder<Told> for Http {
+impl Encoder<HttpResponse> for HttpCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, told: Told, bytes: &mut BytesMut) -> io::Result<()> {
-        let reason = match told.status {
+    fn encode(&mut self, response: HttpResponse, bytes: &mut BytesMut) -> io::Result<()> {
+        let reason = match response.status {
             200 => "OK",
             400 => "Bad Request",
             404 => "Not Found",
             405 => "Method Not Allowed",
             _ => "Service Unavailable",
         };
-        let close = if told.close {
+        let close_header = if response.close_connection {
             "Connection: close\r\n"
         } else {
             ""
         };
         let head = format!(
-            "HTTP/1.1 {} {reason}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{close}\r\n",
-            told.status,
-            told.body.len()
+            "HTTP/1.1 {} {reason}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{close_header}\r\n",
+            response.status,
+            response.body.len()
         );
         bytes.put_slice(head.as_bytes());
-        bytes.put_slice(told.body.as_bytes());
+        bytes.put_slice(response.body.as_bytes());
         Ok(())
     }
 }
 
-/// Serves until the dispatcher ends.
-pub async fn serve(
-    listener: TcpListener,
-    router: RequestRouter,
-    mut ending: watch::Receiver<bool>,
-) {
-    let places = std::sync::Arc::new(Semaphore::new(MAX_ADMIN_CLIENTS));
+/// Serves administration clients until `stop` is set.
+pub async fn serve(listener: TcpListener, router: RequestRouter, mut stop: watch::Receiver<bool>) {
+    let permits = std::sync::Arc::new(Semaphore::new(MAX_ADMIN_CLIENTS));
     loop {
-        // The semaphore is never closed.
-        let Ok(place) = places.clone().acquire_owned().await else {
+        // Can't fail: the semaphore is never closed.
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = ending.wait_for(|ending| *ending) => return,
+            _ = stop.wait_for(|stop| *stop) => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 let router = router.clone();
                 let task = async move {
-                    if let Err(error) = connection(stream, router).await {
-                        log::debug!("an administration client: {error}");
+                    if let Err(error) = serve_connection(stream, router).await {
+                        log::debug!("administration client: {error}");
                     }
-                    drop(place);
+                    drop(permit);
                 };
                 supervise::spawn_supervised("an administration client".to_string(), task, || {});
             }
             Err(error) => {
-                log::warn!("accepting administration clients: {error}");
+                log::warn!("can't accept an administration client: {error}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, router: RequestRouter) -> io::Result<()> {
+async fn serve_connection(stream: TcpStream, router: RequestRouter) -> io::Result<()> {
     set_nodelay(&stream);
-    let mut wire = Framed::new(SocketStream::new(stream), Http);
-    while let Some(call) = timeout(IDLE, wire.next()).await.map_err(io::Error::other)? {
-        let told = match call {
-            Ok(call) => {
-                let (status, body) = match route(&call) {
-                    Ok(asked) => ask(&router, asked).await,
-                    Err(denied) => problem(&denied),
+    let mut framed = Framed::new(SocketStream::new(stream), HttpCodec);
+    while let Some(received) = timeout(IDLE_TIMEOUT, framed.next())
+        .await
+        .map_err(io::Error::other)?
+    {
+        let response = match received {
+            Ok(request) => {
+                let (status, body) = match route(&request) {
+                    Ok(admin_request) => execute(&router, admin_request).await,
+                    Err(error) => error_response(&error),
                 };
-                Told {
+                HttpResponse {
                     status,
                     body,
-                    close: call.close,
+                    close_connection: request.close_connection,
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                let (status, body) = problem(&AdminError::Invalid(error.to_string()));
-                Told {
+                let (status, body) = error_response(&AdminError::Invalid(error.to_string()));
+                HttpResponse {
                     status,
                     body,
-                    close: true,
+                    close_connection: true,
                 }
             }
             Err(error) => return Err(error),
         };
-        let close = told.close;
-        wire.send(told).await?;
-        if close {
+        let close_connection = response.close_connection;
+        framed.send(response).await?;
+        if close_connection {
             break;
         }
     }
     Ok(())
 }
 
-fn problem(denied: &AdminError) -> (u16, String) {
-    let (status, error) = match denied {
-        AdminError::Invalid(why) => (400, why.as_str()),
+/// The status and the body for an error.
+fn error_response(admin_error: &AdminError) -> (u16, String) {
+    let (status, error) = match admin_error {
+        AdminError::Invalid(reason) => (400, reason.as_str()),
         AdminError::NotFound(what) => (404, what.as_str()),
         AdminError::MethodNotAllowed => (405, "no such method here"),
         AdminError::Unavailable => (503, "the dispatcher is ending, or does not answer"),
     };
-    (status, json::to_string(&Problem { error }))
+    (status, json::to_string(&ErrorBody { error }))
 }
 
-async fn ask(router: &RequestRouter, asked: AdminRequest) -> (u16, String) {
-    match router.administer(asked).await {
-        Ok(told) => (200, told.to_json()),
-        Err(denied) => problem(&denied),
+/// Executes a request; returns the status and the body of the response.
+async fn execute(router: &RequestRouter, request: AdminRequest) -> (u16, String) {
+    match router.administer(request).await {
+        Ok(response) => (200, response.to_json()),
+        Err(error) => error_response(&error),
     }
 }
 
-fn body<T: Deserialize>(call: &Call) -> Result<T, AdminError> {
-    let text = std::str::from_utf8(&call.body).unwrap_or_default();
+fn parse_body<T: Deserialize>(request: &HttpRequest) -> Result<T, AdminError> {
+    let text = std::str::from_utf8(&request.body).unwrap_or_default();
     json::from_str(text)
         .map_err(|_| AdminError::Invalid("the body is not the JSON expected here".to_string()))
 }
 
-/// What a call asks for.
-fn route(call: &Call) -> Result<AdminRequest, AdminError> {
-    let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
-    Ok(match (call.method.as_str(), &path[..]) {
+/// Converts an HTTP request to a request of the administration API.
+fn route(request: &HttpRequest) -> Result<AdminRequest, AdminError> {
+    let path_segments: Vec<&str> = request.path_segments.iter().map(String::as_str).collect();
+    Ok(match (request.method.as_str(), &path_segments[..]) {
         ("GET", ["health"]) => AdminRequest::Health,
         ("GET", ["counters"]) => AdminRequest::Counters,
         ("GET", ["engines"]) => AdminRequest::Engines,
         ("POST", ["engines"]) => {
-            let target: Target = body(call)?;
+            let target: Target = parse_body(request)?;
             if target.uid.is_empty() || !["up", "draining"].contains(&target.state.as_str()) {
                 return Err(AdminError::Invalid(
                     "an engine needs uid, endpoint, and state up or draining".to_string(),
@@ -275,15 +280,15 @@
         ("DELETE", ["engines", uid, "drain"]) => AdminRequest::Drain(uid.to_string(), false),
         ("GET", ["tenants"]) => AdminRequest::Tenants,
         ("PUT", ["tenants", name]) => {
-            let share: TenantShare = body(call)?;
-            let per_second = share.allowance_per_s.unwrap_or_default();
-            let usable = |value: f64| value.is_finite() && value >= 0.0;
-            if !(usable(share.portion) && share.portion <= 1.0 && usable(per_second)) {
+            let tenant: TenantShare = parse_body(request)?;
+            let requests_per_second = tenant.requests_per_second.unwrap_or_default();
+            let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+            if !(is_valid(tenant.share) && tenant.share <= 1.0 && is_valid(requests_per_second)) {
                 return Err(AdminError::Invalid(
                     "portion is from 0 to 1, allowance_per_s not negative".to_string(),
                 ));
             }
-            AdminRequest::SetTenant(name.to_string(), share.portion, per_second)
+            AdminRequest::SetTenant(name.to_string(), tenant.share, requests_per_second)
         }
         (_, ["health" | "counters" | "engines" | "tenants", ..]) => {
             return Err(AdminError::MethodNotAllowed);
@@ -291,7 +296,7 @@
         _ => {
             return Err(AdminError::NotFound(format!(
                 "nothing at /{}",
-                path.join("/")
+                path_segments.join("/")
             )));
         }
     })
--- a/dispatcher/src/haproxy_import.rs
+++ b/dispatcher/src/haproxy_import.rs
@@ -1,15 +1,15 @@
-//! Turns a configuration of HAProxy into one of the dispatcher's own, and reports by line what it can't
-//! carry over. Proxies are taken in TCP mode: each server of the backend in use becomes an engine.
+//! Converts an HAProxy configuration to one of the dispatcher, and reports each line that it can't convert. Proxies are
+//! read in TCP mode: each server of the backend in use becomes an engine.
 
 use miniserde::{Serialize, json};
 use std::net::SocketAddr;
 
-/// What came of an import.
+/// The result of a conversion.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ImportResult {
-    /// The file for `sedgebeam serve --config`.
+    /// The configuration file for `sedgebeam serve --config`.
     pub config_json: String,
-    /// What was not carried over: the line's number, and why.
+    /// The number of each line that was not converted, and the reason.
     pub unsupported: Vec<(usize, String)>,
 }
 
@@ -55,62 +55,65 @@
     give_up: f64,
 }
 
-/// A section that serves: its name, and what it says.
+/// A `frontend`, `backend` or `listen` section.
 #[derive(Default)]
 struct Proxy {
     name: String,
-    front: bool,
-    back: bool,
+    is_frontend: bool,
+    is_backend: bool,
+    /// Addresses to listen on, each with the number of its line.
     binds: Vec<(usize, String)>,
-    uses: Option<String>,
+    default_backend: Option<String>,
     engines: Vec<Engine>,
 }
 
+/// Reads the lines and collects their content.
 #[derive(Default)]
 struct Reader {
     proxies: Vec<Proxy>,
-    /// Whether the lines belong to the last proxy, and not to `global`, `defaults` or another section.
+    /// The current section is the last proxy, and not `global`, `defaults` or an unsupported section.
     in_proxy: bool,
-    skipped: bool,
+    /// The current section is unsupported, and so are its lines.
+    in_skipped_section: bool,
     max_open: Option<u32>,
-    connect_timeout: Option<f64>,
-    idle: Option<f64>,
-    give_up: Option<f64>,
-    left: Vec<(usize, String)>,
+    connect_timeout_ms: Option<f64>,
+    idle_timeout_ms: Option<f64>,
+    give_up_ms: Option<f64>,
+    unsupported: Vec<(usize, String)>,
 }
 
-/// Splits a line into words as HAProxy does: quotes, backslashes, and a comment behind `#`.
-fn words(line: &str) -> Vec<String> {
-    let (mut words, mut word, mut quote, mut begun) = (Vec::new(), String::new(), None, false);
+/// Splits a line into words as HAProxy does, with quotes, backslashes and `#` comments.
+fn split_words(line: &str) -> Vec<String> {
+    let (mut words, mut word, mut quote, mut in_word) = (Vec::new(), String::new(), None, false);
     let mut chars = line.chars();
     while let Some(char) = chars.next() {
         match (quote, char) {
             (None, '#') => break,
-            (None, '"' | '\'') => (quote, begun) = (Some(char), true),
+            (None, '"' | '\'') => (quote, in_word) = (Some(char), true),
             (Some(open), char) if char == open => quote = None,
             (None | Some('"'), '\\') => {
                 word.extend(chars.next());
-                begun = true;
+                in_word = true;
             }
             (None, char) if char.is_whitespace() => {
-                if std::mem::take(&mut begun) {
+                if std::mem::take(&mut in_word) {
                     words.push(std::mem::take(&mut word));
                 }
             }
             (_, char) => {
                 word.push(char);
-                begun = true;
+                in_word = true;
             }
         }
     }
-    if begun {
+    if in_word {
         words.push(word);
     }
     words
 }
 
-/// A time as HAProxy writes it, in milliseconds; without a unit it is in milliseconds.
-fn time(text: &str) -> Option<f64> {
+/// Parses a time of HAProxy, whose default unit is the millisecond, to milliseconds.
+fn parse_time_ms(text: &str) -> Option<f64> {
     let digits = text
         .find(|char: char| !char.is_ascii_digit())
         .unwrap_or(text.len());
@@ -130,8 +133,8 @@
     )
 }
 
-/// An address to listen on; `*`, or nothing, ahead of the port is every address.
-fn bind(text: &str) -> Option<SocketAddr> {
+/// Parses an address to listen on. The host `*`, or none, means all addresses.
+fn parse_bind_address(text: &str) -> Option<SocketAddr> {
     let (host, port) = text.rsplit_once(':')?;
     let host = if host.is_empty() || host == "*" {
         "0.0.0.0"
@@ -142,58 +145,63 @@
 }
 
 impl Reader {
-    fn leave(&mut self, line: usize, why: impl Into<String>) {
-        self.left.push((line, why.into()));
+    fn report(&mut self, line: usize, reason: impl Into<String>) {
+        self.unsupported.push((line, reason.into()));
     }
 
-    fn line(&mut self, number: usize, words: &[String]) {
+    fn read_line(&mut self, number: usize, words: &[String]) {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         match words[..] {
-            ["global" | "defaults", ..] => (self.in_proxy, self.skipped) = (false, false),
+            ["global" | "defaults", ..] => {
+                (self.in_proxy, self.in_skipped_section) = (false, false)
+            }
             [kind @ ("frontend" | "backend" | "listen"), name, ..] => {
-                (self.in_proxy, self.skipped) = (true, false);
+                (self.in_proxy, self.in_skipped_section) = (true, false);
                 self.proxies.push(Proxy {
                     name: name.to_string(),
-                    front: kind != "backend",
-                    back: kind != "frontend",
+                    is_frontend: kind != "backend",
+                    is_backend: kind != "frontend",
                     ..Proxy::default()
                 });
             }
             [kind @ ("frontend" | "backend" | "listen")] => {
-                (self.in_proxy, self.skipped) = (false, true);
-                self.leave(number, format!("{kind}: without a name"));
+                (self.in_proxy, self.in_skipped_section) = (false, true);
+                self.report(number, format!("{kind}: without a name"));
             }
             [
                 section @ ("resolvers" | "peers" | "userlist" | "program" | "cache" | "mailers"
                 | "ring" | "http-errors" | "log-forward" | "fcgi-app" | "crt-store"),
                 ..,
             ] => {
-                (self.in_proxy, self.skipped) = (false, true);
-                self.leave(
+                (self.in_proxy, self.in_skipped_section) = (false, true);
+                self.report(
                     number,
                     format!("{section}: this section has no counterpart"),
                 );
             }
-            // What stands in a section that is left out goes with it.
-            _ if self.skipped => {}
-            ["timeout", name, value, ..] => self.timeout(number, name, value),
+            // The lines of an unsupported section are skipped without a report for each.
+            _ if self.in_skipped_section => {}
+            ["timeout", name, value, ..] => self.read_timeout(number, name, value),
             ["maxconn", value, ..] => match value.parse() {
-                Ok(most) => {
-                    self.max_open = Some(self.max_open.map_or(most, |known: u32| known.min(most)))
+                Ok(maxconn) => {
+                    self.max_open = Some(
+                        self.max_open
+                            .map_or(maxconn, |lowest: u32| lowest.min(maxconn)),
+                    )
                 }
-                Err(_) => self.leave(number, "maxconn: not a number"),
+                Err(_) => self.report(number, "maxconn: not a number"),
             },
             ["mode", "tcp"] => {}
             ["mode", mode, ..] => {
-                self.leave(number, format!("mode {mode}: only tcp has a counterpart"))
+                self.report(number, format!("mode {mode}: only tcp has a counterpart"))
             }
-            _ if self.in_proxy => self.in_proxy(number, &words),
-            [word, ..] => self.leave(number, format!("{word}: no counterpart")),
+            _ if self.in_proxy => self.read_proxy_line(number, &words),
+            [word, ..] => self.report(number, format!("{word}: no counterpart")),
             [] => {}
         }
     }
 
-    fn in_proxy(&mut self, number: usize, words: &[&str]) {
+    fn read_proxy_line(&mut self, number: usize, words: &[&str]) {
         let Some(proxy) = self.proxies.last_mut() else {
             return;
         };
@@ -202,39 +210,42 @@
                 let addresses = addresses.split(',').map(|text| (number, text.to_string()));
                 proxy.binds.extend(addresses);
                 if let [option, ..] = options {
-                    self.leave(number, format!("bind: {option} and what follows"));
+                    self.report(
+                        number,
+                        format!("bind: {option} and any options after it: no counterpart"),
+                    );
                 }
             }
-            ["default_backend", name] => proxy.uses = Some(name.to_string()),
+            ["default_backend", name] => proxy.default_backend = Some(name.to_string()),
             ["server", name, endpoint, options @ ..] => {
-                self.server(number, name, endpoint, options)
+                self.read_server(number, name, endpoint, options)
             }
             ["balance", ..] => {
-                self.leave(number, "balance: the decision module chooses the engine");
+                self.report(number, "balance: the gateway chooses the engine");
             }
-            [word, ..] => self.leave(number, format!("{word}: no counterpart")),
+            [word, ..] => self.report(number, format!("{word}: no counterpart")),
             [] => {}
         }
     }
 
-    fn timeout(&mut self, number: usize, name: &str, value: &str) {
-        let Some(millis) = time(value) else {
-            return self.leave(number, format!("timeout {name}: {value:?} is not a time"));
+    fn read_timeout(&mut self, number: usize, name: &str, value: &str) {
+        let Some(millis) = parse_time_ms(value) else {
+            return self.report(number, format!("timeout {name}: {value:?} is not a time"));
         };
         match name {
-            "connect" => self.connect_timeout = Some(millis),
-            "server" => self.give_up = Some(millis),
-            "tunnel" => self.idle = Some(millis),
-            _ => self.leave(number, format!("timeout {name}: no counterpart")),
+            "connect" => self.connect_timeout_ms = Some(millis),
+            "server" => self.give_up_ms = Some(millis),
+            "tunnel" => self.idle_timeout_ms = Some(millis),
+            _ => self.report(number, format!("timeout {name}: no counterpart")),
         }
     }
 
-    fn server(&mut self, number: usize, name: &str, endpoint: &str, options: &[&str]) {
+    fn read_server(&mut self, number: usize, name: &str, endpoint: &str, options: &[&str]) {
         if endpoint
             .rsplit_once(':')
             .is_none_or(|(_, port)| port.parse::<u16>().is_err())
         {
-            return self.leave(
+            return self.report(
                 number,
                 format!("server {name}: {endpoint:?} is not ADDRESS:PORT"),
             );
@@ -243,18 +254,18 @@
         let mut options = options.iter();
         while let Some(option) = options.next() {
             match *option {
-                // The module finds out by itself which engines are well.
+                // The gateway checks the health of the engines by itself.
                 "check" => {}
                 "inter" | "fall" | "rise" | "fastinter" | "downinter" => drop(options.next()),
                 "disabled" => state = "draining",
                 "weight" | "maxconn" | "maxqueue" | "slowstart" | "cookie" | "id" => {
                     let value = options.next().unwrap_or(&"");
-                    self.leave(
+                    self.report(
                         number,
-                        format!("server {name}: {option} {value}: the decision module decides"),
+                        format!("server {name}: {option} {value}: the gateway decides this"),
                     );
                 }
-                other => self.leave(number, format!("server {name}: {other}: no counterpart")),
+                other => self.report(number, format!("server {name}: {other}: no counterpart")),
             }
         }
         if let Some(proxy) = self.proxies.last_mut() {
@@ -266,50 +277,68 @@
         }
     }
 
-    /// The front to carry over, and the proxy whose servers it uses.
-    fn choose(&mut self) -> (Option<String>, Vec<Engine>) {
+    /// The listen address, and the engines of the backend that the chosen frontend uses.
+    fn choose_proxy(&mut self) -> (Option<String>, Vec<Engine>) {
         let proxies = std::mem::take(&mut self.proxies);
-        let front = proxies
+        let frontend = proxies
             .iter()
-            .find(|proxy| proxy.front && !proxy.binds.is_empty());
+            .find(|proxy| proxy.is_frontend && !proxy.binds.is_empty());
         let mut listen = None;
         for (line, text) in proxies.iter().flat_map(|proxy| &proxy.binds) {
-            match bind(text) {
-                None => self.leave(*line, format!("bind: {text:?} is not ADDRESS:PORT")),
+            match parse_bind_address(text) {
+                None => self.report(*line, format!("bind: {text:?} is not ADDRESS:PORT")),
                 Some(address) if listen.is_none() => listen = Some(address.to_string()),
-                Some(_) => self.leave(*line, format!("bind: {text}: one address is listened on")),
+                Some(_) => self.report(
+                    *line,
+                    format!("bind: {text}: only the first address is used"),
+                ),
             }
         }
-        let used = front.map(|front| front.uses.as_deref().unwrap_or(&front.name));
-        let back = proxies
+        let backend_name = frontend.map(|frontend| {
+            frontend
+                .default_backend
+                .as_deref()
+                .unwrap_or(&frontend.name)
+        });
+        let backend = proxies
             .iter()
-            .find(|proxy| proxy.back && Some(proxy.name.as_str()) == used);
-        let back = back.or_else(|| proxies.iter().find(|proxy| proxy.back && front.is_none()));
+            .find(|proxy| proxy.is_backend && Some(proxy.name.as_str()) == backend_name);
+        let backend = backend.or_else(|| {
+            proxies
+                .iter()
+                .find(|proxy| proxy.is_backend && frontend.is_none())
+        });
         (
             listen,
-            back.map_or_else(Vec::new, |back| back.engines.clone()),
+            backend.map_or_else(Vec::new, |backend| backend.engines.clone()),
         )
     }
 }
 
-/// Imports a configuration of HAProxy.
+/// Converts an HAProxy configuration.
 pub fn import(text: &str) -> ImportResult {
     let mut reader = Reader::default();
     for (index, line) in text.lines().enumerate() {
-        let words = words(line);
+        let words = split_words(line);
         if !words.is_empty() {
-            reader.line(index + 1, &words);
+            reader.read_line(index + 1, &words);
         }
     }
-    let (listen, engines) = reader.choose();
-    let end = text.lines().count();
+    let (listen, engines) = reader.choose_proxy();
+    let last_line = text.lines().count();
     if listen.is_none() {
-        reader.leave(end, "no usable bind: set \"listen\"");
+        reader.report(last_line, "no usable bind: set \"listen\"");
     }
     if engines.is_empty() {
-        reader.leave(end, "no server in the backend in use: set \"engines\"");
+        reader.report(
+            last_line,
+            "no server in the backend in use: set \"engines\"",
+        );
     }
-    reader.leave(end, "classes, tenants and their shares are unknown to HAProxy: one class is set, see \"settings\"");
+    reader.report(
+        last_line,
+        "HAProxy has no classes, tenants or shares: one class is configured, see \"settings\"",
+    );
     let file = File {
         listen,
         engines,
@@ -317,15 +346,15 @@
     };
     ImportResult {
         config_json: json::to_string(&file) + "\n",
-        unsupported: reader.left,
+        unsupported: reader.unsupported,
     }
 }
 
 fn settings(reader: &Reader) -> Settings {
-    let give_up = reader.give_up.unwrap_or(30_000.0);
+    let give_up = reader.give_up_ms.unwrap_or(30_000.0);
     let service = Service {
         name: "statement".to_string(),
-        // Nothing tells that repeating it is harmless.
+        // Nothing states that a repeated execution is harmless.
         effect: "once".to_string(),
         worth: 1.0,
         on_time: give_up / 10.0,
@@ -339,8 +368,8 @@
             probes: true,
             max_attempts: 3,
             max_open: reader.max_open.unwrap_or(2000),
-            connect_timeout: reader.connect_timeout.unwrap_or(250.0),
-            conn_idle: reader.idle.unwrap_or(30_000.0),
+            connect_timeout: reader.connect_timeout_ms.unwrap_or(250.0),
+            conn_idle: reader.idle_timeout_ms.unwrap_or(30_000.0),
             max_retry_after: 1000.0,
         },
         services: vec![service],
@@ -377,7 +406,7 @@
 ";
 
     #[test]
-    fn what_has_a_counterpart_is_carried_over_and_the_rest_is_told_by_line() {
+    fn supported_lines_are_converted_and_the_others_are_reported_by_number() {
         let imported = import(FILE);
         let text = &imported.config_json;
         for part in [
@@ -396,7 +425,7 @@
     }
 
     #[test]
-    fn odd_lines_end_in_a_report_and_not_in_a_panic() {
+    fn malformed_lines_are_reported_and_do_not_panic() {
         for text in [
             "",
             "frontend",
