--- a/dispatcher/src/control_socket.rs
+++ b/dispatcher/src/control_socket.rs
@@ -57,6 +57,7 @@
         std::process::exit(1);
     };
     std::thread::Builder::new()
+        // The name stays as it is: operators' tools show threads by name.
         .name("door".to_string())
         .spawn(run)?;
     Ok(address)
--- a/dispatcher/src/drain_manager.rs
+++ b/dispatcher/src/drain_manager.rs
@@ -36,7 +36,7 @@
 
     /// Applies a change to the drain and notifies the subscribers if the state differs afterwards.
     pub fn update<T>(&self, change: impl FnOnce(&mut Drain, Duration) -> T) -> T {
-        // No code panics while it holds this lock, and each change leaves the drain consistent, so a poisoned lock is usable.
+        // No code panics while it holds this lock, and every change leaves the drain consistent: a poisoned lock is usable.
         let mut drain = self
             .shared
             .drain
--- a/dispatcher/src/peer_process.rs
+++ b/dispatcher/src/peer_process.rs
@@ -35,7 +35,7 @@
 /// Each live peer, with its last message if there is a valid one.
 type PeerMessages = Vec<(Incarnation, Option<HandoverMessage>)>;
 
-/// The membership of this process among those of its dispatcher.
+/// Whether this process has joined the others of its dispatcher.
 pub enum GroupMember {
     Joined(SharedDirectory),
     /// The shared directory can't be written yet, so it is not known whether there are peers.
@@ -221,7 +221,7 @@
         mut published_count: Option<usize>,
         peer_usage: watch::Sender<PeerUsage>,
     ) {
-        let alone_count = Some(PeerUsage::NONE.process_count);
+        let count_without_peers = Some(PeerUsage::NONE.process_count);
         loop {
             self.refresh_peers().await;
             let usage = self.peer_usage();
@@ -231,10 +231,10 @@
             }
             peer_usage.send_if_modified(|published| std::mem::replace(published, usage) != usage);
             // The brokers first: a peer that reads the next message may take capacity that the brokers must release before.
-            if process_count != alone_count || published_count != alone_count {
+            if process_count != count_without_peers || published_count != count_without_peers {
                 self.update_brokers().await;
             }
-            if process_count != alone_count {
+            if process_count != count_without_peers {
                 self.publish_message().await;
             }
             published_count = process_count;
@@ -242,7 +242,8 @@
         }
     }
 
-    /// Reads the live peers and their messages. If that fails, the peers of the last poll count as live, in an unknown phase.
+    /// Reads the live peers and their messages. If that fails, the peers of the last poll count as live, in an unknown
+    /// phase.
     async fn refresh_peers(&mut self) {
         let directory = self.directory.clone();
         let peers = tokio::task::spawn_blocking(move || directory.read_peers()).await;
--- a/dispatcher/src/peer_process/shared_directory.rs
+++ b/dispatcher/src/peer_process/shared_directory.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
-/// Prefix of the lock files.
+/// Prefix of the lock files. All prefixes stay as they are: during an upgrade, processes of two versions read these files.
 const LOCK_PREFIX: &str = "lives-";
 /// Prefix of the message files.
 const MESSAGE_PREFIX: &str = "tells-";
@@ -102,7 +102,7 @@
         let mut attempts = 0;
         loop {
             match self.join() {
-                Ok(folder) => return folder,
+                Ok(directory) => return directory,
                 Err(error) if attempts == 0 => {
                     let parent = self.parent.display();
                     log::warn!("can't join the processes in {parent}: {error}; retrying");
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -91,7 +91,7 @@
                 }
                 attempt += 1;
                 tokio::select! {
-                    // A new signal announces a newer file, so the attempts start again and the earlier reload counts as failed.
+                    // A new signal announces a newer file: the attempts start again and the earlier reload counts as failed.
                     signal = hangup.recv() => {
                         if signal.is_none() {
                             return;
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -110,8 +110,8 @@
 }
 
 impl Program {
-    /// Opens all fronts and returns the handles for the shutdown. It drops this value's session guard, so that from then on
-    /// only sessions hold one.
+    /// Opens all fronts and returns the handles for the shutdown. Consumes the program and with it its session guard, so
+    /// that from then on only sessions hold one.
     async fn open_fronts(
         self,
         session_slots: SessionSlots,
--- a/dispatcher/src/serve/listeners.rs
+++ b/dispatcher/src/serve/listeners.rs
@@ -135,8 +135,8 @@
             drain_watcher: self.drain_manager.drain_watcher(),
             session_guard: self.session_guard.clone(),
             session_slots,
-            // Two processes of one dispatcher may have the same seed, and a client's cancel request may reach either of them;
-            // the start time keeps their keys apart.
+            // Two processes of one dispatcher may have the same seed, and a client's cancel request may reach either of
+            // them; the start time keeps their keys apart.
             last_key: sedgebeam_core::splitmix64(
                 config.seed ^ sedgebeam_core::splitmix64(started_at.0),
             ),
--- a/dispatcher/src/serve/shutdown.rs
+++ b/dispatcher/src/serve/shutdown.rs
@@ -34,9 +34,9 @@
         self.drain_manager.update(Drain::end);
         log::info!("ending: last call");
         let wait_limit = self.longest_deadline.min(MAX_COUNTED_DEADLINE) + LAST_ANSWERS_DELAY;
-        let last_answers = Instant::now() + wait_limit;
-        // From then on the accept task ends by itself, and so does each session once it is idle. The wait can't fail: the drain
-        // manager holds the sender.
+        let answer_deadline = Instant::now() + wait_limit;
+        // From then on the accept task ends by itself, and so does each session once it is idle. The wait can't fail: the
+        // drain manager holds the sender.
         let _ = self
             .drain_manager
             .subscribe()
@@ -49,7 +49,7 @@
         tokio::select! {
             () = &mut ended => {}
             // A request without an answer by then would get none: SIGKILL ends the process.
-            () = sleep_until(last_answers) => {
+            () = sleep_until(answer_deadline) => {
                 log::info!("answering all open requests before the process is killed");
                 self.router.shut_down().await;
                 ended.await;
