--- a/dispatcher/src/change_log.rs
+++ b/dispatcher/src/change_log.rs
@@ -90,24 +90,24 @@
             continue;
         };
         tokio::select! {
- biased;
-// Connects to the new address and continues from the sequence number reached.
-() = address_changed(&mut address) => pauses.reset(),
-ended = listen(current, &position, &router, &mut follower) => match ended {
-Ok(()) => log::info!("the change log closed the connection after change {}", position.borrow().seq),
-Err(error) => log::warn!("the change log after {}: {error}", position.borrow().seq),
-},
-}
-if position.borrow().seq > previous_seq {
-pauses.reset();
+         biased;
+        // Connects to the new address and continues from the sequence number reached.
+        () = address_changed(&mut address) => pauses.reset(),
+        ended = listen(current, &position, &router, &mut follower) => match ended {
+        Ok(()) => log::info!("the change log closed the connection after change {}", position.borrow().seq),
+        Err(error) => log::warn!("the change log after {}: {error}", position.borrow().seq),
+        },
         }
-        tokio::select! {
- () = address_changed(&mut address) => {
-pauses.reset();
-sleep(pauses.next_delay()).await;
-            }
-            () = sleep(pauses.next_delay()) => {}
+        if position.borrow().seq > previous_seq {
+            pauses.reset();
         }
+        tokio::select! {
+         () = address_changed(&mut address) => {
+        pauses.reset();
+        sleep(pauses.next_delay()).await;
+                    }
+                    () = sleep(pauses.next_delay()) => {}
+                }
     }
 }
 
@@ -130,7 +130,7 @@
     let stream = stream.map_err(timed_out)??;
     set_nodelay(&stream);
     let mut stream = SocketStream::new(stream);
- let last_event_id = follower.resume_after();
+    let last_event_id = follower.resume_after();
     let request = format!(
         "GET /changes HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {last_event_id}\r\n\r\n"
     );
@@ -140,8 +140,9 @@
         let event = match timeout(CAUGHT_UP_SILENCE, events.next()).await {
             Ok(event) => event,
             Err(_) => {
- if events.decoder().has_head {
-if !update_brokers(follower.handle_silence(), position, router, follower).await {
+                if events.decoder().has_head {
+                    if !update_brokers(follower.handle_silence(), position, router, follower).await
+                    {
                         return Ok(());
                     }
                     position.send_modify(|position| position.caught_up = true);
@@ -153,9 +154,9 @@
         let Some(event) = event else { return Ok(()) };
         let Some(change) = event? else { continue };
         let (seq, listing) = (change.seq, change.listing());
- let next = follower.handle_event(seq, listing, change.fleet.targets);
-if next == FollowerAction::Reconnect {
-let retry = if follower.is_rebuilding() {
+        let next = follower.handle_event(seq, listing, change.fleet.targets);
+        if next == FollowerAction::Reconnect {
+            let retry = if follower.is_rebuilding() {
                 "asking for the whole list"
             } else {
                 "asking for what is missing"
@@ -171,7 +172,7 @@
 
 /// Sends the brokers the update that follows from an event, if any; false if they have ended.
 async fn update_brokers(
-next: FollowerAction,
+    next: FollowerAction,
     position: &watch::Sender<ChangeLogPosition>,
     router: &RequestRouter,
     follower: &mut Follower,
@@ -182,8 +183,8 @@
     if router.update_engine_list(listing, targets).await.is_err() {
         return false;
     }
- // Only now: if this future is dropped while it waits for a broker, the update counts as not sent.
-follower.mark_published(seq);
+    // Only now: if this future is dropped while it waits for a broker, the update counts as not sent.
+    follower.mark_published(seq);
     position.send_modify(|position| position.seq = seq);
     true
 }
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -53,8 +53,8 @@
     pub max_message_bytes: usize,
     pub settings: Settings,
     pub names: Names,
- pub connection_limits: ConnectionSettings,
-/// Threads that serve connections. Where there are several, the first `shards` of them have a shard of the gateway each.
+    pub connection_limits: ConnectionSettings,
+    /// Threads that serve connections. Where there are several, the first `shards` of them have a shard of the gateway each.
     pub workers: usize,
     pub pin_workers: bool,
     /// Shards of the gateway, each on one worker.
@@ -68,9 +68,9 @@
 }
 
 impl Config {
- /// The settings that a reload can change.
-pub fn runtime_settings(&self) -> RuntimeSettings {
-RuntimeSettings {
+    /// The settings that a reload can change.
+    pub fn runtime_settings(&self) -> RuntimeSettings {
+        RuntimeSettings {
             settings: self.settings.clone(),
             names: self.names.clone(),
             max_open_requests: self.connection_limits.max_open_requests,
@@ -147,17 +147,17 @@
         let reason = format!("limits.sockets has too few descriptors for {workers}");
         config_error("workers", reason)
     })?;
- let engine_count = change_log::fold_changes(known_changes.changes.clone()).len();
-let stated = settings_keys.connections();
-// At least one for each shard, however many dispatchers share an engine.
-let stated_max = stated.max_per_engine.max(shards);
-let max_per_engine =
-limits::max_connections_per_engine(descriptor_budget.engines, engine_count).min(stated_max);
-let connection_limits = ConnectionSettings {
-max_open_requests: limits.max_open_requests(stated.max_open_requests),
-max_total: descriptor_budget.engines,
-max_per_engine: checks::connections_per_shard(max_per_engine, shards)?,
-..stated
+    let engine_count = change_log::fold_changes(known_changes.changes.clone()).len();
+    let stated = settings_keys.connections();
+    // At least one for each shard, however many dispatchers share an engine.
+    let stated_max = stated.max_per_engine.max(shards);
+    let max_per_engine =
+        limits::max_connections_per_engine(descriptor_budget.engines, engine_count).min(stated_max);
+    let connection_limits = ConnectionSettings {
+        max_open_requests: limits.max_open_requests(stated.max_open_requests),
+        max_total: descriptor_budget.engines,
+        max_per_engine: checks::connections_per_shard(max_per_engine, shards)?,
+        ..stated
     };
     let listen = checks::address("listen", keys.listen.as_deref())?;
     let (platform_config_text, platform_config) = match platform_file {
--- a/dispatcher/src/config/checks.rs
+++ b/dispatcher/src/config/checks.rs
@@ -57,18 +57,18 @@
 
 /// Checks the settings for values with which the gateway could not work, and completes them.
 pub(super) fn settings(settings_keys: &GatewaySettings) -> Result<Settings, ConfigError> {
-let mut settings = settings_keys.settings();
+    let mut settings = settings_keys.settings();
     check_classes(&settings.classes)?;
- if settings_keys.max_attempts() == Some(0) {
-let reason = "it must be more than 0";
-return Err(config_error("settings.limits.max_attempts", reason));
+    if settings_keys.max_attempts() == Some(0) {
+        let reason = "it must be more than 0";
+        return Err(config_error("settings.limits.max_attempts", reason));
     }
     check_fleet(settings_keys)?;
     if settings.tick == Micros(0) {
         settings.tick = DEFAULT_TICK;
     }
- // Both fronts send retry advice to their clients, whether or not the simulator's clients get any.
-settings.max_retry_after = settings_keys.max_retry_after();
+    // Both fronts send retry advice to their clients, whether or not the simulator's clients get any.
+    settings.max_retry_after = settings_keys.max_retry_after();
     Ok(settings)
 }
 
@@ -92,10 +92,10 @@
 }
 
 fn check_fleet(settings_keys: &GatewaySettings) -> Result<(), ConfigError> {
-let (gateway_count, gateway_index) = settings_keys.gateway_count_and_index();
-if gateway_count.is_some_and(|count| !(1..=MAX_GATEWAYS).contains(&count)) {
-let reason = format!("it is from 1 to {MAX_GATEWAYS}");
-return Err(config_error("settings.balancers", reason));
+    let (gateway_count, gateway_index) = settings_keys.gateway_count_and_index();
+    if gateway_count.is_some_and(|count| !(1..=MAX_GATEWAYS).contains(&count)) {
+        let reason = format!("it is from 1 to {MAX_GATEWAYS}");
+        return Err(config_error("settings.balancers", reason));
     }
     // Two dispatchers with one number would both use the share of one gateway.
     if gateway_index.is_some_and(|index| index >= gateway_count.unwrap_or(1)) {
--- a/dispatcher/src/control_socket.rs
+++ b/dispatcher/src/control_socket.rs
@@ -139,7 +139,7 @@
 /// Reads the line of a caller; `None` if the caller closed its side without sending anything.
 async fn read_line(stream: &mut SocketStream) -> io::Result<Option<Vec<u8>>> {
     let mut line = Vec::new();
- let mut buffer = [0; MAX_LINE_BYTES];
+    let mut buffer = [0; MAX_LINE_BYTES];
     loop {
         let remaining_bytes = buffer.len() - line.len();
         let count = stream.read(&mut buffer[..remaining_bytes]).await?;
@@ -148,8 +148,8 @@
             line.truncate(end);
             return Ok(Some(line));
         }
- // The end of the stream, or the maximum length, ends the line too.
-if count == 0 || line.len() >= MAX_LINE_BYTES {
+        // The end of the stream, or the maximum length, ends the line too.
+        if count == 0 || line.len() >= MAX_LINE_BYTES {
             return Ok(Some(line).filter(|line| !line.is_empty()));
         }
     }
@@ -167,27 +167,27 @@
 
 /// Executes a command line; returns the text of its answer.
 fn execute(context: &ControlContext, line: &[u8]) -> String {
-match ControlCommand::parse(line) {
-Some(ControlCommand::Ping) if context.drain_manager.state().is_ready => {
-"200 ready\n".to_string()
-}
-Some(ControlCommand::Ping) => "400 not ready\n".to_string(),
-Some(ControlCommand::Info) => {
-match context
-.metrics
-.encode(context.clock.micros(Instant::now()).0)
-{
-Ok(text) => format!("200 figures\n{text}"),
-Err(error) => format!("400 {error}\n"),
-}
-}
-Some(ControlCommand::LameDuck) => {
-log::info!("lame duck: draining client connections");
-context.drain_manager.update(Drain::start_lame_duck);
+    match ControlCommand::parse(line) {
+        Some(ControlCommand::Ping) if context.drain_manager.state().is_ready => {
+            "200 ready\n".to_string()
+        }
+        Some(ControlCommand::Ping) => "400 not ready\n".to_string(),
+        Some(ControlCommand::Info) => {
+            match context
+                .metrics
+                .encode(context.clock.micros(Instant::now()).0)
+            {
+                Ok(text) => format!("200 figures\n{text}"),
+                Err(error) => format!("400 {error}\n"),
+            }
+        }
+        Some(ControlCommand::LameDuck) => {
+            log::info!("lame duck: draining client connections");
+            context.drain_manager.update(Drain::start_lame_duck);
             "200 draining\n".to_string()
         }
- Some(ControlCommand::Rejoin) if context.drain_manager.update(|drain, _| drain.rejoin()) => {
-log::info!("rejoined: accepting clients");
+        Some(ControlCommand::Rejoin) if context.drain_manager.update(|drain, _| drain.rejoin()) => {
+            log::info!("rejoined: accepting clients");
             "200 serving\n".to_string()
         }
         Some(ControlCommand::Rejoin) => "400 the process is ending\n".to_string(),
--- a/dispatcher/src/drain_manager.rs
+++ b/dispatcher/src/drain_manager.rs
@@ -15,15 +15,15 @@
 
 struct Shared {
     drain: Mutex<Drain>,
- state: watch::Sender<DrainState>,
-started_at: Instant,
+    state: watch::Sender<DrainState>,
+    started_at: Instant,
 }
 
 impl DrainManager {
     /// `is_socket_inherited` is true where the platform holds the clients' listening socket.
     pub fn new(is_socket_inherited: bool) -> DrainManager {
         let drain = Drain::new(is_socket_inherited);
- let (state, _) = watch::channel(drain.state(Duration::ZERO));
+        let (state, _) = watch::channel(drain.state(Duration::ZERO));
         let shared = Shared {
             drain: Mutex::new(drain),
             state,
@@ -42,23 +42,23 @@
             .drain
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
- let now = self.shared.started_at.elapsed();
-let result = change(&mut drain, now);
-let state = drain.state(now);
-// Sent under the lock, so that subscribers never see an older state after a newer one.
+        let now = self.shared.started_at.elapsed();
+        let result = change(&mut drain, now);
+        let state = drain.state(now);
+        // Sent under the lock, so that subscribers never see an older state after a newer one.
         self.shared
             .state
             .send_if_modified(|published| std::mem::replace(published, state) != state);
         result
     }
 
- /// The state at this moment, which may be ahead of the one that subscribers have seen.
-pub fn state(&self) -> DrainState {
-self.update(|drain, now| drain.state(now))
+    /// The state at this moment, which may be ahead of the one that subscribers have seen.
+    pub fn state(&self) -> DrainState {
+        self.update(|drain, now| drain.state(now))
     }
 
- pub fn subscribe(&self) -> watch::Receiver<DrainState> {
-self.shared.state.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<DrainState> {
+        self.shared.state.subscribe()
     }
 
     pub fn drain_watcher(&self) -> DrainWatcher {
--- a/dispatcher/src/peer_process.rs
+++ b/dispatcher/src/peer_process.rs
@@ -116,7 +116,7 @@
     pub clock: Clock,
     pub router: RequestRouter,
     pub session_slots: SessionSlots,
- pub drain_state: watch::Receiver<DrainState>,
+    pub drain_state: watch::Receiver<DrainState>,
     pub change_log_position: watch::Receiver<crate::change_log::ChangeLogPosition>,
     /// The text of the platform's file that is in use.
     pub applied_config_text: watch::Receiver<Arc<str>>,
@@ -124,14 +124,14 @@
 
 impl ProcessContext {
     fn phase(&self) -> Phase {
- let drain_state = *self.drain_state.borrow();
-match drain_state {
-DrainState {
-is_shutting_down: true,
-..
-} => Phase::Ending,
-DrainState {
-is_prepared: false, ..
+        let drain_state = *self.drain_state.borrow();
+        match drain_state {
+            DrainState {
+                is_shutting_down: true,
+                ..
+            } => Phase::Ending,
+            DrainState {
+                is_prepared: false, ..
             } => Phase::Starting,
             _ => Phase::Serving,
         }
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -35,15 +35,19 @@
         config::load(&self.environment, self.own_config_path.as_deref())
     }
 
- /// Loads the configuration of a process that starts beside another one. A file that the other process would reject at a
-/// reload is not used; the text that the other process uses is loaded instead.
-pub fn load_for_upgrade(&self, peer_config_text: &str) -> Result<Config, ConfigError> {
-let peer_config: Option<Value> = json::from_str(peer_config_text).ok();
-let missing_key = |config: &Config| {
-let peer_config = peer_config.as_ref();
-peer_config.and_then(|peer_config| {
-completeness::first_missing_key(peer_config, &config.platform_config, &UNCOMPARED_KEYS)
-})
+    /// Loads the configuration of a process that starts beside another one. A file that the other process would reject at a
+    /// reload is not used; the text that the other process uses is loaded instead.
+    pub fn load_for_upgrade(&self, peer_config_text: &str) -> Result<Config, ConfigError> {
+        let peer_config: Option<Value> = json::from_str(peer_config_text).ok();
+        let missing_key = |config: &Config| {
+            let peer_config = peer_config.as_ref();
+            peer_config.and_then(|peer_config| {
+                completeness::first_missing_key(
+                    peer_config,
+                    &config.platform_config,
+                    &UNCOMPARED_KEYS,
+                )
+            })
         };
         let error = match self.load() {
             Ok(config) => match missing_key(&config) {
@@ -68,8 +72,8 @@
     pub applied_config: Value,
     pub router: RequestRouter,
     pub change_log_address: watch::Sender<Option<SocketAddr>>,
- pub connection_limits: watch::Sender<ConnectionSettings>,
-/// The text of that file.
+    pub connection_limits: watch::Sender<ConnectionSettings>,
+    /// The text of that file.
     pub applied_config_text: watch::Sender<Arc<str>>,
     /// Notified after a reload, which may have retired classes.
     pub names_retired: watch::Sender<()>,
@@ -81,26 +85,26 @@
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             let mut attempt = 1;
- while let Err(error) = self.reload().await {
-log::warn!(
-"the running configuration is kept ({attempt} of {MAX_ATTEMPTS}): {error}"
-);
-if attempt == MAX_ATTEMPTS {
-self.metrics.count_reload(false);
+            while let Err(error) = self.reload().await {
+                log::warn!(
+                    "the running configuration is kept ({attempt} of {MAX_ATTEMPTS}): {error}"
+                );
+                if attempt == MAX_ATTEMPTS {
+                    self.metrics.count_reload(false);
                     break;
                 }
                 attempt += 1;
                 tokio::select! {
- // A new signal announces a newer file: the attempts start again and the earlier reload counts as failed.
-signal = hangup.recv() => {
-if signal.is_none() {
-return;
-}
-self.metrics.count_reload(false);
-attempt = 1;
-}
-() = sleep(RETRY_DELAY) => {}
-}
+                 // A new signal announces a newer file: the attempts start again and the earlier reload counts as failed.
+                signal = hangup.recv() => {
+                if signal.is_none() {
+                return;
+                }
+                self.metrics.count_reload(false);
+                attempt = 1;
+                }
+                () = sleep(RETRY_DELAY) => {}
+                }
             }
         }
     }
@@ -108,25 +112,23 @@
     /// Reads the files and applies them if they are valid.
     async fn reload(&mut self) -> Result<(), ConfigError> {
         let config = self.source.load()?;
- if let Some(key) =
-completeness::first_missing_key(
-&self.applied_config,
-&config.platform_config,
-&UNCOMPARED_KEYS,
-)
-{
+        if let Some(key) = completeness::first_missing_key(
+            &self.applied_config,
+            &config.platform_config,
+            &UNCOMPARED_KEYS,
+        ) {
             return Err(config_error(
                 &key,
                 "it is in the running configuration and missing from the new one",
             ));
         }
         if !self.router.reconfigure(&config.runtime_settings()).await {
- let reason =
-format!("there are more than {MOST_PLACES}, including those being retired");
-return Err(config_error(
-"settings.services or settings.tenants",
-reason,
-));
+            let reason =
+                format!("there are more than {MAX_TABLE_ENTRIES}, including those being retired");
+            return Err(config_error(
+                "settings.services or settings.tenants",
+                reason,
+            ));
         }
         self.metrics.count_reload(true);
         self.names_retired.send_replace(());
--- a/dispatcher/src/serve/limits.rs
+++ b/dispatcher/src/serve/limits.rs
@@ -13,10 +13,10 @@
     /// Sessions of all processes of the dispatcher.
     pub max_sessions: usize,
     pub session_slots: SessionSlots,
- /// Limits on engine connections for all processes of the dispatcher.
-pub dispatcher_limits: watch::Receiver<ConnectionSettings>,
-/// This process's share of them.
-pub process_limits: watch::Sender<ConnectionSettings>,
+    /// Limits on engine connections for all processes of the dispatcher.
+    pub dispatcher_limits: watch::Receiver<ConnectionSettings>,
+    /// This process's share of them.
+    pub process_limits: watch::Sender<ConnectionSettings>,
 }
 
 impl SharedLimits {
@@ -25,12 +25,12 @@
     /// exceeding it, as a request may be on its way to one of them.
     pub async fn run(mut self, mut peer_usage: watch::Receiver<PeerUsage>) {
         loop {
- let limits = *self.dispatcher_limits.borrow_and_update();
-let peers = *peer_usage.borrow_and_update();
-self.process_limits.send_replace(ConnectionSettings {
-max_per_engine: (limits.max_per_engine / peers.process_count).max(1),
-max_total: (limits.max_total / peers.process_count).max(1),
-..limits
+            let limits = *self.dispatcher_limits.borrow_and_update();
+            let peers = *peer_usage.borrow_and_update();
+            self.process_limits.send_replace(ConnectionSettings {
+                max_per_engine: (limits.max_per_engine / peers.process_count).max(1),
+                max_total: (limits.max_total / peers.process_count).max(1),
+                ..limits
             });
             let remaining = self.max_sessions.saturating_sub(peers.session_count);
             self.session_slots
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -41,15 +41,15 @@
     pub async fn accept(
         mut self,
         listener: TcpListener,
- mut drain_state: watch::Receiver<DrainState>,
-owns_accept_queue: bool,
+        mut drain_state: watch::Receiver<DrainState>,
+        owns_accept_queue: bool,
     ) {
         loop {
- let DrainState {
-new_connections: newcomers,
-is_shutdown_grace_over: over,
-..
-} = *drain_state.borrow_and_update();
+            let DrainState {
+                new_connections: newcomers,
+                is_shutdown_grace_over: over,
+                ..
+            } = *drain_state.borrow_and_update();
             if over {
                 log::info!("ending: accepting is over");
                 if owns_accept_queue {
@@ -66,8 +66,8 @@
                 accepted = listener.accept(), if newcomers != NewConnections::LeaveInBacklog => accepted,
             };
             match accepted {
- Ok((stream, _)) if newcomers == NewConnections::Reject => {
-self.reject(stream, pg::RejectReason::Draining);
+                Ok((stream, _)) if newcomers == NewConnections::Reject => {
+                    self.reject(stream, pg::RejectReason::Draining);
                     yield_now().await;
                 }
                 Ok((stream, _)) => self.start(stream).await,
--- a/dispatcher/src/serve/shutdown.rs
+++ b/dispatcher/src/serve/shutdown.rs
@@ -30,8 +30,8 @@
 impl Shutdown {
     /// Stops taking requests once the grace period of the drain is over, then waits until all accepted ones are answered.
     pub async fn run(mut self) {
- // Logged after the state has changed: a reader of the log may ask the control socket at once.
-self.drain_manager.update(Drain::start_shutdown);
+        // Logged after the state has changed: a reader of the log may ask the control socket at once.
+        self.drain_manager.update(Drain::start_shutdown);
         log::info!("ending: last call");
         let wait_limit = self.longest_deadline.min(MAX_COUNTED_DEADLINE) + LAST_ANSWERS_DELAY;
         let answer_deadline = Instant::now() + wait_limit;
@@ -40,7 +40,7 @@
         let _ = self
             .drain_manager
             .subscribe()
- .wait_for(|state| state.is_shutdown_grace_over)
+            .wait_for(|state| state.is_shutdown_grace_over)
             .await;
         let _ = self.listeners_stop.send(true);
         let _ = self.accept_task.await;
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -30,8 +30,8 @@
     /// Starts the control socket, the drain timer and the workers.
     pub(super) async fn start(
         config: Config,
- connections: watch::Receiver<ConnectionSettings>,
-session_guard: mpsc::Sender<()>,
+        connections: watch::Receiver<ConnectionSettings>,
+        session_guard: mpsc::Sender<()>,
     ) -> io::Result<Program> {
         let drain_manager = DrainManager::new(config.inherited_socket.is_some());
         let metrics = Metrics::default();
@@ -76,12 +76,12 @@
         let Some(message) = predecessor_message else {
             return Ok(known.seq);
         };
- let handover_state = message.handover_state_at(self.clock.micros(Instant::now()));
-let status = message.status;
-let seq = status.change_log_seq.max(known.seq);
-if status.change_log_seq > known.seq {
-let updated = router
-.update_engine_list(ListUpdate::Complete, status.targets)
+        let handover_state = message.handover_state_at(self.clock.micros(Instant::now()));
+        let status = message.status;
+        let seq = status.change_log_seq.max(known.seq);
+        if status.change_log_seq > known.seq {
+            let updated = router
+                .update_engine_list(ListUpdate::Complete, status.targets)
                 .await;
             updated.map_err(broker_ended)?;
         }
@@ -117,8 +117,8 @@
         &self,
         source: ConfigSource,
         hangup: Signal,
- change_log_address: watch::Sender<Option<SocketAddr>>,
-connection_limits: watch::Sender<ConnectionSettings>,
+        change_log_address: watch::Sender<Option<SocketAddr>>,
+        connection_limits: watch::Sender<ConnectionSettings>,
     ) -> watch::Receiver<Arc<str>> {
         let (names_retired, names_retired_receiver) = watch::channel(());
         let router = self.worker_pool.router.clone();
--- a/dispatcher/src/worker_pool.rs
+++ b/dispatcher/src/worker_pool.rs
@@ -124,10 +124,13 @@
         router: RequestRouter,
         broker_config: BrokerConfig,
     ) -> io::Result<WorkerPool> {
- let runtime_settings = &broker_config.runtime_settings;
-let (max_open, settings) = (runtime_settings.max_open_requests, &runtime_settings.settings);
-let shard_leases = ShardLeases::new(config.shards, max_open, settings, router.clone());
-preallocate_descriptor_table(config.max_descriptors);
+        let runtime_settings = &broker_config.runtime_settings;
+        let (max_open, settings) = (
+            runtime_settings.max_open_requests,
+            &runtime_settings.settings,
+        );
+        let shard_leases = ShardLeases::new(config.shards, max_open, settings, router.clone());
+        preallocate_descriptor_table(config.max_descriptors);
         let cores = if config.pin_workers {
             core_affinity::get_core_ids().unwrap_or_default()
         } else {
