--- a/dispatcher/tests/faults/mod.rs
+++ b/dispatcher/tests/faults/mod.rs
@@ -13,7 +13,7 @@
 /// A system call whose results can be injected, by its place in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(dead_code, reason = "each test binary uses some of them")]
-pub enum Call {
+pub enum SystemCall {
     Socket,
     Bind,
     Listen,
@@ -40,11 +40,11 @@
     /// The call fails with this error number.
     Error(i32),
     /// It reads or writes one byte.
-    Short,
+    OneByte,
 }
 
 /// The records of one program.
-pub struct Faults {
+pub struct FaultInjector {
     path: PathBuf,
     file: File,
 }
@@ -69,9 +69,9 @@
 }
 
 #[allow(dead_code, reason = "each test binary uses some of them")]
-impl Faults {
+impl FaultInjector {
     /// Records without any fault.
-    pub fn none() -> Faults {
+    pub fn new() -> FaultInjector {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("faults-{}-{number}", std::process::id());
@@ -84,10 +84,10 @@
             .open(&path)
             .expect("a file");
         file.set_len(RECORD * CALLS as u64).expect("a length");
-        Faults { path, file }
+        FaultInjector { path, file }
     }
 
-    fn write(&self, call: Call, error: i32, every: i32, left: i32) {
+    fn write(&self, call: SystemCall, error: i32, every: i32, left: i32) {
         let mut record = Vec::new();
         for number in [error, every, left] {
             record.extend(number.to_ne_bytes());
@@ -97,32 +97,32 @@
     }
 
     /// Injects the fault into each of the calls from now on.
-    pub fn always(&self, call: Call, fault: Fault) {
-        self.each(1, call, fault);
+    pub fn inject_always(&self, call: SystemCall, fault: Fault) {
+        self.inject_every_nth(1, call, fault);
     }
 
     /// Injects the fault into each n-th of the calls from now on.
-    pub fn each(&self, every: i32, call: Call, fault: Fault) {
+    pub fn inject_every_nth(&self, every: i32, call: SystemCall, fault: Fault) {
         self.write(call, number(fault), every, -1);
     }
 
     /// Injects the fault into so many calls.
-    pub fn times(&self, times: i32, call: Call, fault: Fault) {
+    pub fn inject_times(&self, times: i32, call: SystemCall, fault: Fault) {
         self.write(call, number(fault), 1, times);
     }
 
     /// Injects nothing more into the call.
-    pub fn end(&self, call: Call) {
+    pub fn clear(&self, call: SystemCall) {
         self.write(call, 0, 1, 0);
     }
 
     /// Has the program's wall clock run ahead by so many seconds.
     pub fn step_wall_clock(&self, seconds: i32) {
-        self.write(Call::WallClock, seconds, 1, -1);
+        self.write(SystemCall::WallClock, seconds, 1, -1);
     }
 
     /// How often a fault was injected into the call.
-    pub fn injected(&self, call: Call) -> u32 {
+    pub fn injected_count(&self, call: SystemCall) -> u32 {
         let mut count = [0; 4];
         let at = call as u64 * RECORD + COUNT_AT;
         self.file.read_exact_at(&mut count, at).expect("reads");
@@ -141,11 +141,11 @@
 fn number(fault: Fault) -> i32 {
     match fault {
         Fault::Error(error) => error,
-        Fault::Short => SHORT,
+        Fault::OneByte => SHORT,
     }
 }
 
-impl Drop for Faults {
+impl Drop for FaultInjector {
     fn drop(&mut self) {
         // What stays lies in the build's own folder.
         let _ = std::fs::remove_file(&self.path);
--- a/dispatcher/tests/large_fleet.rs
+++ b/dispatcher/tests/large_fleet.rs
@@ -61,7 +61,7 @@
         let log = changelog.map_or(String::new(), |address| {
             format!(r#","changelog":"{address}""#)
         });
-        let settings = settings::of(DISPATCHERS);
+        let settings = settings::for_dispatchers(DISPATCHERS);
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","control":"127.0.0.1:0","seed":"8c1f30d27a5be964",
               "limits":{{"sockets":512,"memory_mb":48}},"known":{{"seq":1,"results":[{known}]}},"settings":{settings}{log}}}"#
--- a/dispatcher/tests/scenarios/extremes.rs
+++ b/dispatcher/tests/scenarios/extremes.rs
@@ -1,6 +1,6 @@
 //! Clauses at their extremes: each request has its one answer whatever the system, the clocks and the ends of the process do.
 
-use crate::faults::{Call, Fault, Faults};
+use crate::faults::{Fault, FaultInjector, SystemCall};
 use crate::pg_client::{query, startup, statement};
 use crate::stage::{Options, SETTINGS, Stage};
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 }
 
 /// The program before these engines, with system calls that may be faulty.
-fn with_faults(engines: &[&str], faults: &Faults) -> Stage {
+fn with_faults(engines: &[&str], faults: &FaultInjector) -> Stage {
     let options = Options {
         faults: Some(faults),
         ..Options::default()
@@ -45,10 +45,10 @@
 /// Every read gives one byte, and the rest lies in the socket though nothing more comes.
 #[test]
 fn what_a_short_read_leaves_in_a_socket_is_read() {
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut stage = with_faults(&["e1", "log"], &faults);
     stage.play("log expect asked 1");
-    faults.always(Call::Recv, Fault::Short);
+    faults.inject_always(SystemCall::Recv, Fault::OneByte);
     stage.play(
         "log send 2 up e1 @e1
          c1 send lookup 1
@@ -61,20 +61,20 @@
          log send 3 draining e1 @e1
          app wait : draining",
     );
-    assert!(faults.injected(Call::Recv) > 100);
+    assert!(faults.injected_count(SystemCall::Recv) > 100);
 }
 
 /// More commands at once than a session keeps, and every read gives one byte of them: each is answered before the close.
 #[test]
 fn each_of_too_many_commands_sent_ahead_is_answered_though_reads_are_short() {
     const COMMANDS: usize = 80;
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let stage = with_faults(&["e1"], &faults);
     let mut said = startup();
     for number in 1..=COMMANDS {
         said.extend(query(&statement(&format!("lookup {number}"))));
     }
-    faults.always(Call::Recv, Fault::Short);
+    faults.inject_always(SystemCall::Recv, Fault::OneByte);
     let mut client = TcpStream::connect(stage.address("c")).expect("connects");
     client.write_all(&said).expect("writes");
     let mut heard = Vec::new();
@@ -88,9 +88,9 @@
 
 #[test]
 fn an_option_that_can_not_be_set_drops_no_connection() {
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut stage = with_faults(&["e1", "log"], &faults);
-    faults.always(Call::SetSockOpt, Fault::Error(ENOBUFS));
+    faults.inject_always(SystemCall::SetSockOpt, Fault::Error(ENOBUFS));
     stage.play(
         "c1 send lookup 1
          e1 expect fetch 1
@@ -100,16 +100,21 @@
          log close
          log expect asked 1",
     );
-    assert!(faults.injected(Call::SetSockOpt) > 0);
+    assert!(faults.injected_count(SystemCall::SetSockOpt) > 0);
 }
 
 #[test]
 fn listeners_that_can_not_be_had_at_first_are_tried_for_again() {
-    for call in [Call::Socket, Call::SetSockOpt, Call::Bind, Call::Listen] {
-        let faults = Faults::none();
-        faults.times(6, call, Fault::Error(ENOBUFS));
+    for call in [
+        SystemCall::Socket,
+        SystemCall::SetSockOpt,
+        SystemCall::Bind,
+        SystemCall::Listen,
+    ] {
+        let faults = FaultInjector::new();
+        faults.inject_times(6, call, Fault::Error(ENOBUFS));
         let mut stage = with_faults(&["e1"], &faults);
-        assert_eq!(faults.injected(call), 6, "{call:?}");
+        assert_eq!(faults.injected_count(call), 6, "{call:?}");
         stage.play(
             "c1 send lookup 1
              e1 expect fetch 1
@@ -125,9 +130,9 @@
 /// It can't be accepted until accepting is over; its request has been written long before.
 #[test]
 fn a_connection_in_the_queue_when_accepting_ends_is_told() {
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut stage = with_faults(&["e1"], &faults);
-    faults.always(Call::Accept, Fault::Error(ENFILE));
+    faults.inject_always(SystemCall::Accept, Fault::Error(ENFILE));
     let mut said = startup();
     said.extend(query(&statement("lookup 1")));
     let said: String = said.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -135,7 +140,7 @@
     stage.play(&format!(
         "t1 send {said}\napp close\napp wait accepting is over"
     ));
-    faults.end(Call::Accept);
+    faults.clear(SystemCall::Accept);
     stage.play("t1 expect 45\nt1 expect closed\napp expect 0");
 }
 
@@ -144,11 +149,16 @@
 
 #[test]
 fn interrupted_calls_lose_no_request() {
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut stage = with_faults(&["e1", "log"], &faults);
     stage.play("log expect asked 1");
-    for call in [Call::Accept, Call::Connect, Call::Recv, Call::Send] {
-        faults.each(2, call, Fault::Error(EINTR));
+    for call in [
+        SystemCall::Accept,
+        SystemCall::Connect,
+        SystemCall::Recv,
+        SystemCall::Send,
+    ] {
+        faults.inject_every_nth(2, call, Fault::Error(EINTR));
     }
     for id in 1..=8 {
         stage.play(&format!(
@@ -160,8 +170,8 @@
         ));
     }
     stage.play("log send 2 draining e1 @e1\napp wait : draining\nop send PING\nop expect 200");
-    for call in [Call::Accept, Call::Recv, Call::Send] {
-        assert!(faults.injected(call) > 0, "{call:?}");
+    for call in [SystemCall::Accept, SystemCall::Recv, SystemCall::Send] {
+        assert!(faults.injected_count(call) > 0, "{call:?}");
     }
 }
 
@@ -170,16 +180,16 @@
     /// A connection was aborted before it was accepted.
     const ECONNABORTED: i32 = 103;
     for error in [ENFILE, ECONNABORTED, ENOBUFS] {
-        let faults = Faults::none();
+        let faults = FaultInjector::new();
         let mut stage = with_faults(&["e1"], &faults);
-        faults.times(5, Call::Accept, Fault::Error(error));
+        faults.inject_times(5, SystemCall::Accept, Fault::Error(error));
         stage.play(
             "c1 send lookup 1
              e1 expect fetch 1
              e1 send 1 OK 1 a|b|c
              c1 expect row a|b|c",
         );
-        assert_eq!(faults.injected(Call::Accept), 5);
+        assert_eq!(faults.injected_count(SystemCall::Accept), 5);
     }
 }
 
@@ -189,13 +199,13 @@
     const EADDRNOTAVAIL: i32 = 99;
     const ENETUNREACH: i32 = 101;
     for (call, error) in [
-        (Call::Connect, EADDRNOTAVAIL),
-        (Call::Connect, ENETUNREACH),
-        (Call::Socket, ENOBUFS),
+        (SystemCall::Connect, EADDRNOTAVAIL),
+        (SystemCall::Connect, ENETUNREACH),
+        (SystemCall::Socket, ENOBUFS),
     ] {
-        let faults = Faults::none();
+        let faults = FaultInjector::new();
         let mut stage = with_faults(&["e1"], &faults);
-        faults.times(2, call, Fault::Error(error));
+        faults.inject_times(2, call, Fault::Error(error));
         stage.play("c1 send journal-load 1");
         let (who, heard) = stage.hear_any(&["c1", "e1"]);
         if who == "e1" {
@@ -207,7 +217,7 @@
                 "{heard}"
             );
         }
-        assert!(faults.injected(call) > 0, "{call:?} {error}");
+        assert!(faults.injected_count(call) > 0, "{call:?} {error}");
     }
 }
 
@@ -216,15 +226,15 @@
     const ETIMEDOUT: i32 = 110;
     const EHOSTUNREACH: i32 = 113;
     for error in [ETIMEDOUT, EHOSTUNREACH] {
-        let faults = Faults::none();
+        let faults = FaultInjector::new();
         let mut stage = with_faults(&["e1", "e2"], &faults);
         stage.play("c1 send journal-load 1");
         let (engine, heard) = stage.hear_any(&["e1", "e2"]);
         assert!(heard.starts_with("fetch 1"), "{heard}");
-        faults.times(1, Call::Recv, Fault::Error(error));
+        faults.inject_times(1, SystemCall::Recv, Fault::Error(error));
         // What is read next is the engine's word, and the read fails.
         stage.play(&format!("{engine} send 1 NOTE\nc1 expect error 58000"));
-        assert_eq!(faults.injected(Call::Recv), 1);
+        assert_eq!(faults.injected_count(SystemCall::Recv), 1);
         for engine in ["e1", "e2"] {
             let again = stage.left(engine);
             let again = again.iter().filter(|heard| heard.starts_with("fetch"));
@@ -236,7 +246,7 @@
 #[test]
 fn a_wall_clock_that_is_stepped_moves_no_deadline() {
     const HOUR: i32 = 3600;
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut stage = with_faults(&["e1"], &faults);
     let mut id = 0;
     for step in [HOUR, -HOUR, 0, 5, -5] {
--- a/dispatcher/tests/scenarios/stage.rs
+++ b/dispatcher/tests/scenarios/stage.rs
@@ -11,7 +11,7 @@
 //! program: `send reload LOG`, `send half` and `send put TEXT => TEXT` replace its file, or a text in it, and tell it,
 //! `close` ends it in order.
 
-use crate::faults::Faults;
+use crate::faults::FaultInjector;
 use crate::{engines, flight_client, flight_engine, pg_client};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -70,7 +70,7 @@
     pub settings: &'a str,
     /// Where clients are to connect.
     pub listen: &'a str,
-    pub faults: Option<&'a Faults>,
+    pub faults: Option<&'a FaultInjector>,
     /// The start of every engine by its own clock, as the list tells it.
     pub boot_ms: u64,
 }
--- a/dispatcher/tests/settings/mod.rs
+++ b/dispatcher/tests/settings/mod.rs
@@ -1,7 +1,7 @@
 //! Settings of a small deployment, as the platform's file holds them.
 
 /// Two classes, one of which may not be repeated, before so many dispatchers.
-pub fn of(dispatchers: u32) -> String {
+pub fn for_dispatchers(dispatchers: u32) -> String {
     format!(
         r#"{{"balancers": {dispatchers}, "kinds": ["std"], "zones": ["a"], "zone": "a", "tick": 5.0,
   "domain": {{"class_load": [false, true], "class_waits": [true, false], "threads_by_class": [1, 2],
--- a/dispatcher/tests/soak/judge.rs
+++ b/dispatcher/tests/soak/checker.rs
@@ -4,21 +4,21 @@
 use std::fmt;
 
 /// Microseconds since the run began.
-pub type Time = u64;
+pub type Micros = u64;
 
-pub const MILLI: Time = 1_000;
+pub const MILLISECOND: Micros = 1_000;
 /// Every limit of time is this much longer on sockets.
-const SLACK: Time = 50 * MILLI;
+const SLACK: Micros = 50 * MILLISECOND;
 /// An answer so long after its time earns nothing; later it is lost.
-const LATE_BY: Time = 500 * MILLI;
+const LATE_BY: Micros = 500 * MILLISECOND;
 /// What goes on to a resting connection while that is being closed is sent again.
-const CROSSES: Time = 50 * MILLI;
+const CROSSES: Micros = 50 * MILLISECOND;
 /// An attempt begins no longer than this after its client has gone.
-const GONE_BY: Time = 100 * MILLI;
+const GONE_BY: Micros = 100 * MILLISECOND;
 /// The time passed to an engine is at most what is left, and this.
-const LEFT_AND: Time = 150 * MILLI;
+const LEFT_AND: Micros = 150 * MILLISECOND;
 /// A dispatcher that starts is ready by then.
-const READY_BY: Time = 10_000 * MILLI;
+const READY_BY: Micros = 10_000 * MILLISECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
@@ -33,14 +33,14 @@
     /// Nothing.
     Repeatable,
     /// Nothing, where it begins so soon after the first attempt that may have run.
-    ByKey { window: Time },
+    ByKey { window: Micros },
     /// Harm.
     Once,
 }
 
 /// How an attempt ended at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// It may have run.
     MayHaveRun,
     /// The engine said that it never ran.
@@ -50,18 +50,18 @@
 /// What was seen. Fields that no rule reads stand in the histories of violations.
 #[derive(Clone, Copy, Debug)]
 #[allow(dead_code, reason = "some fields are only shown")]
-pub enum Seen {
+pub enum Event {
     /// The last byte of a request was written to a connection of the dispatcher.
-    Taken {
+    RequestSent {
         request: u64,
         dispatcher: usize,
-        limit: Time,
+        time_limit: Micros,
         /// Answers come in order: the longest limit of it and of those that were written ahead of it with it.
-        behind: Time,
+        pipeline_time_limit: Micros,
         effect: Effect,
     },
     /// Its client closed or cancelled.
-    Gone {
+    ClientLeft {
         request: u64,
     },
     Answered {
@@ -69,63 +69,63 @@
         answer: Answer,
     },
     /// Its connection ended without a whole answer; whether it had rested until the request was written.
-    Closed {
+    ConnectionClosed {
         request: u64,
-        rested: bool,
+        was_idle: bool,
     },
     /// An engine has read it whole.
-    Begun {
+    AttemptStarted {
         request: u64,
         engine: usize,
-        told: Time,
+        announced_time_limit: Micros,
         work_ms: u64,
     },
-    Over {
+    AttemptEnded {
         request: u64,
         engine: usize,
-        end: End,
+        end: AttemptEnd,
     },
     /// The change log has told a dispatcher that the engine drains, or counts as having told it.
-    Drained {
+    DrainAnnounced {
         engine: usize,
     },
     /// The dispatcher was killed, earlier than the end of an orderly shutdown.
-    Killed {
+    ProcessKilled {
         dispatcher: usize,
     },
     /// The process was started, and said that it is ready.
-    Started {
+    ProcessStarted {
         dispatcher: usize,
     },
-    Ready {
+    ProcessReady {
         dispatcher: usize,
     },
     /// What a process held, and may hold.
-    Held {
+    ResourceUsage {
         dispatcher: usize,
-        what: &'static str,
-        held: u64,
+        resource: &'static str,
+        used: u64,
         allowed: u64,
     },
     /// A process ended though nobody had told it to, or with a status other than 0.
-    Crashed {
+    ProcessCrashed {
         dispatcher: usize,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    Answered,
-    AnsweredOnce,
-    NotRepeated,
-    RefusedUnrun,
-    OneAttemptOut,
-    NothingAfterItsClient,
-    DrainKept,
-    TimeLeft,
-    ColdBudget,
-    Limits,
-    Ready,
+    AnsweredInTime,
+    AtMostOneAnswer,
+    NoUnsafeRepeat,
+    NoRefusalAfterRun,
+    OneAttemptInFlight,
+    NoAttemptAfterClientLeft,
+    NoAttemptWhileDraining,
+    RemainingTimePassed,
+    ColdEngineBudget,
+    ResourceLimits,
+    ReadyInTime,
     NoCrash,
 }
 
@@ -151,27 +151,27 @@
 
 /// What the run allows.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub drain_grace: Time,
+pub struct RunLimits {
+    pub drain_grace: Micros,
     /// The most that cold engines may be sent in a window, by the engine, and until when it is cold.
-    pub cold: BTreeMap<usize, Cold>,
+    pub cold_engines: BTreeMap<usize, ColdEngine>,
     /// The longest time for which this machine kept the run itself from going on.
-    pub stall: Time,
+    pub longest_stall: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
-    pub from: Time,
-    pub until: Time,
-    pub window: Time,
+pub struct ColdEngine {
+    pub from: Micros,
+    pub until: Micros,
+    pub window: Micros,
     /// So many requests of mean work.
-    pub most: f64,
-    pub mean_ms: f64,
+    pub max_requests: f64,
+    pub mean_work_ms: f64,
 }
 
-impl Cold {
+impl ColdEngine {
     /// The most requests of mean work where so many are what the settings allow.
-    pub fn budget(allowed: f64) -> f64 {
+    pub fn with_margin(allowed: f64) -> f64 {
         let root = allowed.sqrt();
         if allowed < 30.0 {
             allowed + 3.0 * root + 3.0
@@ -181,26 +181,26 @@
     }
 }
 
-pub struct Trace(pub Vec<(Time, Seen)>);
+pub struct Trace(pub Vec<(Micros, Event)>);
 
 /// A request; the default is of no effect.
 #[derive(Default)]
 struct History {
-    taken: Vec<(Time, usize, Time)>,
-    behind: Time,
+    taken: Vec<(Micros, usize, Micros)>,
+    behind: Micros,
     effect: Option<Effect>,
-    gone: Option<Time>,
-    answers: Vec<(Time, Answer)>,
-    closes: Vec<(Time, bool)>,
-    begun: Vec<(Time, usize, Time)>,
-    over: Vec<(Time, usize, End)>,
+    gone: Option<Micros>,
+    answers: Vec<(Micros, Answer)>,
+    closes: Vec<(Micros, bool)>,
+    begun: Vec<(Micros, usize, Micros)>,
+    over: Vec<(Micros, usize, AttemptEnd)>,
 }
 
 impl Trace {
     /// All that was broken.
-    pub fn judge(&self, terms: &Terms) -> Vec<Violation> {
+    pub fn find_violations(&self, terms: &RunLimits) -> Vec<Violation> {
         let mut broken = Vec::new();
-        let slack = SLACK + terms.stall;
+        let slack = SLACK + terms.longest_stall;
         for (request, history) in self.histories() {
             for rule in history.broken(terms, slack, self) {
                 let request = Some(request);
@@ -226,10 +226,10 @@
             };
             let history = histories.entry(request).or_default();
             match *seen {
-                Seen::Taken {
+                Event::RequestSent {
                     dispatcher,
-                    limit,
-                    behind,
+                    time_limit: limit,
+                    pipeline_time_limit: behind,
                     effect,
                     ..
                 } => {
@@ -237,11 +237,17 @@
                     history.taken.push((at, dispatcher, limit));
                     history.effect = Some(effect);
                 }
-                Seen::Gone { .. } => history.gone = history.gone.or(Some(at)),
-                Seen::Answered { answer, .. } => history.answers.push((at, answer)),
-                Seen::Closed { rested, .. } => history.closes.push((at, rested)),
-                Seen::Begun { engine, told, .. } => history.begun.push((at, engine, told)),
-                Seen::Over { engine, end, .. } => history.over.push((at, engine, end)),
+                Event::ClientLeft { .. } => history.gone = history.gone.or(Some(at)),
+                Event::Answered { answer, .. } => history.answers.push((at, answer)),
+                Event::ConnectionClosed {
+                    was_idle: rested, ..
+                } => history.closes.push((at, rested)),
+                Event::AttemptStarted {
+                    engine,
+                    announced_time_limit: told,
+                    ..
+                } => history.begun.push((at, engine, told)),
+                Event::AttemptEnded { engine, end, .. } => history.over.push((at, engine, end)),
                 _ => {}
             }
         }
@@ -250,35 +256,38 @@
 
     /// What was seen of a request, and what became of processes meanwhile: it may explain the rest.
     fn lines_about(&self, request: Option<u64>) -> Vec<String> {
-        let of_process = |seen: &Seen| {
+        let of_process = |seen: &Event| {
             matches!(
                 seen,
-                Seen::Killed { .. } | Seen::Started { .. } | Seen::Crashed { .. }
+                Event::ProcessKilled { .. }
+                    | Event::ProcessStarted { .. }
+                    | Event::ProcessCrashed { .. }
             )
         };
-        let about = |seen: &Seen| request_of(seen) == request || of_process(seen);
+        let about = |seen: &Event| request_of(seen) == request || of_process(seen);
         let about = self.0.iter().filter(|(_, seen)| about(seen));
-        let line = |(at, seen): &(Time, Seen)| format!("{:>9.3} ms {seen:?}", *at as f64 / 1e3);
+        let line = |(at, seen): &(Micros, Event)| format!("{:>9.3} ms {seen:?}", *at as f64 / 1e3);
         about.map(line).collect()
     }
 
-    fn killed_within(&self, dispatcher: usize, from: Time, to: Time) -> bool {
+    fn killed_within(&self, dispatcher: usize, from: Micros, to: Micros) -> bool {
         self.0.iter().any(|(at, seen)| {
-            matches!(seen, Seen::Killed { dispatcher: killed } if *killed == dispatcher)
+            matches!(seen, Event::ProcessKilled { dispatcher: killed } if *killed == dispatcher)
                 && (from..=to).contains(at)
         })
     }
 
-    fn drained(&self, engine: usize) -> Option<Time> {
+    fn drained(&self, engine: usize) -> Option<Micros> {
         self.0.iter().find_map(|(at, seen)| {
-            matches!(seen, Seen::Drained { engine: drained } if *drained == engine).then_some(*at)
+            matches!(seen, Event::DrainAnnounced { engine: drained } if *drained == engine)
+                .then_some(*at)
         })
     }
 
-    fn broken_by_processes(&self, slack: Time) -> Vec<Violation> {
+    fn broken_by_processes(&self, slack: Micros) -> Vec<Violation> {
         let mut broken = Vec::new();
-        let mut started: HashMap<usize, Time> = HashMap::new();
-        let mut violation = |rule, at: Time, seen: &Seen| {
+        let mut started: HashMap<usize, Micros> = HashMap::new();
+        let mut violation = |rule, at: Micros, seen: &Event| {
             broken.push(Violation {
                 rule,
                 request: None,
@@ -287,30 +296,34 @@
         };
         for (at, seen) in &self.0 {
             match seen {
-                Seen::Started { dispatcher } => {
+                Event::ProcessStarted { dispatcher } => {
                     started.insert(*dispatcher, *at);
                 }
-                Seen::Ready { dispatcher } => {
+                Event::ProcessReady { dispatcher } => {
                     let began = started.remove(dispatcher).unwrap_or(*at);
                     if *at > began + READY_BY + slack {
-                        violation(Rule::Ready, *at, seen);
+                        violation(Rule::ReadyInTime, *at, seen);
                     }
                 }
-                Seen::Held { held, allowed, .. } if held > allowed => {
-                    violation(Rule::Limits, *at, seen);
+                Event::ResourceUsage {
+                    used: held,
+                    allowed,
+                    ..
+                } if held > allowed => {
+                    violation(Rule::ResourceLimits, *at, seen);
                 }
-                Seen::Crashed { .. } => violation(Rule::NoCrash, *at, seen),
+                Event::ProcessCrashed { .. } => violation(Rule::NoCrash, *at, seen),
                 _ => {}
             }
         }
         broken
     }
 
-    fn cold_budgets_broken(&self, terms: &Terms) -> Vec<Violation> {
+    fn cold_budgets_broken(&self, terms: &RunLimits) -> Vec<Violation> {
         let mut broken = Vec::new();
-        for (engine, cold) in &terms.cold {
+        for (engine, cold) in &terms.cold_engines {
             let sends = self.0.iter().filter_map(|(at, seen)| match seen {
-                Seen::Begun {
+                Event::AttemptStarted {
                     engine: to,
                     work_ms,
                     ..
@@ -318,18 +331,18 @@
                 _ => None,
             });
             let sends = sends.filter(|(at, _)| (cold.from..cold.until).contains(at));
-            let sends: Vec<(Time, u64)> = sends.collect();
+            let sends: Vec<(Micros, u64)> = sends.collect();
             let most = (0..sends.len()).map(|first| {
                 let until = sends[first].0 + cold.window;
                 let within = sends[first..].iter().take_while(|(at, _)| *at < until);
                 within
-                    .map(|(_, work_ms)| *work_ms as f64 / cold.mean_ms)
+                    .map(|(_, work_ms)| *work_ms as f64 / cold.mean_work_ms)
                     .sum()
             });
             let most = most.fold(0.0, f64::max);
-            if most > cold.most {
+            if most > cold.max_requests {
                 broken.push(Violation {
-                    rule: Rule::ColdBudget,
+                    rule: Rule::ColdEngineBudget,
                     request: None,
                     history: vec![format!(
                         "engine {engine}: {most:.1} of mean work in a window, {cold:?}"
@@ -341,53 +354,59 @@
     }
 }
 
-fn request_of(seen: &Seen) -> Option<u64> {
+fn request_of(seen: &Event) -> Option<u64> {
     match seen {
-        Seen::Taken { request, .. }
-        | Seen::Gone { request }
-        | Seen::Answered { request, .. }
-        | Seen::Closed { request, .. }
-        | Seen::Begun { request, .. }
-        | Seen::Over { request, .. } => Some(*request),
+        Event::RequestSent { request, .. }
+        | Event::ClientLeft { request }
+        | Event::Answered { request, .. }
+        | Event::ConnectionClosed { request, .. }
+        | Event::AttemptStarted { request, .. }
+        | Event::AttemptEnded { request, .. } => Some(*request),
         _ => None,
     }
 }
 
 impl History {
-    fn broken(&self, terms: &Terms, slack: Time, trace: &Trace) -> Vec<Rule> {
+    fn broken(&self, terms: &RunLimits, slack: Micros, trace: &Trace) -> Vec<Rule> {
         let mut broken = Vec::new();
         let mut check = |rule, holds: bool| {
             if !holds {
                 broken.push(rule);
             }
         };
-        check(Rule::Answered, self.is_answered(slack, trace));
-        check(Rule::AnsweredOnce, self.answers.len() <= 1);
-        check(Rule::NotRepeated, self.is_repeated_as_may(slack));
-        check(Rule::RefusedUnrun, self.is_refused_as_may());
-        check(Rule::OneAttemptOut, self.has_one_out(slack));
+        check(Rule::AnsweredInTime, self.is_answered(slack, trace));
+        check(Rule::AtMostOneAnswer, self.answers.len() <= 1);
+        check(Rule::NoUnsafeRepeat, self.is_repeated_as_may(slack));
+        check(Rule::NoRefusalAfterRun, self.is_refused_as_may());
+        check(Rule::OneAttemptInFlight, self.has_one_out(slack));
         let gone = self.gone.map(|gone| gone + GONE_BY + slack);
-        let after = |begun: &&(Time, usize, Time)| gone.is_some_and(|gone| begun.0 > gone);
+        let after = |begun: &&(Micros, usize, Micros)| gone.is_some_and(|gone| begun.0 > gone);
         check(
-            Rule::NothingAfterItsClient,
+            Rule::NoAttemptAfterClientLeft,
             self.begun.iter().find(after).is_none(),
         );
-        let drained = |(at, engine, _): &&(Time, usize, Time)| {
+        let drained = |(at, engine, _): &&(Micros, usize, Micros)| {
             let told = trace.drained(*engine);
             told.is_some_and(|told| *at > told + terms.drain_grace + slack)
         };
-        check(Rule::DrainKept, self.begun.iter().find(drained).is_none());
-        let too_long = |(at, _, told): &&(Time, usize, Time)| {
+        check(
+            Rule::NoAttemptWhileDraining,
+            self.begun.iter().find(drained).is_none(),
+        );
+        let too_long = |(at, _, told): &&(Micros, usize, Micros)| {
             let taken = self.taken.last();
             taken.is_some_and(|(taken, _, limit)| at + told > taken + limit + LEFT_AND + slack)
         };
-        check(Rule::TimeLeft, self.begun.iter().find(too_long).is_none());
+        check(
+            Rule::RemainingTimePassed,
+            self.begun.iter().find(too_long).is_none(),
+        );
         broken
     }
 
     /// One whole final answer in time; or its client has gone, its dispatcher was killed, or it crossed the close of a
     /// connection that rested, and nothing of it was sent on.
-    fn is_answered(&self, slack: Time, trace: &Trace) -> bool {
+    fn is_answered(&self, slack: Micros, trace: &Trace) -> bool {
         let Some((taken, dispatcher, _)) = self.taken.last().copied() else {
             return true;
         };
@@ -404,13 +423,13 @@
     }
 
     /// Whether the attempt may have run at its engine: unless that has said that it never ran.
-    fn may_have_run(&self, (_, engine, _): &(Time, usize, Time)) -> bool {
+    fn may_have_run(&self, (_, engine, _): &(Micros, usize, Micros)) -> bool {
         let mut ends = self.over.iter().filter(|(_, at, _)| at == engine);
-        !ends.any(|(_, _, end)| *end == End::NeverRan)
+        !ends.any(|(_, _, end)| *end == AttemptEnd::NeverRan)
     }
 
     /// What may not be repeated has no attempt after one that may have run; what may for a while, none after that.
-    fn is_repeated_as_may(&self, slack: Time) -> bool {
+    fn is_repeated_as_may(&self, slack: Micros) -> bool {
         let window = match self.effect {
             Some(Effect::Once) => None,
             Some(Effect::ByKey { window }) => Some(window + slack),
@@ -431,7 +450,7 @@
         !(refused && self.effect == Some(Effect::Once) && may_have_run())
     }
 
-    fn has_one_out(&self, slack: Time) -> bool {
+    fn has_one_out(&self, slack: Micros) -> bool {
         self.begun.windows(2).all(|pair| {
             let ((_, engine, _), (next, _, _)) = (pair[0], pair[1]);
             let mut ends = self.over.iter().filter(|(_, at, _)| *at == engine);
--- a/dispatcher/tests/soak/clients.rs
+++ b/dispatcher/tests/soak/clients.rs
@@ -1,8 +1,8 @@
 //! Clients: one command at a time or many at once, whole or in pieces; some leave, cancel, stay idle, or go on using a
 //! connection until it is closed.
 
-use crate::judge::{Answer, Effect, MILLI, Seen, Time};
-use crate::world::{Draws, Recorder};
+use crate::checker::{Answer, Effect, Event, MILLISECOND, Micros};
+use crate::fakes::{Recorder, SeededRng};
 use sedgebeam_lab::wire;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,14 +15,14 @@
 
 /// Where a client may connect.
 #[derive(Clone)]
-pub struct Place {
+pub struct DispatcherEndpoint {
     pub dispatcher: usize,
     pub address: SocketAddr,
-    pub takes: Arc<AtomicBool>,
+    pub accepts_connections: Arc<AtomicBool>,
 }
 
 /// The shortest that a client waits for an answer.
-const LEAST_LIMIT: Time = 500 * MILLI;
+const LEAST_LIMIT: Micros = 500 * MILLISECOND;
 /// A client stops waiting so long after its limit; the judge says whether that was too late.
 const WAITS_ON: Duration = Duration::from_millis(1_500);
 
@@ -95,14 +95,14 @@
 #[derive(Clone, Copy)]
 struct Request {
     id: u64,
-    limit: Time,
+    limit: Micros,
     class: &'static str,
     effect: Effect,
 }
 
 impl Request {
-    fn draw(draws: &mut Draws, asked: &Asked) -> Request {
-        let window = asked.window;
+    fn draw(draws: &mut SeededRng, asked: &RequestLimits) -> Request {
+        let window = asked.repeat_window;
         let (class, effect) = match draws.below(100) {
             0..20 => ("journal-load", Effect::Once),
             20..32 => ("report", Effect::Repeatable),
@@ -111,7 +111,7 @@
         };
         Request {
             id: draws.next(),
-            limit: LEAST_LIMIT + draws.below(asked.longest - LEAST_LIMIT),
+            limit: LEAST_LIMIT + draws.below(asked.max_time_limit - LEAST_LIMIT),
             class,
             effect,
         }
@@ -133,7 +133,7 @@
             "/* verb={},txn={:016x},limit={}{token},cpu={cpu}.0,memory=8 */ {verb} sales_{group}.orders",
             self.class,
             self.id,
-            self.limit / MILLI
+            self.limit / MILLISECOND
         );
         wire::query(&text).to_vec()
     }
@@ -141,30 +141,30 @@
 
 /// What holds of all requests of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct RequestLimits {
     /// The longest that a client waits for an answer.
-    pub longest: Time,
+    pub max_time_limit: Micros,
     /// How long a keyed request may be repeated.
-    pub window: Time,
+    pub repeat_window: Micros,
 }
 
 pub struct Client {
-    pub draws: Draws,
-    pub places: Vec<Place>,
+    pub rng: SeededRng,
+    pub endpoints: Vec<DispatcherEndpoint>,
     pub recorder: Recorder,
-    pub over: Arc<AtomicBool>,
-    pub asked: Asked,
+    pub is_finished: Arc<AtomicBool>,
+    pub request_limits: RequestLimits,
 }
 
 impl Client {
     /// Asks until all is over.
     pub async fn run(mut self) {
         let mut kept: Option<(Session, usize)> = None;
-        while !self.over.load(Ordering::Relaxed) {
-            let pause = if self.draws.percent(5) {
-                self.draws.millis(200, 900)
+        while !self.is_finished.load(Ordering::Relaxed) {
+            let pause = if self.rng.chance(5) {
+                self.rng.millis_between(200, 900)
             } else {
-                self.draws.millis(1, 60)
+                self.rng.millis_between(1, 60)
             };
             sleep(pause).await;
             let session = kept.take().filter(|(session, _)| session.rests());
@@ -180,9 +180,9 @@
     }
 
     async fn connect(&mut self) -> Option<(Session, usize)> {
-        let place = self.draws.below(self.places.len() as u64) as usize;
-        let place = self.places[place].clone();
-        if !place.takes.load(Ordering::Relaxed) {
+        let place = self.rng.below(self.endpoints.len() as u64) as usize;
+        let place = self.endpoints[place].clone();
+        if !place.accepts_connections.load(Ordering::Relaxed) {
             return None;
         }
         let session = Session::open(place.address).await?;
@@ -196,13 +196,13 @@
         dispatcher: usize,
         rested: bool,
     ) -> Option<(Session, usize)> {
-        let count = match self.draws.below(100) {
+        let count = match self.rng.below(100) {
             0..80 => 1,
-            80..97 => 2 + self.draws.below(6),
+            80..97 => 2 + self.rng.below(6),
             _ => 70,
         };
         let requests: Vec<Request> = (0..count)
-            .map(|_| Request::draw(&mut self.draws, &self.asked))
+            .map(|_| Request::draw(&mut self.rng, &self.request_limits))
             .collect();
         let bytes: Vec<u8> = requests.iter().flat_map(Request::bytes).collect();
         if !self.write(&mut session, &bytes).await {
@@ -212,16 +212,16 @@
         let mut behind = 0;
         for request in &requests {
             behind = request.limit.max(behind);
-            self.recorder.see(Seen::Taken {
+            self.recorder.record(Event::RequestSent {
                 request: request.id,
                 dispatcher,
-                limit: request.limit,
-                behind,
+                time_limit: request.limit,
+                pipeline_time_limit: behind,
                 effect: request.effect,
             });
         }
-        let leaves = self.draws.percent(8).then(|| self.draws.millis(1, 300));
-        let cancels = count == 1 && self.draws.percent(5);
+        let leaves = self.rng.chance(8).then(|| self.rng.millis_between(1, 300));
+        let cancels = count == 1 && self.rng.chance(5);
         let mut open: VecDeque<Request> = requests.into();
         let leaves_at = leaves.map(|after| Instant::now() + after);
         let latest = open.iter().map(|request| request.limit).max().unwrap_or(0);
@@ -239,7 +239,7 @@
             let id = request.id;
             match came {
                 Came::Answer(answer) => {
-                    self.recorder.see(Seen::Answered {
+                    self.recorder.record(Event::Answered {
                         request: id,
                         answer,
                     });
@@ -247,8 +247,9 @@
                 }
                 Came::Closed => {
                     for request in open {
-                        let (request, rested) = (request.id, rested);
-                        self.recorder.see(Seen::Closed { request, rested });
+                        let (request, was_idle) = (request.id, rested);
+                        self.recorder
+                            .record(Event::ConnectionClosed { request, was_idle });
                     }
                     return None;
                 }
@@ -260,15 +261,15 @@
 
     /// Writes whole, or in pieces.
     async fn write(&mut self, session: &mut Session, bytes: &[u8]) -> bool {
-        if !self.draws.percent(15) {
+        if !self.rng.chance(15) {
             return session.stream.write_all(bytes).await.is_ok();
         }
-        let pieces = 2 + self.draws.below(4) as usize;
+        let pieces = 2 + self.rng.below(4) as usize;
         for piece in bytes.chunks(bytes.len() / pieces + 1) {
             if session.stream.write_all(piece).await.is_err() {
                 return false;
             }
-            sleep(self.draws.millis(1, 30)).await;
+            sleep(self.rng.millis_between(1, 30)).await;
         }
         true
     }
@@ -294,14 +295,14 @@
     }
 
     fn gone(&self, request: &Request) {
-        self.recorder.see(Seen::Gone {
+        self.recorder.record(Event::ClientLeft {
             request: request.id,
         });
     }
 }
 
 /// Connections that say nothing, or start and then rest, until all is over.
-pub async fn crowd(place: Place, count: usize, over: Arc<AtomicBool>) {
+pub async fn hold_idle_connections(place: DispatcherEndpoint, count: usize, over: Arc<AtomicBool>) {
     let mut kept = Vec::new();
     for number in 0..count {
         if let Ok(mut stream) = TcpStream::connect(place.address).await {
--- a/dispatcher/tests/soak/program.rs
+++ b/dispatcher/tests/soak/dispatcher.rs
@@ -1,8 +1,8 @@
 //! One dispatcher: its processes, one after the other, and what it holds.
 
-use crate::faults::Faults;
-use crate::judge::Seen;
-use crate::world::Recorder;
+use crate::checker::Event;
+use crate::fakes::Recorder;
+use crate::faults::FaultInjector;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Descriptors and memory of each dispatcher.
-pub const SOCKETS: u64 = 256;
+pub const MAX_SOCKETS: u64 = 256;
 /// What a build without optimisation holds beside what it uses; the program counts itself against 64 MB.
 const MEMORY_KB: u64 = 64 * 1024;
 /// No verdict hangs on this: it only ends a run that would wait for ever.
@@ -26,11 +26,11 @@
     pub address: SocketAddr,
     control: SocketAddr,
     folder: PathBuf,
-    pub faults: Faults,
+    pub faults: FaultInjector,
     recorder: Recorder,
     child: Option<Child>,
     /// New connections are not made while it ends or is away.
-    pub takes: Arc<AtomicBool>,
+    pub accepts_connections: Arc<AtomicBool>,
 }
 
 /// An address that nobody has now.
@@ -49,10 +49,10 @@
             address: free_address(),
             control: free_address(),
             folder,
-            faults: Faults::none(),
+            faults: FaultInjector::new(),
             recorder: recorder.clone(),
             child: None,
-            takes: Arc::new(AtomicBool::new(false)),
+            accepts_connections: Arc::new(AtomicBool::new(false)),
         }
     }
 
@@ -60,7 +60,7 @@
     pub fn configure(&self, known: &str, changelog: SocketAddr, settings: &str) {
         let text = format!(
             r#"{{"name":"n{}","listen":"{}","control":"{}","seed":"8c1f30d27a5be96{}","changelog":"{changelog}",
-              "limits":{{"sockets":{SOCKETS},"memory_mb":64}},"known":{known},"settings":{settings}}}"#,
+              "limits":{{"sockets":{MAX_SOCKETS},"memory_mb":64}},"known":{known},"settings":{settings}}}"#,
             self.number, self.address, self.control, self.number
         );
         let whole = self.folder.join("new.json");
@@ -71,8 +71,9 @@
     /// Starts a process, and waits until it says that it is ready.
     pub async fn start(&mut self) {
         let number = self.number;
-        self.recorder.see(Seen::Started { dispatcher: number });
-        let limited = format!("ulimit -n {SOCKETS} && exec \"$0\" serve");
+        self.recorder
+            .record(Event::ProcessStarted { dispatcher: number });
+        let limited = format!("ulimit -n {MAX_SOCKETS} && exec \"$0\" serve");
         let log = std::fs::File::create(self.folder.join("log")).expect("a log");
         let child = Command::new("sh")
             .args(["-c", &limited, env!("CARGO_BIN_EXE_sedgebeam")])
@@ -89,8 +90,9 @@
         while !self.is_ready().await && Instant::now() < until {
             sleep(Duration::from_millis(10)).await;
         }
-        self.recorder.see(Seen::Ready { dispatcher: number });
-        self.takes.store(true, Ordering::Relaxed);
+        self.recorder
+            .record(Event::ProcessReady { dispatcher: number });
+        self.accepts_connections.store(true, Ordering::Relaxed);
     }
 
     async fn is_ready(&self) -> bool {
@@ -120,18 +122,18 @@
 
     /// Kills the process as a machine dies, and waits until it has gone.
     pub async fn kill(&mut self) {
-        self.takes.store(false, Ordering::Relaxed);
+        self.accepts_connections.store(false, Ordering::Relaxed);
         self.signal("-KILL");
         self.gone().await;
         // Only now: what was written to it before the signal took effect is excused too.
-        self.recorder.see(Seen::Killed {
+        self.recorder.record(Event::ProcessKilled {
             dispatcher: self.number,
         });
     }
 
     /// Ends the process in order: SIGTERM, with other signals behind it, and SIGKILL at the earliest moment at which the
     /// platform may send it.
-    pub async fn end(&mut self, longest_deadline: Duration) {
+    pub async fn shut_down(&mut self, longest_deadline: Duration) {
         let kill_after = longest_deadline.min(Duration::from_secs(3)) + Duration::from_millis(700);
         let began = Instant::now();
         self.signal("-TERM");
@@ -141,7 +143,7 @@
         }
         // The front goes on connecting for a while.
         sleep(Duration::from_millis(150)).await;
-        self.takes.store(false, Ordering::Relaxed);
+        self.accepts_connections.store(false, Ordering::Relaxed);
         let left = kill_after.saturating_sub(began.elapsed());
         let Some(child) = &mut self.child else { return };
         match timeout(left, child.wait()).await {
@@ -159,7 +161,7 @@
         let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
         let last: Vec<&str> = log.lines().rev().take(5).collect();
         eprintln!("dispatcher {}: its last words: {last:?}", self.number);
-        self.recorder.see(Seen::Crashed {
+        self.recorder.record(Event::ProcessCrashed {
             dispatcher: self.number,
         });
     }
@@ -172,7 +174,7 @@
     }
 
     /// Notes what the process holds, and whether it still runs.
-    pub fn look(&mut self) {
+    pub fn check_process(&mut self) {
         let ended = self.child.as_mut().is_some_and(|child| {
             let status = child.try_wait();
             matches!(status, Ok(Some(_)))
@@ -183,15 +185,15 @@
         }
         let Some(id) = self.id() else { return };
         let held = |what, held, allowed| {
-            self.recorder.see(Seen::Held {
+            self.recorder.record(Event::ResourceUsage {
                 dispatcher: self.number,
-                what,
-                held,
+                resource: what,
+                used: held,
                 allowed,
             });
         };
         if let Ok(entries) = std::fs::read_dir(format!("/proc/{id}/fd")) {
-            held("descriptors", entries.count() as u64, SOCKETS);
+            held("descriptors", entries.count() as u64, MAX_SOCKETS);
         }
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let resident = status
--- a/dispatcher/tests/soak/world.rs
+++ b/dispatcher/tests/soak/fakes.rs
@@ -1,6 +1,6 @@
 //! What the dispatchers talk to: engines that are well or not, and change logs.
 
-use crate::judge::{End, MILLI, Seen, Time};
+use crate::checker::{AttemptEnd, Event, MILLISECOND, Micros};
 use sedgebeam_lab::wire;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 
 /// Draws of one seed.
 #[derive(Clone, Debug)]
-pub struct Draws(u64);
+pub struct SeededRng(u64);
 
-impl Draws {
-    pub fn new(seed: u64) -> Draws {
-        Draws(sedgebeam_core::splitmix64(seed))
+impl SeededRng {
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(sedgebeam_core::splitmix64(seed))
     }
 
     pub fn next(&mut self) -> u64 {
@@ -32,11 +32,11 @@
     }
 
     /// True so many times of a hundred.
-    pub fn percent(&mut self, part: u64) -> bool {
+    pub fn chance(&mut self, part: u64) -> bool {
         self.below(100) < part
     }
 
-    pub fn millis(&mut self, from: u64, to: u64) -> Duration {
+    pub fn millis_between(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_millis(from + self.below(to - from))
     }
 }
@@ -45,7 +45,7 @@
 #[derive(Clone)]
 pub struct Recorder {
     began: Instant,
-    seen: Arc<Mutex<Vec<(Time, Seen)>>>,
+    seen: Arc<Mutex<Vec<(Micros, Event)>>>,
 }
 
 impl Recorder {
@@ -56,18 +56,18 @@
         }
     }
 
-    pub fn now(&self) -> Time {
-        self.began.elapsed().as_micros() as Time
+    pub fn now(&self) -> Micros {
+        self.began.elapsed().as_micros() as Micros
     }
 
-    pub fn see(&self, seen: Seen) {
+    pub fn record(&self, seen: Event) {
         // The time is read under the lock: the trace is in order.
         let mut trace = self.seen.lock().expect("nobody panicked");
         let now = self.now();
         trace.push((now, seen));
     }
 
-    pub fn take(&self) -> Vec<(Time, Seen)> {
+    pub fn take(&self) -> Vec<(Micros, Event)> {
         std::mem::take(&mut self.seen.lock().expect("nobody panicked"))
     }
 }
@@ -77,29 +77,29 @@
     pub number: usize,
     pub address: SocketAddr,
     /// It answers nothing while this is set.
-    pub hangs: Arc<AtomicBool>,
+    pub is_hung: Arc<AtomicBool>,
 }
 
 /// Starts an engine; so many of a hundred requests meet a fault.
-pub async fn engine(number: usize, faults: u64, seed: u64, recorder: Recorder) -> Engine {
+pub async fn start_engine(number: usize, faults: u64, seed: u64, recorder: Recorder) -> Engine {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let hangs = Arc::new(AtomicBool::new(false));
     let hanging = hangs.clone();
     tokio::spawn(async move {
-        let mut draws = Draws::new(seed);
+        let mut draws = SeededRng::new(seed);
         while let Ok((stream, _)) = listener.accept().await {
             let connection = Connection {
                 engine: number,
                 faults,
-                draws: Draws::new(draws.next()),
+                draws: SeededRng::new(draws.next()),
                 recorder: recorder.clone(),
                 hangs: hanging.clone(),
                 // What comes is read at once: when an attempt has come whole is what counts.
-                late: draws.percent(10).then(|| draws.millis(50, 400)),
+                late: draws.chance(10).then(|| draws.millis_between(50, 400)),
                 out: HashMap::new(),
             };
-            let turned_away = draws.percent(faults / 4);
+            let turned_away = draws.chance(faults / 4);
             if !turned_away {
                 tokio::spawn(connection.serve(stream));
             }
@@ -108,13 +108,13 @@
     Engine {
         number,
         address,
-        hangs,
+        is_hung: hangs,
     }
 }
 
 /// What becomes of a request at an engine.
 enum Plan {
-    Word(&'static str, End),
+    Word(&'static str, AttemptEnd),
     Hang,
     Reset,
     Cut,
@@ -130,7 +130,7 @@
 struct Connection {
     engine: usize,
     faults: u64,
-    draws: Draws,
+    draws: SeededRng,
     recorder: Recorder,
     hangs: Arc<AtomicBool>,
     /// All answers on this connection are late by this time.
@@ -140,9 +140,9 @@
 }
 
 impl Connection {
-    fn over(&mut self, id: &str, end: End) {
+    fn over(&mut self, id: &str, end: AttemptEnd) {
         if let Some(request) = self.out.remove(id) {
-            self.recorder.see(Seen::Over {
+            self.recorder.record(Event::AttemptEnded {
                 request,
                 engine: self.engine,
                 end,
@@ -151,13 +151,13 @@
     }
 
     fn plan(&mut self) -> Plan {
-        if !self.draws.percent(self.faults) {
-            return Plan::Word("OK", End::MayHaveRun);
+        if !self.draws.chance(self.faults) {
+            return Plan::Word("OK", AttemptEnd::MayHaveRun);
         }
         match self.draws.below(8) {
-            0 => Plan::Word("BUSY", End::NeverRan),
-            1 => Plan::Word("VOID", End::NeverRan),
-            2 => Plan::Word("ERR", End::MayHaveRun),
+            0 => Plan::Word("BUSY", AttemptEnd::NeverRan),
+            1 => Plan::Word("VOID", AttemptEnd::NeverRan),
+            2 => Plan::Word("ERR", AttemptEnd::MayHaveRun),
             3 => Plan::Reset,
             4 => Plan::Cut,
             5 => Plan::Twice,
@@ -189,7 +189,7 @@
         }
         let left: Vec<String> = self.out.keys().cloned().collect();
         for id in left {
-            self.over(&id, End::MayHaveRun);
+            self.over(&id, AttemptEnd::MayHaveRun);
         }
     }
 
@@ -214,12 +214,12 @@
                     .split(',')
                     .find_map(|field| field.strip_prefix("ms="));
                 let told = field
-                    .and_then(|ms| ms.parse::<Time>().ok())
+                    .and_then(|ms| ms.parse::<Micros>().ok())
                     .unwrap_or_default();
-                self.recorder.see(Seen::Begun {
+                self.recorder.record(Event::AttemptStarted {
                     request,
                     engine: self.engine,
-                    told: told * MILLI,
+                    announced_time_limit: told * MILLISECOND,
                     work_ms: if fields.starts_with("kind=lookup") {
                         80
                     } else {
@@ -228,10 +228,10 @@
                 });
                 self.out.insert(id.clone(), request);
                 let plan = self.plan();
-                let takes = if self.draws.percent(10) {
-                    self.draws.millis(100, 900)
+                let takes = if self.draws.chance(10) {
+                    self.draws.millis_between(100, 900)
                 } else {
-                    self.draws.millis(1, 20)
+                    self.draws.millis_between(1, 20)
                 } + self.late.unwrap_or_default();
                 let (dues, hangs) = (dues.clone(), self.hangs.clone());
                 tokio::spawn(async move {
@@ -241,7 +241,7 @@
                     }
                 });
             }
-            "abort" => self.over(&id, End::MayHaveRun),
+            "abort" => self.over(&id, AttemptEnd::MayHaveRun),
             "stats" | "alive" => {
                 let _ = write.write_all(&array(&[&id, "UP", "-", ""])).await;
             }
@@ -263,7 +263,7 @@
                 true
             }
             Plan::Twice => {
-                self.over(&due.id, End::MayHaveRun);
+                self.over(&due.id, AttemptEnd::MayHaveRun);
                 let twice = [ok.clone(), ok].concat();
                 write.write_all(&twice).await.is_ok()
             }
@@ -293,19 +293,19 @@
     pub address: SocketAddr,
     events: Arc<Mutex<Vec<String>>>,
     /// It accepts and says nothing, and closes nothing, while this is set.
-    pub silent: Arc<AtomicBool>,
+    pub is_silent: Arc<AtomicBool>,
     followers: Arc<AtomicUsize>,
 }
 
 const LOOK: Duration = Duration::from_millis(10);
 
 /// Starts a change log; several may tell of the same events.
-pub async fn change_log(events: Arc<Mutex<Vec<String>>>) -> ChangeLog {
+pub async fn start_change_log(events: Arc<Mutex<Vec<String>>>) -> ChangeLog {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let log = ChangeLog {
         address: listener.local_addr().expect("an address"),
         events,
-        silent: Arc::default(),
+        is_silent: Arc::default(),
         followers: Arc::default(),
     };
     let serving = log.clone();
@@ -340,7 +340,7 @@
             .await?;
         let mut looks = 0;
         loop {
-            while self.silent.load(Ordering::Relaxed) {
+            while self.is_silent.load(Ordering::Relaxed) {
                 sleep(LOOK).await;
             }
             let new: Vec<String> = {
--- a/dispatcher/tests/soak/main.rs
+++ b/dispatcher/tests/soak/main.rs
@@ -4,18 +4,19 @@
 //! `cargo test` runs a few seeds for a short while. A longer run is started by hand, with its seeds and how many troubles each
 //! has: `SEDGEBEAM_SOAK_SEEDS=1..51 SEDGEBEAM_SOAK_TROUBLES=12 cargo test -p sedgebeam --test soak -- soak --nocapture`.
 
+mod checker;
+mod checker_tests;
 mod clients;
+mod dispatcher;
+mod fakes;
 #[path = "../faults/mod.rs"]
 mod faults;
-mod judge;
-mod judge_tests;
-mod program;
-mod world;
-
-use clients::{Asked, Client, Place, crowd};
-use faults::{Call, Fault};
-use judge::{Cold, MILLI, Seen, Terms, Time, Trace, Violation};
-use program::Dispatcher;
+
+use checker::{ColdEngine, Event, MILLISECOND, Micros, RunLimits, Trace, Violation};
+use clients::{Client, DispatcherEndpoint, RequestLimits, hold_idle_connections};
+use dispatcher::Dispatcher;
+use fakes::{ChangeLog, Engine, Recorder, SeededRng, start_change_log, start_engine};
+use faults::{Fault, SystemCall};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -23,7 +24,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::time::{sleep, timeout};
-use world::{ChangeLog, Draws, Engine, Recorder, change_log, engine};
 
 const SEEDS: Range<u64> = 1..5;
 const TROUBLES: usize = 6;
@@ -38,7 +38,7 @@
 const START_CAPACITY: f64 = 0.3;
 const WARM_AFTER_MS: f64 = 5_000.0;
 const FALL_MULTIPLE: f64 = 4.0;
-const OVERLOAD_FOR: Time = 1_000 * MILLI;
+const OVERLOAD_FOR: Micros = 1_000 * MILLISECOND;
 /// Mean work of a request, by how often each class is asked for.
 const MEAN_WORK_MS: f64 = 0.56 * 80.0 + 0.44 * 2_000.0;
 
@@ -49,21 +49,24 @@
 const ENOBUFS: i32 = 105;
 
 /// System calls that fail or do a part: of which each how many-th.
-const FAILURES: [(Call, i32, Fault); 8] = [
-    (Call::Recv, 1, Fault::Short),
-    (Call::Send, 1, Fault::Short),
-    (Call::Recv, 3, Fault::Error(EINTR)),
-    (Call::Send, 3, Fault::Error(EINTR)),
-    (Call::Accept, 2, Fault::Error(ENFILE)),
-    (Call::Accept, 2, Fault::Error(ECONNABORTED)),
-    (Call::Connect, 2, Fault::Error(EADDRNOTAVAIL)),
-    (Call::SetSockOpt, 1, Fault::Error(ENOBUFS)),
+const FAILURES: [(SystemCall, i32, Fault); 8] = [
+    (SystemCall::Recv, 1, Fault::OneByte),
+    (SystemCall::Send, 1, Fault::OneByte),
+    (SystemCall::Recv, 3, Fault::Error(EINTR)),
+    (SystemCall::Send, 3, Fault::Error(EINTR)),
+    (SystemCall::Accept, 2, Fault::Error(ENFILE)),
+    (SystemCall::Accept, 2, Fault::Error(ECONNABORTED)),
+    (SystemCall::Connect, 2, Fault::Error(EADDRNOTAVAIL)),
+    (SystemCall::SetSockOpt, 1, Fault::Error(ENOBUFS)),
 ];
 
-fn settings(dispatchers: usize, asked: &Asked) -> String {
-    let (give_up, window) = (asked.longest / MILLI, asked.window / MILLI);
+fn settings(dispatchers: usize, asked: &RequestLimits) -> String {
+    let (give_up, window) = (
+        asked.max_time_limit / MILLISECOND,
+        asked.repeat_window / MILLISECOND,
+    );
     let grace = GRACE.as_millis();
-    let overload_for = OVERLOAD_FOR / MILLI;
+    let overload_for = OVERLOAD_FOR / MILLISECOND;
     format!(
         r#"{{"balancers": {dispatchers}, "kinds": ["std"], "zones": ["a"], "zone": "a", "tick": 5.0,
   "domain": {{"class_load": [false, false, true, false], "class_waits": [true, true, false, true], "priorities": true,
@@ -110,7 +113,7 @@
         Stall { longest, over }
     }
 
-    fn longest(&self) -> Time {
+    fn longest(&self) -> Micros {
         self.longest.load(Ordering::Relaxed)
     }
 }
@@ -124,16 +127,16 @@
 /// One run.
 struct Run {
     seed: u64,
-    draws: Draws,
+    draws: SeededRng,
     recorder: Recorder,
-    asked: Asked,
+    asked: RequestLimits,
     settings: String,
     engines: Vec<Engine>,
     draining: Vec<usize>,
     events: Arc<Mutex<Vec<String>>>,
     logs: Vec<ChangeLog>,
     dispatchers: Vec<Dispatcher>,
-    cold: BTreeMap<usize, Cold>,
+    cold: BTreeMap<usize, ColdEngine>,
     /// When what the change log tells may last have gone astray.
     disturbed: Option<Instant>,
     over: Arc<AtomicBool>,
@@ -143,23 +146,23 @@
 
 impl Run {
     async fn new(seed: u64) -> Run {
-        let mut draws = Draws::new(seed);
+        let mut draws = SeededRng::new(seed);
         let recorder = Recorder::new();
         let dispatchers = 2 + draws.below(2) as usize;
         // Deadlines beyond the earliest kill after SIGTERM, too.
-        let longest = if draws.percent(25) {
+        let longest = if draws.chance(25) {
             5_000 + draws.below(15_000)
         } else {
             1_500 + draws.below(1_500)
         };
-        let asked = Asked {
-            longest: longest * MILLI,
-            window: (300 + draws.below(3_000)) * MILLI,
+        let asked = RequestLimits {
+            max_time_limit: longest * MILLISECOND,
+            repeat_window: (300 + draws.below(3_000)) * MILLISECOND,
         };
         let mut engines = Vec::new();
         for number in 1..=3 + draws.below(3) as usize {
             let (faults, seed) = (draws.below(20), draws.next());
-            engines.push(engine(number, faults, seed, recorder.clone()).await);
+            engines.push(start_engine(number, faults, seed, recorder.clone()).await);
         }
         let targets: Vec<String> = engines
             .iter()
@@ -172,7 +175,7 @@
         let events = Arc::new(Mutex::new(vec![whole]));
         let mut logs = Vec::new();
         for _ in 0..2 {
-            logs.push(change_log(events.clone()).await);
+            logs.push(start_change_log(events.clone()).await);
         }
         let dispatchers: Vec<Dispatcher> = (0..dispatchers)
             .map(|number| Dispatcher::new(seed, number, &recorder))
@@ -241,17 +244,17 @@
             _ => self.fail_calls().await,
         }
         for dispatcher in &mut self.dispatchers {
-            dispatcher.look();
+            dispatcher.check_process();
         }
-        sleep(self.draws.millis(100, 600)).await;
+        sleep(self.draws.millis_between(100, 600)).await;
     }
 
     /// An engine answers nothing for a while.
     async fn hang(&mut self) {
         let place = self.draws.below(self.engines.len() as u64) as usize;
-        let hangs = self.engines[place].hangs.clone();
+        let hangs = self.engines[place].is_hung.clone();
         hangs.store(true, Ordering::Relaxed);
-        let time = self.draws.millis(300, 1_500);
+        let time = self.draws.millis_between(300, 1_500);
         self.tasks.push(tokio::spawn(async move {
             sleep(time).await;
             hangs.store(false, Ordering::Relaxed);
@@ -274,7 +277,7 @@
         let (recorder, engine) = (self.recorder.clone(), self.engines[place].number);
         self.tasks.push(tokio::spawn(async move {
             sleep(told).await;
-            recorder.see(Seen::Drained { engine });
+            recorder.record(Event::DrainAnnounced { engine });
         }));
     }
 
@@ -282,22 +285,22 @@
     async fn join_cold(&mut self) {
         let number = self.engines.len() + 1;
         let seed = self.draws.next();
-        let new = engine(number, 0, seed, self.recorder.clone()).await;
+        let new = start_engine(number, 0, seed, self.recorder.clone()).await;
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let boot_ms = now.expect("a clock").as_millis();
         let from = self.recorder.now();
         self.tell(&target(&new, "up", boot_ms));
         self.engines.push(new);
-        let half = OVERLOAD_FOR as f64 / MILLI as f64 / 2.0 / WARM_AFTER_MS;
+        let half = OVERLOAD_FOR as f64 / MILLISECOND as f64 / 2.0 / WARM_AFTER_MS;
         let able = START_CAPACITY + (1.0 - START_CAPACITY) * half;
         let window = OVERLOAD_FOR as f64 / 1e6;
         let allowed = FALL_MULTIPLE * able * CORES * window * 1e3 / MEAN_WORK_MS;
-        let cold = Cold {
+        let cold = ColdEngine {
             from,
             until: from + OVERLOAD_FOR,
             window: OVERLOAD_FOR,
-            most: Cold::budget(allowed),
-            mean_ms: MEAN_WORK_MS,
+            max_requests: ColdEngine::with_margin(allowed),
+            mean_work_ms: MEAN_WORK_MS,
         };
         self.cold.insert(number, cold);
     }
@@ -306,17 +309,17 @@
     async fn silence(&mut self) {
         self.disturb();
         for log in &self.logs {
-            log.silent.store(true, Ordering::Relaxed);
+            log.is_silent.store(true, Ordering::Relaxed);
         }
-        if self.draws.percent(30) {
+        if self.draws.chance(30) {
             self.kill_one().await;
         }
-        if self.draws.percent(30) {
+        if self.draws.chance(30) {
             self.drain().await;
         }
-        sleep(self.draws.millis(200, 2_500)).await;
+        sleep(self.draws.millis_between(200, 2_500)).await;
         for log in &self.logs {
-            log.silent.store(false, Ordering::Relaxed);
+            log.is_silent.store(false, Ordering::Relaxed);
         }
         self.disturb();
     }
@@ -330,7 +333,7 @@
                 self.configure(number);
                 self.dispatchers[number].signal("-HUP");
             }
-            sleep(self.draws.millis(10, 200)).await;
+            sleep(self.draws.millis_between(10, 200)).await;
         }
     }
 
@@ -339,10 +342,10 @@
         let number = self.one_dispatcher();
         // What hangs, hangs through all of it.
         let place = self.draws.below(self.engines.len() as u64) as usize;
-        let hangs = self.engines[place].hangs.clone();
-        hangs.store(self.draws.percent(60), Ordering::Relaxed);
-        let longest = Duration::from_micros(self.asked.longest);
-        self.dispatchers[number].end(longest).await;
+        let hangs = self.engines[place].is_hung.clone();
+        hangs.store(self.draws.chance(60), Ordering::Relaxed);
+        let longest = Duration::from_micros(self.asked.max_time_limit);
+        self.dispatchers[number].shut_down(longest).await;
         hangs.store(false, Ordering::Relaxed);
         self.start(number).await;
     }
@@ -359,7 +362,8 @@
         let number = self.one_dispatcher();
         let (place, over) = (self.place(number), self.over.clone());
         let count = 100 + self.draws.below(150) as usize;
-        self.tasks.push(tokio::spawn(crowd(place, count, over)));
+        self.tasks
+            .push(tokio::spawn(hold_idle_connections(place, count, over)));
     }
 
     /// System calls of one dispatcher fail, or do a part, for a moment; or its wall clock is stepped for as long.
@@ -368,26 +372,26 @@
         self.disturb();
         let number = self.one_dispatcher();
         let kind = self.draws.below(FAILURES.len() as u64 + 1) as usize;
-        let time = self.draws.millis(200, 800);
+        let time = self.draws.millis_between(200, 800);
         let faults = &self.dispatchers[number].faults;
         let call = if let Some((call, every, fault)) = FAILURES.get(kind) {
-            faults.each(*every, *call, *fault);
+            faults.inject_every_nth(*every, *call, *fault);
             *call
         } else {
-            let hour = if self.draws.percent(50) { HOUR } else { -HOUR };
+            let hour = if self.draws.chance(50) { HOUR } else { -HOUR };
             faults.step_wall_clock(hour);
-            Call::WallClock
+            SystemCall::WallClock
         };
         sleep(time).await;
-        self.dispatchers[number].faults.end(call);
+        self.dispatchers[number].faults.clear(call);
     }
 
-    fn place(&self, number: usize) -> Place {
+    fn place(&self, number: usize) -> DispatcherEndpoint {
         let dispatcher = &self.dispatchers[number];
-        Place {
+        DispatcherEndpoint {
             dispatcher: number,
             address: dispatcher.address,
-            takes: dispatcher.takes.clone(),
+            accepts_connections: dispatcher.accepts_connections.clone(),
         }
     }
 
@@ -397,17 +401,17 @@
         for number in 0..self.dispatchers.len() {
             self.start(number).await;
         }
-        let places: Vec<Place> = (0..self.dispatchers.len())
+        let places: Vec<DispatcherEndpoint> = (0..self.dispatchers.len())
             .map(|number| self.place(number))
             .collect();
         let clients: Vec<_> = (0..CLIENTS)
             .map(|client| {
                 let client = Client {
-                    draws: Draws::new((self.seed << 8) | client),
-                    places: places.clone(),
+                    rng: SeededRng::new((self.seed << 8) | client),
+                    endpoints: places.clone(),
                     recorder: self.recorder.clone(),
-                    over: self.over.clone(),
-                    asked: self.asked,
+                    is_finished: self.over.clone(),
+                    request_limits: self.asked,
                 };
                 tokio::spawn(client.run())
             })
@@ -416,25 +420,25 @@
         for _ in 0..troubles {
             self.trouble().await;
         }
-        let longest = Duration::from_micros(self.asked.longest);
+        let longest = Duration::from_micros(self.asked.max_time_limit);
         // The end of all, with clients that go on.
         for dispatcher in &mut self.dispatchers {
-            dispatcher.look();
-            dispatcher.end(longest).await;
+            dispatcher.check_process();
+            dispatcher.shut_down(longest).await;
         }
         self.over.store(true, Ordering::Relaxed);
         for task in clients.into_iter().chain(std::mem::take(&mut self.tasks)) {
             let ended = timeout(Duration::from_secs(30), task).await;
             ended.expect("it ends").expect("no panic");
         }
-        let terms = Terms {
-            drain_grace: GRACE.as_micros() as Time,
-            cold: self.cold.clone(),
-            stall: stall.longest(),
+        let terms = RunLimits {
+            drain_grace: GRACE.as_micros() as Micros,
+            cold_engines: self.cold.clone(),
+            longest_stall: stall.longest(),
         };
         let trace = Trace(self.recorder.take());
         let counts = Counts::of(&trace, &terms);
-        (trace.judge(&terms), counts)
+        (trace.find_violations(&terms), counts)
     }
 }
 
@@ -450,26 +454,26 @@
     drained: usize,
     killed: usize,
     started: usize,
-    stall_ms: Time,
+    stall_ms: Micros,
 }
 
 impl Counts {
-    fn of(trace: &Trace, terms: &Terms) -> Counts {
+    fn of(trace: &Trace, terms: &RunLimits) -> Counts {
         let mut counts = Counts {
-            cold: terms.cold.len(),
-            stall_ms: terms.stall / MILLI,
+            cold: terms.cold_engines.len(),
+            stall_ms: terms.longest_stall / MILLISECOND,
             ..Counts::default()
         };
         for (_, seen) in &trace.0 {
             match seen {
-                Seen::Taken { .. } => counts.taken += 1,
-                Seen::Answered { .. } => counts.answered += 1,
-                Seen::Closed { .. } => counts.closed += 1,
-                Seen::Gone { .. } => counts.gone += 1,
-                Seen::Begun { .. } => counts.begun += 1,
-                Seen::Drained { .. } => counts.drained += 1,
-                Seen::Killed { .. } => counts.killed += 1,
-                Seen::Started { .. } => counts.started += 1,
+                Event::RequestSent { .. } => counts.taken += 1,
+                Event::Answered { .. } => counts.answered += 1,
+                Event::ConnectionClosed { .. } => counts.closed += 1,
+                Event::ClientLeft { .. } => counts.gone += 1,
+                Event::AttemptStarted { .. } => counts.begun += 1,
+                Event::DrainAnnounced { .. } => counts.drained += 1,
+                Event::ProcessKilled { .. } => counts.killed += 1,
+                Event::ProcessStarted { .. } => counts.started += 1,
                 _ => {}
             }
         }
--- a/dispatcher/tests/under_load.rs
+++ b/dispatcher/tests/under_load.rs
@@ -7,7 +7,7 @@
 #[path = "settings/mod.rs"]
 mod settings;
 
-use faults::{Call, Fault, Faults};
+use faults::{Fault, FaultInjector, SystemCall};
 use sedgebeam_lab::{engine, wire};
 use std::io;
 use std::net::{SocketAddr, TcpListener as Bound};
@@ -203,7 +203,7 @@
         let target = format!(
             r#"{{"uid":"s-00000001","endpoint":"{engine}","az":"a","model":"std","pod_group":0,"state":"up","boot_ms":0}}"#
         );
-        let settings = settings::of(1);
+        let settings = settings::for_dispatchers(1);
         let config = format!(
             r#"{{"name":"n0","listen":"{}","seed":"8c1f30d27a5be964","limits":{{"sockets":512}},"known":{{"seq":1,
               "results":[{{"seq":1,"fleet":{{"rev":1,"all":true,"targets":[{target}]}}}}]}},"settings":{settings}}}"#,
@@ -215,11 +215,11 @@
 
     /// Starts a process with the socket as descriptor 7.
     fn start(&self) -> Process {
-        self.start_with(&Faults::none())
+        self.start_with(&FaultInjector::new())
     }
 
     /// The same, with faults of system calls.
-    fn start_with(&self, faults: &Faults) -> Process {
+    fn start_with(&self, faults: &FaultInjector) -> Process {
         let socket = OwnedFd::from(self.socket.try_clone().expect("a copy"));
         let mut child = Command::new("sh")
             .args(["-c", r#"exec 7<&0; exec "$0" serve"#])
@@ -489,7 +489,10 @@
 }
 
 /// Starts a process, and then another with these faults; whether that began with what the first one knew.
-async fn second_begins_with_what_the_first_knew(platform: &Platform, faults: &Faults) -> bool {
+async fn second_begins_with_what_the_first_knew(
+    platform: &Platform,
+    faults: &FaultInjector,
+) -> bool {
     let mut first = platform.start();
     first.ready().await;
     let mut second = platform.start_with(faults);
@@ -509,7 +512,7 @@
     inside(async {
         for step in [-3600, 3600] {
             let Field { platform, .. } = Field::new(6).await;
-            let faults = Faults::none();
+            let faults = FaultInjector::new();
             faults.step_wall_clock(step);
             let handed_over = second_begins_with_what_the_first_knew(&platform, &faults).await;
             assert!(handed_over, "stepped by {step} s");
@@ -525,12 +528,12 @@
         let Field { platform, .. } = Field::new(7).await;
         let mut first = platform.start();
         first.ready().await;
-        let faults = Faults::none();
-        faults.always(Call::Create, Fault::Error(ENOSPC));
+        let faults = FaultInjector::new();
+        faults.inject_always(SystemCall::Create, Fault::Error(ENOSPC));
         let mut second = platform.start_with(&faults);
         second.ready().await;
-        faults.end(Call::Create);
-        assert!(faults.injected(Call::Create) > 0);
+        faults.clear(SystemCall::Create);
+        assert!(faults.injected_count(SystemCall::Create) > 0);
         let words = "2 processes serve as one dispatcher";
         assert_eq!(first.logged(words).await, "");
         assert_eq!(second.logged(words).await, "");
