--- a/dispatcher/tests/faults/mod.rs
+++ b/dispatcher/tests/faults/mod.rs
@@ -1,7 +1,7 @@
-//! Results of system calls that a test injects into the program: failures, short reads and writes, a stepped wall clock.
+//! Fault injection into system calls of the program under test: errors, short reads and writes, a stepped wall clock.
 //!
-//! The program is started with a small library preloaded (`shim.c`), which a C compiler, as the Rust toolchain needs one
-//! for linking, builds once for each test binary. Test and program share a mapped file of records.
+//! The program runs with a small preloaded library (`shim.c`). Each test binary builds it once with the C compiler, which the
+//! Rust toolchain needs for linking anyway. The test and the program share a memory-mapped file with one record per call.
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -10,7 +10,7 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A system call whose results can be injected, by its place in the file.
+/// A system call whose result can be injected. The discriminant is the index of its record in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(dead_code, reason = "each test binary uses some of them")]
 pub enum SystemCall {
@@ -23,46 +23,47 @@
     Recv,
     Send,
     WallClock,
-    /// Opening a file that is created.
+    /// Opening a file with `O_CREAT`.
     Create,
 }
 
-const CALLS: usize = 10;
-const RECORD: u64 = 16;
-const COUNT_AT: u64 = 12;
-/// The error of a call that moves one byte.
-const SHORT: i32 = -1;
+const SYSTEM_CALL_COUNT: usize = 10;
+const RECORD_BYTES: u64 = 16;
+const COUNT_OFFSET: u64 = 12;
+/// The error value of a record whose call transfers one byte.
+const ONE_BYTE: i32 = -1;
 
-/// What is injected.
+/// The injected result.
 #[derive(Clone, Copy, Debug)]
 #[allow(dead_code, reason = "each test binary uses some of them")]
 pub enum Fault {
     /// The call fails with this error number.
     Error(i32),
-    /// It reads or writes one byte.
+    /// The call reads or writes one byte.
     OneByte,
 }
 
-/// The records of one program.
+/// Controls the faults of one program through the shared file.
 pub struct FaultInjector {
     path: PathBuf,
     file: File,
 }
 
-fn shim() -> &'static Path {
-    static SHIM: OnceLock<PathBuf> = OnceLock::new();
-    SHIM.get_or_init(|| {
-        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-        let library = folder.join(format!("faults-{}.so", std::process::id()));
+/// Builds the preloaded library on first use.
+fn shim_library() -> &'static Path {
+    static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
+    LIBRARY.get_or_init(|| {
+        let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
+        let library = directory.join(format!("faults-{}.so", std::process::id()));
         let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/faults/shim.c");
-        let built = Command::new("cc")
+        let status = Command::new("cc")
             .args(["-shared", "-fPIC", "-O1", "-o"])
             .arg(&library)
             .args([source, "-ldl"])
             .status();
         assert!(
-            built.expect("a C compiler").success(),
-            "the library is built"
+            status.expect("run the C compiler").success(),
+            "the C compiler builds the library"
         );
         library
     })
@@ -70,7 +71,7 @@
 
 #[allow(dead_code, reason = "each test binary uses some of them")]
 impl FaultInjector {
-    /// Records without any fault.
+    /// Creates the shared file without any fault.
     pub fn new() -> FaultInjector {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -82,72 +83,78 @@
             .create(true)
             .truncate(true)
             .open(&path)
-            .expect("a file");
-        file.set_len(RECORD * CALLS as u64).expect("a length");
+            .expect("open the file");
+        file.set_len(RECORD_BYTES * SYSTEM_CALL_COUNT as u64)
+            .expect("set the file length");
         FaultInjector { path, file }
     }
 
-    fn write(&self, call: SystemCall, error: i32, every: i32, left: i32) {
+    fn write_record(&self, call: SystemCall, error: i32, every: i32, remaining: i32) {
         let mut record = Vec::new();
-        for number in [error, every, left] {
+        for number in [error, every, remaining] {
             record.extend(number.to_ne_bytes());
         }
-        let at = call as u64 * RECORD;
-        self.file.write_all_at(&record, at).expect("writes");
+        let offset = call as u64 * RECORD_BYTES;
+        self.file
+            .write_all_at(&record, offset)
+            .expect("write the record");
     }
 
-    /// Injects the fault into each of the calls from now on.
+    /// Injects the fault into each call from now on.
     pub fn inject_always(&self, call: SystemCall, fault: Fault) {
         self.inject_every_nth(1, call, fault);
     }
 
-    /// Injects the fault into each n-th of the calls from now on.
+    /// Injects the fault into every n-th call from now on.
     pub fn inject_every_nth(&self, every: i32, call: SystemCall, fault: Fault) {
-        self.write(call, number(fault), every, -1);
+        self.write_record(call, error_value(fault), every, -1);
     }
 
-    /// Injects the fault into so many calls.
+    /// Injects the fault into the next `times` calls.
     pub fn inject_times(&self, times: i32, call: SystemCall, fault: Fault) {
-        self.write(call, number(fault), 1, times);
+        self.write_record(call, error_value(fault), 1, times);
     }
 
-    /// Injects nothing more into the call.
+    /// Stops injecting faults into the call.
     pub fn clear(&self, call: SystemCall) {
-        self.write(call, 0, 1, 0);
+        self.write_record(call, 0, 1, 0);
     }
 
-    /// Has the program's wall clock run ahead by so many seconds.
+    /// Offsets the program's wall clock by `seconds`, forwards or backwards.
     pub fn step_wall_clock(&self, seconds: i32) {
-        self.write(SystemCall::WallClock, seconds, 1, -1);
+        self.write_record(SystemCall::WallClock, seconds, 1, -1);
     }
 
-    /// How often a fault was injected into the call.
+    /// The number of faults injected into the call.
     pub fn injected_count(&self, call: SystemCall) -> u32 {
         let mut count = [0; 4];
-        let at = call as u64 * RECORD + COUNT_AT;
-        self.file.read_exact_at(&mut count, at).expect("reads");
+        let offset = call as u64 * RECORD_BYTES + COUNT_OFFSET;
+        self.file
+            .read_exact_at(&mut count, offset)
+            .expect("read the count");
         u32::from_ne_bytes(count)
     }
 
-    /// What a process that is to have the faults must find in its environment.
+    /// The environment variables that load the library into a process and point it to the shared file.
     pub fn environment(&self) -> [(&'static str, PathBuf); 2] {
         [
-            ("LD_PRELOAD", shim().to_path_buf()),
+            ("LD_PRELOAD", shim_library().to_path_buf()),
             ("FAULTS", self.path.clone()),
         ]
     }
 }
 
-fn number(fault: Fault) -> i32 {
+/// The fault as the error value of a record.
+fn error_value(fault: Fault) -> i32 {
     match fault {
         Fault::Error(error) => error,
-        Fault::OneByte => SHORT,
+        Fault::OneByte => ONE_BYTE,
     }
 }
 
 impl Drop for FaultInjector {
     fn drop(&mut self) {
-        // What stays lies in the build's own folder.
+        // A file that can't be removed stays in the target directory.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/dispatcher/tests/faults/shim.c
+++ b/dispatcher/tests/faults/shim.c
@@ -1,13 +1,13 @@
-/* Injects results of system calls into a process that is started with this library preloaded.
+/* Injects faults into the system calls of a process that runs with this library preloaded.
  *
- * The file that FAULTS names is mapped: one record a call, of four 32-bit numbers. A test writes a record, and reads
- * how often the fault was injected.
+ * The environment variable FAULTS names a file, which is mapped into memory. It has one record of four 32-bit numbers for each
+ * call. A test writes the records, and reads the number of injected faults.
  *
- *   error  0: none; above 0: the call fails with this errno; -1: it moves at most one byte; for the clock, an offset of
- *          the wall clock in seconds
- *   every  of the calls, each n-th is faulty
- *   left   how often the fault is still injected; below 0: without end
- *   count  how often it was injected
+ *   error      0: no fault; above 0: the call fails with this errno; -1: it transfers at most one byte; for the clock: the
+ *              offset of the wall clock in seconds
+ *   every      every n-th call is faulty
+ *   remaining  the number of faults still to inject; below 0: no bound
+ *   count      the number of faults injected so far
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -25,31 +25,31 @@
 enum { SOCKET, BIND, LISTEN, ACCEPT, CONNECT, SETSOCKOPT, RECV, SEND, CLOCK, CREATE, CALLS };
 
 struct record {
-    _Atomic int error, every, left, count;
+    _Atomic int error, every, remaining, count;
 };
 
-static struct record none[CALLS];
-static struct record *records = none;
-static _Atomic unsigned turns[CALLS];
+static struct record no_faults[CALLS];
+static struct record *records = no_faults;
+static _Atomic unsigned call_counts[CALLS];
 
 __attribute__((constructor)) static void start(void) {
     const char *path = getenv("FAULTS");
     int file = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
     if (file < 0) return;
-    void *map = mmap(NULL, sizeof none, PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+    void *map = mmap(NULL, sizeof no_faults, PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     close(file);
     if (map != MAP_FAILED) records = map;
 }
 
-/* The error that this call is to have, or 0. */
-static int fault(int call) {
+/* Returns the error value to inject into this call, or 0. */
+static int next_fault(int call) {
     struct record *record = &records[call];
     int error = atomic_load(&record->error), every = atomic_load(&record->every);
-    if (!error || (every > 1 && atomic_fetch_add(&turns[call], 1) % every)) return 0;
-    int left = atomic_load(&record->left);
-    while (left > 0 && !atomic_compare_exchange_weak(&record->left, &left, left - 1)) {
+    if (!error || (every > 1 && atomic_fetch_add(&call_counts[call], 1) % every)) return 0;
+    int remaining = atomic_load(&record->remaining);
+    while (remaining > 0 && !atomic_compare_exchange_weak(&record->remaining, &remaining, remaining - 1)) {
     }
-    if (!left) return 0;
+    if (!remaining) return 0;
     atomic_fetch_add(&record->count, 1);
     return error;
 }
@@ -57,7 +57,7 @@
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 #define FAIL(call)                      \
     do {                                \
-        int error = fault(call);        \
+        int error = next_fault(call);   \
         if (error > 0) {                \
             errno = error;              \
             return -1;                  \
@@ -100,46 +100,46 @@
     return REAL(setsockopt)(fd, level, name, value, size);
 }
 
-/* Whether a call on this socket is to move one byte; below 0 where it fails, with its error set. */
-static int moves_one(int call, int fd) {
-    int error = is_tcp(fd) ? fault(call) : 0;
+/* Returns 1 where a call on this socket must transfer one byte only, -1 with errno set where it must fail, 0 otherwise. */
+static int transfers_one_byte(int call, int fd) {
+    int error = is_tcp(fd) ? next_fault(call) : 0;
     if (error > 0) errno = error;
     return error > 0 ? -1 : error < 0;
 }
 
 ssize_t recv(int fd, void *bytes, size_t size, int flags) {
-    int one = size && !(flags & MSG_PEEK) ? moves_one(RECV, fd) : 0;
+    int one = size && !(flags & MSG_PEEK) ? transfers_one_byte(RECV, fd) : 0;
     return one < 0 ? -1 : REAL(recv)(fd, bytes, one ? 1 : size, flags);
 }
 
 ssize_t send(int fd, const void *bytes, size_t size, int flags) {
-    int one = size ? moves_one(SEND, fd) : 0;
+    int one = size ? transfers_one_byte(SEND, fd) : 0;
     return one < 0 ? -1 : REAL(send)(fd, bytes, one ? 1 : size, flags);
 }
 
-ssize_t writev(int fd, const struct iovec *parts, int count) {
-    int one = moves_one(SEND, fd);
+ssize_t writev(int fd, const struct iovec *buffers, int count) {
+    int one = transfers_one_byte(SEND, fd);
     if (one < 0) return -1;
     for (int i = 0; one && i < count; i++)
-        if (parts[i].iov_len) return REAL(send)(fd, parts[i].iov_base, 1, MSG_NOSIGNAL);
-    return REAL(writev)(fd, parts, count);
+        if (buffers[i].iov_len) return REAL(send)(fd, buffers[i].iov_base, 1, MSG_NOSIGNAL);
+    return REAL(writev)(fd, buffers, count);
 }
 
-/* Files that are created; others are opened as ever. */
+/* Faults apply only to files opened with O_CREAT. */
 int open64(const char *path, int flags, ...) {
     mode_t mode = 0;
     if (flags & O_CREAT) {
-        va_list rest;
-        va_start(rest, flags);
-        mode = va_arg(rest, mode_t);
-        va_end(rest);
+        va_list arguments;
+        va_start(arguments, flags);
+        mode = va_arg(arguments, mode_t);
+        va_end(arguments);
         FAIL(CREATE);
     }
     return REAL(open64)(path, flags, mode);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
-    int told = REAL(clock_gettime)(clock, now);
-    if (!told && clock == CLOCK_REALTIME) now->tv_sec += atomic_load(&records[CLOCK].error);
-    return told;
+    int result = REAL(clock_gettime)(clock, now);
+    if (!result && clock == CLOCK_REALTIME) now->tv_sec += atomic_load(&records[CLOCK].error);
+    return result;
 }
--- a/dispatcher/tests/known_red.rs
+++ b/dispatcher/tests/known_red.rs
@@ -1,38 +1,40 @@
-//! What the test command passes over: only what is named rightly, and never more than three tests.
+//! The script that lists the known failures, which `test.sh` skips: it accepts at most three existing tests, each with its
+//! cause and issue.
 
 use std::process::Command;
 
-/// What is passed over by this file, or why it is turned down.
-fn passed_over(lines: &str) -> Result<String, String> {
+/// The tests that the script skips for a list with these lines, or the error with which it rejects the list.
+fn skipped_tests(lines: &str) -> Result<String, String> {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let folder = std::env::temp_dir().join(format!("known-red-{}-{number}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let (file, tests) = (folder.join("file"), folder.join("tests"));
-    std::fs::write(&file, lines).expect("writes");
-    std::fs::write(&tests, "a::one\na::two\nb::one\nb::two\ntwice\ntwice\n").expect("writes");
+    let directory = std::env::temp_dir().join(format!("known-red-{}-{number}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("create the directory");
+    let (file, tests) = (directory.join("file"), directory.join("tests"));
+    std::fs::write(&file, lines).expect("write the file");
+    std::fs::write(&tests, "a::one\na::two\nb::one\nb::two\ntwice\ntwice\n")
+        .expect("write the file");
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../.ci/known-red");
-    let ran = Command::new(script).arg(&file).arg(&tests).output();
-    std::fs::remove_dir_all(&folder).expect("the folder goes");
-    let ran = ran.expect("the script runs");
+    let output = Command::new(script).arg(&file).arg(&tests).output();
+    std::fs::remove_dir_all(&directory).expect("remove the directory");
+    let output = output.expect("run the script");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
-    match ran.status.success() {
-        true => Ok(text(ran.stdout)),
-        false => Err(text(ran.stderr)),
+    match output.status.success() {
+        true => Ok(text(output.stdout)),
+        false => Err(text(output.stderr)),
     }
 }
 
 #[test]
-fn only_tests_that_there_are_are_passed_over_three_at_the_most_and_each_with_its_cause_and_issue() {
-    assert_eq!(passed_over(""), Ok(String::new()));
+fn known_failures_are_at_most_three_existing_tests_each_with_its_cause_and_issue() {
+    assert_eq!(skipped_tests(""), Ok(String::new()));
     let one = "a::one | a late answer is lost | #29\n";
-    assert_eq!(passed_over(one), Ok("a::one\n".to_string()));
+    assert_eq!(skipped_tests(one), Ok("a::one\n".to_string()));
     let three = format!("{one}a::two | why | 30\nb::one | why | 9\n");
     assert_eq!(
-        passed_over(&three),
+        skipped_tests(&three),
         Ok("a::one\na::two\nb::one\n".to_string())
     );
-    for (lines, why) in [
+    for (lines, reason) in [
         (format!("{three}b::two | why | 9\n"), "three at the most"),
         ("a::none | why | 9\n".to_string(), "0 tests"),
         ("one | why | 9\n".to_string(), "0 tests"),
@@ -44,10 +46,10 @@
         ("a::one | why | soon\n".to_string(), "TEST | CAUSE | ISSUE"),
         ("\n".to_string(), "TEST | CAUSE | ISSUE"),
     ] {
-        let told = passed_over(&lines);
+        let result = skipped_tests(&lines);
         assert!(
-            told.as_ref().is_err_and(|told| told.contains(why)),
-            "{lines}: {told:?}"
+            result.as_ref().is_err_and(|error| error.contains(reason)),
+            "{lines}: {result:?}"
         );
     }
 }
--- a/dispatcher/tests/peer_process.rs
+++ b/dispatcher/tests/peer_process.rs
@@ -1,5 +1,5 @@
-//! One process of a dispatcher beside others, before a broker that the test plays: what it believes while its folder can't be
-//! written, or can't be read for a moment.
+//! One process of a dispatcher next to other processes of it: what it assumes about them while the directory that they share
+//! can't be written, or can't be read for a moment. The test plays the broker.
 
 use sedgebeam::change_log::ChangeLogPosition;
 use sedgebeam::peer_process::{self, GroupMember, PeerUsage, ProcessContext, SharedDirectoryPath};
@@ -14,147 +14,159 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// No verdict hangs on this: it only ends a test that would wait for ever.
-const HANGS: Duration = Duration::from_secs(60);
+/// Ends a test that would wait forever; no assertion depends on the value.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The folder for temporary files; removed at the end.
-struct Temporary(PathBuf);
+/// A directory for temporary files; removed on drop.
+struct TempDirectory(PathBuf);
 
-impl Temporary {
-    fn new() -> Temporary {
+impl TempDirectory {
+    fn new() -> TempDirectory {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let name = format!("sedgebeam-beside-{}-{number}", std::process::id());
+        let name = format!("sedgebeam-peer-process-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a folder");
-        Temporary(path)
+        std::fs::create_dir_all(&path).expect("create the directory");
+        TempDirectory(path)
     }
 
-    fn place(&self) -> SharedDirectoryPath {
+    fn shared_path(&self) -> SharedDirectoryPath {
         SharedDirectoryPath {
             parent: self.0.clone(),
             dispatcher_name: "n0".to_string(),
         }
     }
 
-    /// What the processes of a dispatcher share.
-    fn shared(&self) -> PathBuf {
+    /// The directory that the processes of a dispatcher share.
+    fn shared_directory(&self) -> PathBuf {
         self.0.join("sedgebeam")
     }
 }
 
-impl Drop for Temporary {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A process, as the rest of it sees the others.
+/// A running process, with the channels on which its broker and its limits learn about its peers.
 struct Process {
-    told: mpsc::Receiver<BrokerMessage>,
-    others: watch::Receiver<PeerUsage>,
-    // They end with it.
-    _orders: watch::Sender<DrainState>,
-    _reached: watch::Sender<ChangeLogPosition>,
-    _file: watch::Sender<Arc<str>>,
+    broker_messages: mpsc::Receiver<BrokerMessage>,
+    peer_usage: watch::Receiver<PeerUsage>,
+    // The process reads from these; dropping a sender ends its stream.
+    _drain_state: watch::Sender<DrainState>,
+    _change_log_position: watch::Sender<ChangeLogPosition>,
+    _config_text: watch::Sender<Arc<str>>,
 }
 
 impl Process {
     async fn start(member: GroupMember) -> Process {
-        let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
-        let (mailbox, told) = mpsc::channel(16);
-        desk.open_shard(0, mailbox).await.expect("a broker");
+        let router = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
+        let (broker_sender, broker_messages) = mpsc::channel(16);
+        router
+            .open_shard(0, broker_sender)
+            .await
+            .expect("the broker is running");
         let mut drain = Drain::new(true);
         drain.set_prepared();
-        let (_orders, orders) = watch::channel(drain.state(Duration::ZERO));
-        let (_reached, reached) = watch::channel(ChangeLogPosition::default());
-        let (_file, file) = watch::channel("{}".into());
-        let own = ProcessContext {
+        let (_drain_state, drain_state) = watch::channel(drain.state(Duration::ZERO));
+        let (_change_log_position, change_log_position) =
+            watch::channel(ChangeLogPosition::default());
+        let (_config_text, applied_config_text) = watch::channel("{}".into());
+        let context = ProcessContext {
             clock: Clock::start(),
-            router: desk,
+            router,
             session_slots: SessionSlots::new(1),
-            drain_state: orders,
-            change_log_position: reached,
-            applied_config_text: file,
+            drain_state,
+            change_log_position,
+            applied_config_text,
         };
-        let (left, others) = watch::channel(PeerUsage::NONE);
-        tokio::spawn(peer_process::run(member, own, left));
+        let (usage_sender, peer_usage) = watch::channel(PeerUsage::NONE);
+        tokio::spawn(peer_process::run(member, context, usage_sender));
         Process {
-            told,
-            others,
-            _orders,
-            _reached,
-            _file,
+            broker_messages,
+            peer_usage,
+            _drain_state,
+            _change_log_position,
+            _config_text,
         }
     }
 
-    /// Whether the next word about others lets it send to cold engines. Whoever asks what it holds is answered.
-    async fn may_warm(&mut self) -> bool {
+    /// Whether the next update about peers allows it to send to cold engines. Requests for the handover state are answered by
+    /// dropping their reply channel.
+    async fn may_use_cold_engines(&mut self) -> bool {
         loop {
-            match self.told.recv().await.expect("it goes on") {
-                BrokerMessage::SetPeerProcessUsage(_, may_warm) => return may_warm,
+            match self.broker_messages.recv().await.expect("it keeps running") {
+                BrokerMessage::SetPeerProcessUsage(_, may_use_cold_engines) => {
+                    return may_use_cold_engines;
+                }
                 BrokerMessage::GetHandoverState(reply) => drop(reply),
                 _ => {}
             }
         }
     }
 
-    async fn divided_by(&mut self, parts: usize) {
-        let divided = self.others.wait_for(|others| others.process_count == parts);
-        divided.await.expect("it goes on");
+    async fn wait_for_process_count(&mut self, count: usize) {
+        let reached = self
+            .peer_usage
+            .wait_for(|usage| usage.process_count == count);
+        reached.await.expect("it keeps running");
     }
 }
 
-fn inside(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let played = async { tokio::time::timeout(HANGS, test).await };
-    let played = runtime.expect("a runtime").block_on(played);
-    played.expect("something that is waited for never comes");
+    let result = async { tokio::time::timeout(HANG_TIMEOUT, test).await };
+    let result = runtime.expect("build the runtime").block_on(result);
+    result.expect("the test ends within its timeout");
 }
 
-/// Puts a file where the folder should be: nothing can be read or written there.
-fn spoil(path: &Path) {
-    std::fs::write(path, "").expect("writes");
+/// Puts a file where the directory should be, so that nothing can be read or written there.
+fn replace_with_file(path: &Path) {
+    std::fs::write(path, "").expect("write the file");
 }
 
 #[test]
-fn one_that_has_not_joined_counts_as_one_of_two_and_sends_nothing_to_cold_engines() {
-    inside(async {
-        let temporary = Temporary::new();
-        spoil(&temporary.shared());
-        let (member, handed) = GroupMember::join(temporary.place()).await;
-        assert!(matches!(member, GroupMember::Joining(_)) && handed.is_none());
+fn process_that_has_not_joined_counts_as_one_of_two_and_sends_nothing_to_cold_engines() {
+    run_test(async {
+        let temp = TempDirectory::new();
+        replace_with_file(&temp.shared_directory());
+        let (member, handover) = GroupMember::join(temp.shared_path()).await;
+        assert!(matches!(member, GroupMember::Joining(_)) && handover.is_none());
         let mut process = Process::start(member).await;
-        assert!(!process.may_warm().await);
-        process.divided_by(2).await;
-        std::fs::remove_file(temporary.shared()).expect("removes");
-        assert!(process.may_warm().await, "it is alone");
-        process.divided_by(1).await;
+        assert!(!process.may_use_cold_engines().await);
+        process.wait_for_process_count(2).await;
+        std::fs::remove_file(temp.shared_directory()).expect("remove the file");
+        assert!(process.may_use_cold_engines().await, "it is alone");
+        process.wait_for_process_count(1).await;
     });
 }
 
 #[test]
-fn others_are_there_still_while_their_folder_can_not_be_read() {
-    const LOOKS: usize = 5;
-    inside(async {
-        let temporary = Temporary::new();
-        let older = temporary.place().join().expect("a folder");
-        let (member, _) = GroupMember::join(temporary.place()).await;
+fn peers_are_assumed_to_run_while_their_directory_cannot_be_read() {
+    const UPDATES: usize = 5;
+    run_test(async {
+        let temp = TempDirectory::new();
+        let older = temp.shared_path().join().expect("create the directory");
+        let (member, _) = GroupMember::join(temp.shared_path()).await;
         let mut process = Process::start(member).await;
-        process.divided_by(2).await;
-        assert!(!process.may_warm().await, "the older one does");
-        let away = temporary.0.join("away");
-        std::fs::rename(temporary.shared(), &away).expect("renames");
-        spoil(&temporary.shared());
-        for _ in 0..LOOKS {
-            assert!(!process.may_warm().await);
+        process.wait_for_process_count(2).await;
+        assert!(
+            !process.may_use_cold_engines().await,
+            "only the older process may"
+        );
+        let moved = temp.0.join("away");
+        std::fs::rename(temp.shared_directory(), &moved).expect("rename the directory");
+        replace_with_file(&temp.shared_directory());
+        for _ in 0..UPDATES {
+            assert!(!process.may_use_cold_engines().await);
         }
-        assert_eq!(process.others.borrow().process_count, 2);
-        std::fs::remove_file(temporary.shared()).expect("removes");
-        std::fs::rename(&away, temporary.shared()).expect("renames");
+        assert_eq!(process.peer_usage.borrow().process_count, 2);
+        std::fs::remove_file(temp.shared_directory()).expect("remove the file");
+        std::fs::rename(&moved, temp.shared_directory()).expect("rename the directory");
         drop(older);
-        process.divided_by(1).await;
+        process.wait_for_process_count(1).await;
     });
 }
--- a/dispatcher/tests/settings/mod.rs
+++ b/dispatcher/tests/settings/mod.rs
@@ -1,6 +1,6 @@
-//! Settings of a small deployment, as the platform's file holds them.
+//! The settings of a small deployment, as they stand in the configuration file that the platform writes.
 
-/// Two classes, one of which may not be repeated, before so many dispatchers.
+/// Two classes, of which `journal-load` must not be repeated, on a deployment of `dispatchers` dispatchers.
 pub fn for_dispatchers(dispatchers: u32) -> String {
     format!(
         r#"{{"balancers": {dispatchers}, "kinds": ["std"], "zones": ["a"], "zone": "a", "tick": 5.0,
