--- a/dispatcher/tests/followers.rs
+++ b/dispatcher/tests/followers.rs
@@ -1,6 +1,6 @@
-//! Three hundred followers of one change log, on real sockets: it breaks off for all, moves, is away, and repeats,
-//! cuts and leaves out what it tells. Their lists are those of the log in the end, and few whole lists are had. And one
-//! follower of a log that is too crowded to take its connection at once.
+//! 300 followers of one change log, on real sockets. The log moves to another address, is unreachable for a while, and repeats,
+//! truncates and omits events. In the end every follower's engine list equals that of the log, and few followers requested a
+//! complete list. A last test has one follower connect to a log whose accept queue is full.
 
 use sedgebeam::change_log::{self, ChangeLogPosition};
 use sedgebeam_discovery::RetryBackoff;
@@ -17,34 +17,34 @@
 
 const FOLLOWERS: u32 = 300;
 
-/// What the log does with an event on a follower's first connections; all is well from the third on.
+/// What the log does to one event on a follower's first two connections; from the third on there is no fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// It is left out of what a connection is told: the gap is mended by asking again.
-    LeftOut,
-    /// It is nowhere but in a whole list.
+    /// A connection omits the event; the follower detects the gap and gets the event by reconnecting.
+    Omitted,
+    /// Only a complete list delivers the event.
     Forgotten,
-    /// The connection ends in the middle of it.
-    Cut,
-    /// It comes twice.
-    Twice,
+    /// The connection ends in the middle of the event.
+    Truncated,
+    /// Every event is delivered twice.
+    Duplicated,
 }
 
 struct Log {
     address: SocketAddr,
-    /// The number of events that there are.
-    last: watch::Sender<u64>,
-    asked: AtomicUsize,
-    whole: AtomicUsize,
+    /// The sequence number of the last event, which is the number of events.
+    last_seq: watch::Sender<u64>,
+    requests: AtomicUsize,
+    complete_list_requests: AtomicUsize,
 }
 
-fn event(seq: u64) -> String {
-    let (all, targets) = match seq {
+fn event_json(seq: u64) -> String {
+    let (is_complete, targets) = match seq {
         1 => (true, (0..8).collect::<Vec<u64>>()),
         _ => (false, vec![seq % 16]),
     };
-    // Engines come, drain and go in turn.
+    // Engines are added, drained and removed in turn.
     let state = ["up", "draining", "removed"][(seq / 16 % 3) as usize];
     let state = if seq == 1 { "up" } else { state };
     let target = |uid: &u64| {
@@ -52,82 +52,86 @@
     };
     let targets: Vec<String> = targets.iter().map(target).collect();
     let targets = targets.join(",");
-    format!(r#"{{"seq":{seq},"fleet":{{"rev":{seq},"all":{all},"targets":[{targets}]}}}}"#)
+    format!(r#"{{"seq":{seq},"fleet":{{"rev":{seq},"all":{is_complete},"targets":[{targets}]}}}}"#)
 }
 
-/// A listener at which this many connections can wait to be accepted.
-fn listener(queue: u32) -> TcpListener {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    let address = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(address).expect("a port");
-    socket.listen(queue).expect("listens")
+/// Binds a listener with an accept queue of this length.
+fn bind_listener(backlog: u32) -> TcpListener {
+    let socket = TcpSocket::new_v4().expect("create the socket");
+    let address = "127.0.0.1:0".parse().expect("parse the address");
+    socket.bind(address).expect("bind a port");
+    socket.listen(backlog).expect("listen")
 }
 
 impl Log {
-    async fn start(last: u64, fault: Fault, at: u64) -> Arc<Log> {
-        // All followers may come at one moment: a full queue would be a fault of its own.
-        let listener = listener(2 * FOLLOWERS);
+    async fn start(last_seq: u64, fault: Fault, fault_seq: u64) -> Arc<Log> {
+        // All followers may connect at once, and a full accept queue would be another fault.
+        let listener = bind_listener(2 * FOLLOWERS);
         let log = Arc::new(Log {
-            address: listener.local_addr().expect("an address"),
-            last: watch::channel(last).0,
-            asked: AtomicUsize::new(0),
-            whole: AtomicUsize::new(0),
+            address: listener.local_addr().expect("get the local address"),
+            last_seq: watch::channel(last_seq).0,
+            requests: AtomicUsize::new(0),
+            complete_list_requests: AtomicUsize::new(0),
         });
         let shared = log.clone();
         tokio::spawn(async move {
             loop {
-                let (stream, _) = listener.accept().await.expect("accepts");
-                shared.asked.fetch_add(1, Ordering::Relaxed);
+                let (stream, _) = listener.accept().await.expect("accept a connection");
+                shared.requests.fetch_add(1, Ordering::Relaxed);
                 let log = shared.clone();
-                tokio::spawn(async move { log.tell(stream, fault, at).await });
+                tokio::spawn(async move { log.serve(stream, fault, fault_seq).await });
             }
         });
         log
     }
 
-    /// One follower's connection. That it has gone shows when something is written.
-    async fn tell(&self, stream: TcpStream, fault: Fault, at: u64) -> std::io::Result<()> {
+    /// Serves one connection of a follower. A write fails once the follower has closed it.
+    async fn serve(&self, stream: TcpStream, fault: Fault, fault_seq: u64) -> std::io::Result<()> {
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
-        let mut after = 0;
+        let mut last_event_id = 0;
         loop {
-            // One that has gone before it asked has not asked for a whole list.
+            // A connection closed before the end of the request is not a request for a complete list.
             let Some(line) = lines.next_line().await? else {
                 return Ok(());
             };
             if let Some(id) = line.strip_prefix("Last-Event-ID: ") {
-                after = id.parse().expect("a number");
+                last_event_id = id.parse().expect("parse the event id");
             }
             if line.is_empty() {
                 break;
             }
         }
-        if after == 0 {
-            self.whole.fetch_add(1, Ordering::Relaxed);
+        if last_event_id == 0 {
+            self.complete_list_requests.fetch_add(1, Ordering::Relaxed);
         }
         write.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await?;
-        let mut last = self.last.subscribe();
-        let (mut told, began) = (after, after);
+        let mut last_seq = self.last_seq.subscribe();
+        let (mut delivered, resumed_at) = (last_event_id, last_event_id);
         loop {
-            let known = *last.borrow_and_update();
-            while told < known {
-                told += 1;
-                let text = format!("id: {told}\ndata: {}\n\n", event(told));
-                // What is asked for anew after a fault begins just before it.
-                let fresh = began + 1 < at;
+            let available = *last_seq.borrow_and_update();
+            while delivered < available {
+                delivered += 1;
+                let text = format!("id: {delivered}\ndata: {}\n\n", event_json(delivered));
+                // A follower that recovers from the fault resumes right before the event.
+                let is_first_delivery = resumed_at + 1 < fault_seq;
                 match fault {
-                    Fault::LeftOut if told == at && fresh && began > 0 => continue,
-                    Fault::Forgotten if told == at && began > 0 => continue,
-                    Fault::Cut if told == at && fresh => {
+                    Fault::Omitted
+                        if delivered == fault_seq && is_first_delivery && resumed_at > 0 =>
+                    {
+                        continue;
+                    }
+                    Fault::Forgotten if delivered == fault_seq && resumed_at > 0 => continue,
+                    Fault::Truncated if delivered == fault_seq && is_first_delivery => {
                         return write.write_all(&text.as_bytes()[..text.len() / 2]).await;
                     }
-                    Fault::Twice => write.write_all(text.as_bytes()).await?,
+                    Fault::Duplicated => write.write_all(text.as_bytes()).await?,
                     _ => {}
                 }
                 write.write_all(text.as_bytes()).await?;
             }
             tokio::select! {
-                changed = last.changed() => if changed.is_err() { return Ok(()) },
+                changed = last_seq.changed() => if changed.is_err() { return Ok(()) },
                 () = tokio::time::sleep(Duration::from_millis(500)) => {
                     write.write_all(b":\n\n").await?;
                 }
@@ -136,159 +140,176 @@
     }
 }
 
-/// A follower, and the list that its broker has been told.
+/// A follower, and the engine list that its broker received.
 struct Follower {
-    address: watch::Sender<Option<SocketAddr>>,
-    reached: watch::Receiver<ChangeLogPosition>,
-    list: watch::Receiver<Vec<Target>>,
+    log_address: watch::Sender<Option<SocketAddr>>,
+    position: watch::Receiver<ChangeLogPosition>,
+    engine_list: watch::Receiver<Vec<Target>>,
 }
 
-async fn follower(number: u32, log: &Log) -> Follower {
-    let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
-    let (mailbox, mut told) = mpsc::channel(16);
-    let (kept, list) = watch::channel(Vec::new());
+async fn start_follower(number: u32, log: &Log) -> Follower {
+    let router = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
+    let (broker_sender, mut broker_messages) = mpsc::channel(16);
+    let (list_sender, engine_list) = watch::channel(Vec::new());
     tokio::spawn(async move {
-        while let Some(message) = told.recv().await {
-            if let BrokerMessage::EngineList(listing, targets) = message {
-                kept.send_modify(|list| apply_update(list, listing, &targets));
+        while let Some(message) = broker_messages.recv().await {
+            if let BrokerMessage::EngineList(update, targets) = message {
+                list_sender.send_modify(|list| apply_update(list, update, &targets));
             }
         }
     });
-    desk.open_shard(0, mailbox).await.expect("a broker");
-    let first = change_log::fold_changes(vec![read(1)]);
-    desk.update_engine_list(ListUpdate::Complete, first)
+    router
+        .open_shard(0, broker_sender)
+        .await
+        .expect("the broker is running");
+    let first = change_log::fold_changes(vec![parse_event(1)]);
+    router
+        .update_engine_list(ListUpdate::Complete, first)
         .await
-        .expect("a broker");
-    let (address, changes) = watch::channel(Some(log.address));
-    let (reached, heard) = watch::channel(ChangeLogPosition {
+        .expect("the broker is running");
+    let (log_address, address_changes) = watch::channel(Some(log.address));
+    let (position_sender, position) = watch::channel(ChangeLogPosition {
         seq: 1,
         caught_up: false,
     });
-    let pauses = RetryBackoff::new(FOLLOWERS, u64::from(number));
-    tokio::spawn(change_log::follow(changes, reached, desk, pauses));
+    let backoff = RetryBackoff::new(FOLLOWERS, u64::from(number));
+    tokio::spawn(change_log::follow(
+        address_changes,
+        position_sender,
+        router,
+        backoff,
+    ));
     Follower {
-        address,
-        reached: heard,
-        list,
+        log_address,
+        position,
+        engine_list,
     }
 }
 
-fn read(seq: u64) -> change_log::Change {
-    miniserde::json::from_str(&event(seq)).expect("an event")
+fn parse_event(seq: u64) -> change_log::Change {
+    miniserde::json::from_str(&event_json(seq)).expect("parse the event")
 }
 
 fn sorted(mut list: Vec<Target>) -> Vec<Target> {
-    list.sort_by(|one, other| one.uid.cmp(&other.uid));
+    list.sort_by(|left, right| left.uid.cmp(&right.uid));
     list
 }
 
-async fn all(log: &Log) -> Vec<Follower> {
+async fn start_followers(log: &Log) -> Vec<Follower> {
     let mut followers = Vec::new();
     for number in 0..FOLLOWERS {
-        followers.push(follower(number, log).await);
+        followers.push(start_follower(number, log).await);
     }
     followers
 }
 
-/// Waits until all have heard so much, and compares their lists with the log's.
-async fn agree(followers: &mut [Follower], seq: u64) {
-    let truth = sorted(change_log::fold_changes((1..=seq).map(read).collect()));
+/// Waits until all followers have reached this event, and their lists equal the log's.
+async fn wait_for_same_list(followers: &mut [Follower], seq: u64) {
+    let expected = sorted(change_log::fold_changes(
+        (1..=seq).map(parse_event).collect(),
+    ));
     for follower in followers {
-        let heard = follower.reached.wait_for(|reached| reached.seq == seq);
-        heard.await.expect("it follows");
-        // The number is reached once the list is in the broker's mailbox.
-        let same = follower.list.wait_for(|list| sorted(list.clone()) == truth);
-        same.await.expect("a broker");
+        let reached = follower.position.wait_for(|position| position.seq == seq);
+        reached.await.expect("the follower is running");
+        // The position is updated once the list is in the broker's mailbox, before the broker has read it.
+        let same = follower
+            .engine_list
+            .wait_for(|list| sorted(list.clone()) == expected);
+        same.await.expect("the broker is running");
     }
 }
 
-/// Descriptors are bounded, and each follower takes two: one test at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by a running test: each follower uses two file descriptors, whose number is limited, so tests run one at a time.
+static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
-fn run(test: impl Future<Output = ()>) {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn run_test(test: impl Future<Output = ()>) {
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build();
-    // No verdict hangs on this: it only ends a test that would wait for ever.
+    // Ends a test that would wait forever; no assertion depends on the value.
     let test = async { tokio::time::timeout(Duration::from_secs(60), test).await };
-    let played = runtime.expect("a runtime").block_on(test);
-    played.expect("what is waited for comes");
+    let result = runtime.expect("build the runtime").block_on(test);
+    result.expect("the test ends within its timeout");
 }
 
-async fn heals(fault: Fault, whole: usize) {
+async fn check_recovery(fault: Fault, expected_complete_lists: usize) {
     let log = Log::start(20, fault, 12).await;
-    let mut followers = all(&log).await;
-    agree(&mut followers, 20).await;
-    log.last.send_replace(60);
-    agree(&mut followers, 60).await;
-    assert_eq!(log.whole.load(Ordering::Relaxed), whole, "{fault:?}");
-    let tries = log.asked.load(Ordering::Relaxed);
-    assert!(tries <= 3 * FOLLOWERS as usize, "{fault:?}: {tries}");
+    let mut followers = start_followers(&log).await;
+    wait_for_same_list(&mut followers, 20).await;
+    log.last_seq.send_replace(60);
+    wait_for_same_list(&mut followers, 60).await;
+    assert_eq!(
+        log.complete_list_requests.load(Ordering::Relaxed),
+        expected_complete_lists,
+        "{fault:?}"
+    );
+    let requests = log.requests.load(Ordering::Relaxed);
+    assert!(requests <= 3 * FOLLOWERS as usize, "{fault:?}: {requests}");
 }
 
 #[test]
-fn faults_of_the_log_leave_all_with_its_list_and_ask_for_few_whole_ones() {
-    for (fault, whole) in [
+fn followers_recover_from_faults_of_the_log_with_few_complete_lists() {
+    for (fault, expected_complete_lists) in [
         (Fault::None, 0),
-        (Fault::LeftOut, 0),
-        (Fault::Cut, 0),
-        (Fault::Twice, 0),
-        // Each has it once, and none over and over.
+        (Fault::Omitted, 0),
+        (Fault::Truncated, 0),
+        (Fault::Duplicated, 0),
+        // Each follower requests the complete list once, and not again and again.
         (Fault::Forgotten, FOLLOWERS as usize),
     ] {
-        run(heals(fault, whole));
+        run_test(check_recovery(fault, expected_complete_lists));
     }
 }
 
 #[test]
-fn all_follow_a_log_that_moves_and_one_that_was_nowhere() {
-    run(async {
+fn followers_resume_without_a_complete_list_after_the_log_moved_or_was_unreachable() {
+    run_test(async {
         let first = Log::start(30, Fault::None, 0).await;
-        let mut followers = all(&first).await;
-        agree(&mut followers, 30).await;
+        let mut followers = start_followers(&first).await;
+        wait_for_same_list(&mut followers, 30).await;
         let second = Log::start(50, Fault::None, 0).await;
         for follower in &followers {
-            follower.address.send_replace(None);
-            follower.address.send_replace(Some(second.address));
+            follower.log_address.send_replace(None);
+            follower.log_address.send_replace(Some(second.address));
         }
-        agree(&mut followers, 50).await;
-        second.last.send_replace(64);
-        agree(&mut followers, 64).await;
-        assert_eq!(second.asked.load(Ordering::Relaxed), FOLLOWERS as usize);
-        assert_eq!(second.whole.load(Ordering::Relaxed), 0);
+        wait_for_same_list(&mut followers, 50).await;
+        second.last_seq.send_replace(64);
+        wait_for_same_list(&mut followers, 64).await;
+        assert_eq!(second.requests.load(Ordering::Relaxed), FOLLOWERS as usize);
+        assert_eq!(second.complete_list_requests.load(Ordering::Relaxed), 0);
     });
 }
 
-/// The local ports from which connections to this port are being made: the system's table has them as SYN_SENT.
+/// The local ports of connections to this port that are being established: `/proc/net/tcp` lists them in state SYN_SENT.
 fn connecting_to(port: u16) -> Vec<u16> {
     const SYN_SENT: &str = "02";
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("read the table of sockets");
     let remote = format!(":{port:04X}");
     let rows = table.lines().map(|row| row.split_whitespace().collect());
     let rows = rows.filter(|row: &Vec<&str>| row[2].ends_with(&remote) && row[3] == SYN_SENT);
     let ports = rows.filter_map(|row| row[1].split_once(':'));
     ports
-        .map(|(_, port)| u16::from_str_radix(port, 16).expect("a port"))
+        .map(|(_, port)| u16::from_str_radix(port, 16).expect("parse the port"))
         .collect()
 }
 
-/// The first packet of a connect is lost where the log has no room for it, and the system sends it again after a second.
-/// A follower that gives up before then adds a connection that nobody uses to what crowds the log.
+/// The SYN of a connect is dropped while the log's accept queue is full, and the kernel retransmits it after a second. A
+/// follower that gave up before that would add an unused connection to the overloaded queue.
 #[test]
-fn a_connect_whose_first_packet_is_lost_is_waited_for() {
-    run(async {
-        let log = listener(0);
-        let address = log.local_addr().expect("an address");
-        let _fills_the_queue = TcpStream::connect(address).await.expect("connects");
-        let desk = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
-        let (_address, changes) = watch::channel(Some(address));
-        let (reached, _heard) = watch::channel(ChangeLogPosition::default());
+fn follower_waits_for_a_connect_whose_first_packet_is_lost() {
+    run_test(async {
+        let listener = bind_listener(0);
+        let address = listener.local_addr().expect("get the local address");
+        let _fills_the_queue = TcpStream::connect(address).await.expect("connect");
+        let router = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
+        let (_log_address, address_changes) = watch::channel(Some(address));
+        let (position_sender, _position) = watch::channel(ChangeLogPosition::default());
         tokio::spawn(change_log::follow(
-            changes,
-            reached,
-            desk,
+            address_changes,
+            position_sender,
+            router,
             RetryBackoff::new(1, 1),
         ));
         let port = loop {
@@ -297,8 +318,15 @@
             }
             tokio::task::yield_now().await;
         };
-        log.accept().await.expect("the one that filled the queue");
-        let (_stream, peer) = log.accept().await.expect("the follower");
-        assert_eq!(peer.port(), port, "not the connect that met a full queue");
+        listener
+            .accept()
+            .await
+            .expect("accept the connection that filled the queue");
+        let (_stream, peer) = listener.accept().await.expect("accept the follower");
+        assert_eq!(
+            peer.port(),
+            port,
+            "not the connect that found the queue full"
+        );
     });
 }
--- a/dispatcher/tests/under_load.rs
+++ b/dispatcher/tests/under_load.rs
@@ -1,6 +1,6 @@
-//! Daily operation under load. Upgrades: two processes of one dispatcher on one passed socket, one of which is killed,
-//! stopped or ended at a step drawn from a seed. Drains: clients are sent away and come back. No request may be lost but
-//! those that a killed process held.
+//! Upgrades and drains under load. Upgrades: two processes of one dispatcher on one inherited socket, one of which is killed,
+//! stopped or shut down at a step drawn from a seed. Drains: clients are rejected and reconnect later. No request may be lost
+//! except those that a killed process was handling.
 
 #[path = "faults/mod.rs"]
 mod faults;
@@ -10,7 +10,7 @@
 use faults::{Fault, FaultInjector, SystemCall};
 use sedgebeam_lab::{engine, wire};
 use std::io;
-use std::net::{SocketAddr, TcpListener as Bound};
+use std::net::{SocketAddr, TcpListener as StdTcpListener};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -23,99 +23,102 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// No verdict hangs on this: it only ends a test that would wait for ever.
-const HANGS: Duration = Duration::from_secs(60);
+/// Ends a test that would wait forever; no assertion depends on the value.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 const CLIENTS: usize = 12;
-/// A client asks so often, on average.
-const PACE: Duration = Duration::from_millis(15);
+/// Mean pause of a client between requests.
+const MEAN_PAUSE: Duration = Duration::from_millis(15);
 
-fn draw(seed: &mut u64) -> u64 {
+fn next_random(seed: &mut u64) -> u64 {
     *seed = sedgebeam_core::splitmix64(*seed);
     *seed
 }
 
-/// What became of requests, and when a serving process was killed.
+/// Outcomes of the clients' requests, and the times at which serving processes were killed.
 #[derive(Default)]
-struct Told {
+struct Outcomes {
     served: AtomicU64,
     refused: AtomicU64,
-    /// Sent on a kept connection as that was closed, and answered on another.
-    crossed: AtomicU64,
-    lost: Mutex<Vec<(Instant, Instant, String)>>,
+    /// Requests sent on an idle connection while the dispatcher closed it, and then sent again on a new connection.
+    retried: AtomicU64,
+    /// When each failed request was sent, when it failed, and how.
+    failures: Mutex<Vec<(Instant, Instant, String)>>,
     kills: Mutex<Vec<Instant>>,
-    over: AtomicBool,
+    is_finished: AtomicBool,
 }
 
-impl Told {
-    /// A process that may serve is about to be killed.
-    fn killed(&self) {
-        let mut kills = self.kills.lock().expect("nobody panicked");
+impl Outcomes {
+    /// Records that a process that may be serving is about to be killed.
+    fn record_kill(&self) {
+        let mut kills = self.kills.lock().expect("the lock is not poisoned");
         kills.push(Instant::now());
     }
 
-    /// Whether one was killed since then.
+    /// Whether a process was killed since `sent`.
     fn killed_since(&self, sent: Instant) -> bool {
-        let kills = self.kills.lock().expect("nobody panicked");
+        let kills = self.kills.lock().expect("the lock is not poisoned");
         kills.iter().any(|at| sent <= *at)
     }
 
-    /// Requests that were lost although nobody had killed a process that may have had them.
-    fn lost(&self) -> Vec<String> {
-        let kills = self.kills.lock().expect("nobody panicked").clone();
-        let lost = self.lost.lock().expect("nobody panicked");
+    /// The failures of requests during which no process was killed.
+    fn lost_requests(&self) -> Vec<String> {
+        let kills = self.kills.lock().expect("the lock is not poisoned").clone();
+        let failures = self.failures.lock().expect("the lock is not poisoned");
         let excused =
-            |sent: &Instant, ended: &Instant| kills.iter().any(|at| sent <= at && at <= ended);
-        let lost = lost.iter().filter(|(sent, ended, _)| !excused(sent, ended));
-        lost.map(|(_, _, why)| why.clone()).collect()
+            |sent: &Instant, failed: &Instant| kills.iter().any(|at| sent <= at && at <= failed);
+        let lost = failures
+            .iter()
+            .filter(|(sent, failed, _)| !excused(sent, failed));
+        lost.map(|(_, _, failure)| failure.clone()).collect()
     }
 }
 
-struct Kept {
+struct Session {
     stream: TcpStream,
     bytes: bytes::BytesMut,
 }
 
-impl Kept {
-    /// A session, or the SQLSTATE with which it was turned away.
-    async fn open(address: SocketAddr) -> io::Result<Result<Kept, String>> {
+impl Session {
+    /// Opens a session, or returns the SQLSTATE with which the dispatcher rejected it.
+    async fn open(address: SocketAddr) -> io::Result<Result<Session, String>> {
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         stream.write_all(&wire::startup()).await?;
         let bytes = bytes::BytesMut::new();
-        let mut kept = Kept { stream, bytes };
-        let state = kept.answer().await?;
-        Ok(state.map_or(Ok(kept), Err))
+        let mut session = Session { stream, bytes };
+        let sqlstate = session.read_answer().await?;
+        Ok(sqlstate.map_or(Ok(session), Err))
     }
 
-    /// Whether it has not been closed, as far as this end knows.
+    /// Whether no close by the server has arrived.
     fn is_open(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// The SQLSTATE of an error, or none, up to the next word that the server is ready.
-    async fn answer(&mut self) -> io::Result<Option<String>> {
-        let mut state = None;
+    /// Reads up to the next ReadyForQuery message, and returns the SQLSTATE if there was an error.
+    async fn read_answer(&mut self) -> io::Result<Option<String>> {
+        let mut sqlstate = None;
         loop {
             while let Some((kind, body)) = wire::message(&mut self.bytes)? {
                 match kind {
-                    b'Z' => return Ok(state),
+                    b'Z' => return Ok(sqlstate),
                     b'E' => {
-                        state = Some(String::from_utf8_lossy(wire::sqlstate(&body)).into_owned())
+                        sqlstate = Some(String::from_utf8_lossy(wire::sqlstate(&body)).into_owned())
                     }
                     _ => {}
                 }
             }
             if self.stream.read_buf(&mut self.bytes).await? == 0 {
-                // One that is turned away hears why before its connection is closed.
-                return state.map_or(Err(io::ErrorKind::UnexpectedEof.into()), |state| {
-                    Ok(Some(state))
+                // A rejected session receives an error before its connection is closed.
+                return sqlstate.map_or(Err(io::ErrorKind::UnexpectedEof.into()), |sqlstate| {
+                    Ok(Some(sqlstate))
                 });
             }
         }
     }
 
-    async fn ask(&mut self, id: u64, class: &str) -> io::Result<Option<String>> {
+    async fn query(&mut self, id: u64, class: &str) -> io::Result<Option<String>> {
         let verb = if class == "journal-load" {
             "INSERT INTO"
         } else {
@@ -126,80 +129,85 @@
             "/* verb={class},txn={id:016x},limit=4000,cpu=5.0,memory=8 */ {verb} sales_{group}.orders -- takes = 5000"
         );
         self.stream.write_all(&wire::query(&text)).await?;
-        self.answer().await
+        self.read_answer().await
     }
 }
 
-/// One client, until all is over: it keeps its connection, and closes it from time to time.
-async fn client(address: SocketAddr, mut seed: u64, told: Arc<Told>) {
-    let mut kept: Option<Kept> = None;
-    while !told.over.load(Ordering::Relaxed) {
-        sleep(PACE.mul_f64(2.0 * (draw(&mut seed) as f64 / u64::MAX as f64))).await;
-        if draw(&mut seed).is_multiple_of(10) {
-            kept = None;
+/// Runs one client until the test is finished: it reuses its connection, and closes it from time to time.
+async fn run_client(address: SocketAddr, mut seed: u64, outcomes: Arc<Outcomes>) {
+    let mut idle_session: Option<Session> = None;
+    while !outcomes.is_finished.load(Ordering::Relaxed) {
+        sleep(MEAN_PAUSE.mul_f64(2.0 * (next_random(&mut seed) as f64 / u64::MAX as f64))).await;
+        if next_random(&mut seed).is_multiple_of(10) {
+            idle_session = None;
         }
-        let class = if draw(&mut seed).is_multiple_of(8) {
+        let class = if next_random(&mut seed).is_multiple_of(8) {
             "journal-load"
         } else {
             "lookup"
         };
-        let (id, sent) = (draw(&mut seed), Instant::now());
-        let mut fresh = kept.is_none();
+        let (id, sent) = (next_random(&mut seed), Instant::now());
+        let mut is_new_connection = idle_session.is_none();
         let answer = loop {
-            let open = match kept.take().filter(Kept::is_open) {
-                Some(open) => Ok(Ok(open)),
-                None => Kept::open(address).await,
+            let opened = match idle_session.take().filter(Session::is_open) {
+                Some(session) => Ok(Ok(session)),
+                None => Session::open(address).await,
             };
-            let answer = match open {
-                Ok(Err(state)) => Ok(Some(state)),
-                Ok(Ok(mut open)) => {
-                    let answer = open.ask(id, class).await;
-                    kept = Some(open).filter(|_| answer.is_ok());
+            let answer = match opened {
+                Ok(Err(sqlstate)) => Ok(Some(sqlstate)),
+                Ok(Ok(mut session)) => {
+                    let answer = session.query(id, class).await;
+                    idle_session = Some(session).filter(|_| answer.is_ok());
                     answer
                 }
                 Err(error) => Err(error),
             };
             match answer {
-                // It crossed the close of a connection that was idle: it is sent again, once.
-                Err(_) if !fresh && !told.killed_since(sent) => {
-                    fresh = true;
-                    told.crossed.fetch_add(1, Ordering::Relaxed);
+                // The request raced with the close of an idle connection: it is sent again, once.
+                Err(_) if !is_new_connection && !outcomes.killed_since(sent) => {
+                    is_new_connection = true;
+                    outcomes.retried.fetch_add(1, Ordering::Relaxed);
                 }
                 answer => break answer,
             }
         };
         match answer {
-            Ok(None) => told.served.fetch_add(1, Ordering::Relaxed),
-            Ok(Some(state)) if state.starts_with("53") || state == "57P03" => {
-                told.refused.fetch_add(1, Ordering::Relaxed)
+            Ok(None) => outcomes.served.fetch_add(1, Ordering::Relaxed),
+            Ok(Some(sqlstate)) if sqlstate.starts_with("53") || sqlstate == "57P03" => {
+                outcomes.refused.fetch_add(1, Ordering::Relaxed)
             }
             other => {
-                let lost = (sent, Instant::now(), format!("{class}: {other:?}"));
-                told.lost.lock().expect("nobody panicked").push(lost);
+                let failure = (sent, Instant::now(), format!("{class}: {other:?}"));
+                outcomes
+                    .failures
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .push(failure);
                 0
             }
         };
     }
 }
 
-/// The platform's part: the socket, the folder and the file that all processes of the dispatcher share.
+/// What the platform provides to all processes of the dispatcher: the socket, and a directory with the configuration file.
 struct Platform {
-    socket: Bound,
-    folder: PathBuf,
+    socket: StdTcpListener,
+    directory: PathBuf,
 }
 
 struct Process {
     child: Child,
     log: mpsc::UnboundedReceiver<String>,
-    door: String,
+    /// Address of the control socket; empty until the process is ready.
+    control_address: String,
 }
 
 impl Platform {
     fn new(number: u64, engine: SocketAddr) -> Platform {
-        let folder =
+        let directory =
             std::env::temp_dir().join(format!("sedgebeam-upgrade-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let socket = Bound::bind("127.0.0.1:0").expect("a port");
+        std::fs::create_dir_all(&directory).expect("create the directory");
+        let socket = StdTcpListener::bind("127.0.0.1:0").expect("bind a port");
         let target = format!(
             r#"{{"uid":"s-00000001","endpoint":"{engine}","az":"a","model":"std","pod_group":0,"state":"up","boot_ms":0}}"#
         );
@@ -207,28 +215,29 @@
         let config = format!(
             r#"{{"name":"n0","listen":"{}","seed":"8c1f30d27a5be964","limits":{{"sockets":512}},"known":{{"seq":1,
               "results":[{{"seq":1,"fleet":{{"rev":1,"all":true,"targets":[{target}]}}}}]}},"settings":{settings}}}"#,
-            socket.local_addr().expect("an address")
+            socket.local_addr().expect("get the local address")
         );
-        std::fs::write(folder.join("config.json"), config).expect("writes");
-        Platform { socket, folder }
+        std::fs::write(directory.join("config.json"), config)
+            .expect("write the configuration file");
+        Platform { socket, directory }
     }
 
-    /// Starts a process with the socket as descriptor 7.
+    /// Starts a process that inherits the socket as descriptor 7.
     fn start(&self) -> Process {
         self.start_with(&FaultInjector::new())
     }
 
-    /// The same, with faults of system calls.
+    /// Like `start`, with faults in system calls.
     fn start_with(&self, faults: &FaultInjector) -> Process {
-        let socket = OwnedFd::from(self.socket.try_clone().expect("a copy"));
+        let socket = OwnedFd::from(self.socket.try_clone().expect("duplicate the socket"));
         let mut child = Command::new("sh")
             .args(["-c", r#"exec 7<&0; exec "$0" serve"#])
             .arg(env!("CARGO_BIN_EXE_sedgebeam"))
-            .env("PROXY_CONFIG", self.folder.join("config.json"))
+            .env("PROXY_CONFIG", self.directory.join("config.json"))
             .env("PROXY_NAME", "n0")
             .env("PROXY_CONTROL", "127.0.0.1:0")
             .env("PROXY_PASSED_SOCKET", "7")
-            .env("TMPDIR", &self.folder)
+            .env("TMPDIR", &self.directory)
             .env_remove("PROXY_LISTEN")
             .envs(faults.environment())
             .env("SEDGEBEAM_LOG", "info")
@@ -236,343 +245,370 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .expect("the program starts");
-        let (told, log) = mpsc::unbounded_channel();
-        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+            .expect("start the program");
+        let (line_sender, log) = mpsc::unbounded_channel();
+        let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         tokio::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                let _ = told.send(line);
+                let _ = line_sender.send(line);
             }
         });
         Process {
             child,
             log,
-            door: String::new(),
+            control_address: String::new(),
         }
     }
 }
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 impl Process {
-    /// Waits for a line of the log that holds the words; what stands behind them.
-    async fn logged(&mut self, words: &str) -> String {
-        self.logged_one_of(&[words]).await.1
+    /// Waits for a log line that contains `text`, and returns what follows it.
+    async fn wait_for_log(&mut self, text: &str) -> String {
+        self.wait_for_any_log(&[text]).await.1
     }
 
-    /// Waits for a line of the log that holds any of these words; which, and what stands behind them.
-    async fn logged_one_of<'words>(&mut self, any: &[&'words str]) -> (&'words str, String) {
+    /// Waits for a log line that contains any of `texts`, and returns which one and what follows it.
+    async fn wait_for_any_log<'text>(&mut self, texts: &[&'text str]) -> (&'text str, String) {
         loop {
-            let line = timeout(HANGS, self.log.recv()).await;
-            let line = line.unwrap_or_else(|_| panic!("the log never said {any:?}"));
-            let line = line.unwrap_or_else(|| panic!("the log ended before {any:?}"));
-            for words in any {
-                if let Some((_, rest)) = line.split_once(words) {
-                    return (words, rest.trim().to_string());
+            let line = timeout(HANG_TIMEOUT, self.log.recv()).await;
+            let line = line.unwrap_or_else(|_| panic!("no log line contains any of {texts:?}"));
+            let line = line.unwrap_or_else(|| panic!("the log ended without any of {texts:?}"));
+            for text in texts {
+                if let Some((_, rest)) = line.split_once(text) {
+                    return (text, rest.trim().to_string());
                 }
             }
         }
     }
 
-    /// Waits until it says at the door that it takes work.
-    async fn ready(&mut self) {
-        self.door = self.logged("takes calls of operators on ").await;
-        while !self.call("PING").await.starts_with("200") {
+    /// Waits until the control socket reports that the process accepts requests.
+    async fn wait_until_ready(&mut self) {
+        self.control_address = self.wait_for_log("takes calls of operators on ").await;
+        while !self.control("PING").await.starts_with("200") {
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    async fn call(&self, word: &str) -> String {
-        let mut stream = TcpStream::connect(&self.door).await.expect("a door");
+    /// Sends a command to the control socket, and returns its answer.
+    async fn control(&self, command: &str) -> String {
+        let mut stream = TcpStream::connect(&self.control_address)
+            .await
+            .expect("connect to the control socket");
         stream
-            .write_all(format!("{word}\n").as_bytes())
+            .write_all(format!("{command}\n").as_bytes())
             .await
-            .expect("writes");
+            .expect("write");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.expect("reads");
+        stream.read_to_string(&mut answer).await.expect("read");
         answer
     }
 
     fn signal(&self, signal: &str) {
         let id = self.child.id().expect("it runs").to_string();
-        let sent = std::process::Command::new("kill")
+        let status = std::process::Command::new("kill")
             .args([signal, &id])
             .status();
-        assert!(sent.expect("kill runs").success());
+        assert!(status.expect("run kill").success());
     }
 
-    async fn ended(&mut self) -> Option<i32> {
-        let status = timeout(HANGS, self.child.wait()).await;
-        status.expect("it ends").expect("a status").code()
+    /// Waits for the process to exit, and returns its exit code.
+    async fn wait_for_exit(&mut self) -> Option<i32> {
+        let status = timeout(HANG_TIMEOUT, self.child.wait()).await;
+        status
+            .expect("the process exits")
+            .expect("wait for the process")
+            .code()
     }
 }
 
-/// One upgrade, at one of whose steps something goes wrong; the process that serves afterwards.
-async fn upgrade(platform: &Platform, mut old: Process, mut seed: u64, told: &Told) -> Process {
+/// Runs one upgrade with a fault at one of its steps, and returns the process that serves afterwards.
+async fn upgrade(
+    platform: &Platform,
+    mut old: Process,
+    mut seed: u64,
+    outcomes: &Outcomes,
+) -> Process {
     let mut new = platform.start();
-    let step = draw(&mut seed) % 6;
-    // From before the new one has read a line to well after it takes work.
-    let moment = Duration::from_micros(draw(&mut seed) % 400_000);
+    let step = next_random(&mut seed) % 6;
+    // Covers the time from the start of the new process to well after it accepts requests.
+    let delay = Duration::from_micros(next_random(&mut seed) % 400_000);
     match step {
         0 | 1 => {
-            sleep(moment).await;
-            told.killed();
+            sleep(delay).await;
+            outcomes.record_kill();
             new.signal("-KILL");
-            new.ended().await;
+            new.wait_for_exit().await;
             return old;
         }
         2 => {
             old.signal("-STOP");
-            sleep(moment).await;
+            sleep(delay).await;
             old.signal("-CONT");
         }
         _ => {}
     }
-    new.ready().await;
+    new.wait_until_ready().await;
     match step {
         3 => {
-            sleep(moment / 8).await;
-            told.killed();
+            sleep(delay / 8).await;
+            outcomes.record_kill();
             old.signal("-KILL");
-            old.ended().await;
+            old.wait_for_exit().await;
         }
         _ => {
             old.signal("-TERM");
-            old.logged("ending: last call").await;
-            let answer = old.call("PING").await;
+            old.wait_for_log("ending: last call").await;
+            let answer = old.control("PING").await;
             assert!(answer.starts_with("400"), "{answer}");
-            assert_eq!(old.ended().await, Some(0));
+            assert_eq!(old.wait_for_exit().await, Some(0));
         }
     }
-    let answer = new.call("PING").await;
+    let answer = new.control("PING").await;
     assert!(answer.starts_with("200"), "{answer}");
     new
 }
 
-/// A platform with one engine, and clients that ask throughout.
-struct Field {
+/// A platform with one engine, and clients that send requests until the end of the test.
+struct Harness {
     platform: Platform,
     seen: Arc<engine::Seen>,
-    told: Arc<Told>,
+    outcomes: Arc<Outcomes>,
     clients: Vec<tokio::task::JoinHandle<()>>,
 }
 
-impl Field {
-    async fn new(number: u64) -> Field {
+impl Harness {
+    async fn new(number: u64) -> Harness {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
-        let listener = listener.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = listener.expect("bind a port");
+        let address = listener.local_addr().expect("get the local address");
         let seen = Arc::new(engine::Seen::default());
         tokio::spawn(engine::serve(listener, seen.clone()));
         let platform = Platform::new(number, address);
-        let told = Arc::new(Told::default());
-        let address = platform.socket.local_addr().expect("an address");
+        let outcomes = Arc::new(Outcomes::default());
+        let address = platform.socket.local_addr().expect("get the local address");
         let clients = (0..CLIENTS as u64).map(|client| {
             let seed = (number << 32) | (client << 16) | 1;
-            tokio::spawn(self::client(address, seed, told.clone()))
+            tokio::spawn(run_client(address, seed, outcomes.clone()))
         });
         let clients = clients.collect();
-        Field {
+        Harness {
             platform,
             seen,
-            told,
+            outcomes,
             clients,
         }
     }
 }
 
-/// Ends the clients, and sees that they lost nothing.
-async fn finish(told: &Told, clients: Vec<tokio::task::JoinHandle<()>>) {
-    told.over.store(true, Ordering::Relaxed);
+/// Stops the clients, and checks that no request was lost.
+async fn stop_clients(outcomes: &Outcomes, clients: Vec<tokio::task::JoinHandle<()>>) {
+    outcomes.is_finished.store(true, Ordering::Relaxed);
     for client in clients {
-        let ended = timeout(HANGS, client).await;
-        ended.expect("it ends").expect("no panic");
+        let ended = timeout(HANG_TIMEOUT, client).await;
+        ended
+            .expect("the client ends in time")
+            .expect("the task does not panic");
     }
-    assert_eq!(told.lost(), Vec::<String>::new());
+    assert_eq!(outcomes.lost_requests(), Vec::<String>::new());
 }
 
-/// Upgrades by these seeds, one after the other, under load throughout.
-async fn upgrades(number: u64, seeds: impl Iterator<Item = u64>) {
-    let Field {
+/// Runs one upgrade per seed, one after the other, under continuous load.
+async fn run_upgrades(number: u64, seeds: impl Iterator<Item = u64>) {
+    let Harness {
         platform,
         seen,
-        told,
+        outcomes,
         clients,
-    } = Field::new(number).await;
+    } = Harness::new(number).await;
     let mut serving = platform.start();
-    serving.ready().await;
+    serving.wait_until_ready().await;
     let mut count = 0;
     for seed in seeds {
-        serving = upgrade(&platform, serving, seed, &told).await;
+        serving = upgrade(&platform, serving, seed, &outcomes).await;
         count += 1;
-        assert_eq!(told.lost(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            outcomes.lost_requests(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
     }
-    finish(&told, clients).await;
+    stop_clients(&outcomes, clients).await;
     assert_eq!(seen.doubled(), 0, "a load was sent twice");
-    let served = told.served.load(Ordering::Relaxed);
+    let served = outcomes.served.load(Ordering::Relaxed);
     assert!(served > 20 * count, "{served} served in {count} upgrades");
     println!(
-        "{count} upgrades: {served} served, {} refused, {} crossed a close",
-        told.refused.load(Ordering::Relaxed),
-        told.crossed.load(Ordering::Relaxed)
+        "{count} upgrades: {served} served, {} refused, {} sent again after a close",
+        outcomes.refused.load(Ordering::Relaxed),
+        outcomes.retried.load(Ordering::Relaxed)
     );
 }
 
-fn inside(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    runtime.expect("a runtime").block_on(test);
+    runtime.expect("build the runtime").block_on(test);
 }
 
-fn run(number: u64, seeds: std::ops::Range<u64>) {
-    inside(upgrades(number, seeds));
+fn run_upgrade_test(number: u64, seeds: std::ops::Range<u64>) {
+    run_test(run_upgrades(number, seeds));
 }
 
 #[test]
-fn upgrades_lose_no_request_whatever_dies_at_which_step_1() {
-    run(1, 0..26);
+fn upgrades_lose_no_request_whichever_process_is_killed_or_stopped_at_any_step_1() {
+    run_upgrade_test(1, 0..26);
 }
 
 #[test]
-fn upgrades_lose_no_request_whatever_dies_at_which_step_2() {
-    run(2, 26..52);
+fn upgrades_lose_no_request_whichever_process_is_killed_or_stopped_at_any_step_2() {
+    run_upgrade_test(2, 26..52);
 }
 
 #[test]
-fn upgrades_lose_no_request_whatever_dies_at_which_step_3() {
-    run(3, 52..78);
+fn upgrades_lose_no_request_whichever_process_is_killed_or_stopped_at_any_step_3() {
+    run_upgrade_test(3, 52..78);
 }
 
 #[test]
-fn upgrades_lose_no_request_whatever_dies_at_which_step_4() {
-    run(4, 78..104);
+fn upgrades_lose_no_request_whichever_process_is_killed_or_stopped_at_any_step_4() {
+    run_upgrade_test(4, 78..104);
 }
 
 #[test]
-fn drains_lose_no_request_and_every_kept_connection_goes() {
-    inside(async {
-        let Field {
+fn drains_lose_no_request_and_close_every_idle_connection() {
+    run_test(async {
+        let Harness {
             platform,
             seen,
-            told,
+            outcomes,
             clients,
-        } = Field::new(5).await;
+        } = Harness::new(5).await;
         let mut serving = platform.start();
-        serving.ready().await;
-        let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        serving.wait_until_ready().await;
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         for _ in 0..3 {
-            let served = count(&told.served);
-            while count(&told.served) < served + 50 {
+            let served = load(&outcomes.served);
+            while load(&outcomes.served) < served + 50 {
                 sleep(Duration::from_millis(5)).await;
             }
-            let answer = serving.call("LAMEDUCK").await;
-            assert!(answer.starts_with("200") && serving.call("PING").await.starts_with("400"));
-            // Each client has lost its connection, and then been turned away, several times.
-            let refused = count(&told.refused);
-            while count(&told.refused) < refused + 10 * CLIENTS as u64 {
+            let answer = serving.control("LAMEDUCK").await;
+            assert!(answer.starts_with("200") && serving.control("PING").await.starts_with("400"));
+            // By then each client has lost its connection and was rejected several times.
+            let refused = load(&outcomes.refused);
+            while load(&outcomes.refused) < refused + 10 * CLIENTS as u64 {
                 sleep(Duration::from_millis(5)).await;
             }
-            let served = count(&told.served);
+            let served = load(&outcomes.served);
             sleep(Duration::from_millis(50)).await;
-            assert_eq!(count(&told.served), served, "nobody is kept");
-            let answer = serving.call("REJOIN").await;
-            assert!(answer.starts_with("200") && serving.call("PING").await.starts_with("200"));
+            assert_eq!(
+                load(&outcomes.served),
+                served,
+                "no session is served during a drain"
+            );
+            let answer = serving.control("REJOIN").await;
+            assert!(answer.starts_with("200") && serving.control("PING").await.starts_with("200"));
         }
-        finish(&told, clients).await;
+        stop_clients(&outcomes, clients).await;
         assert_eq!(seen.doubled(), 0, "a load was sent twice");
     });
 }
 
-/// Starts a process, and then another with these faults; whether that began with what the first one knew.
-async fn second_begins_with_what_the_first_knew(
+/// Starts a process, and then another one with these faults; whether the second one restored the handover state of the first.
+async fn second_process_restores_handover_state(
     platform: &Platform,
     faults: &FaultInjector,
 ) -> bool {
     let mut first = platform.start();
-    first.ready().await;
+    first.wait_until_ready().await;
     let mut second = platform.start_with(faults);
-    let words = [
+    let log_texts = [
         "begun with what the process before it knew",
         "serves PostgreSQL clients",
     ];
-    let (said, _) = second.logged_one_of(&words).await;
+    let (logged, _) = second.wait_for_any_log(&log_texts).await;
     second.signal("-TERM");
-    assert_eq!(second.ended().await, Some(0));
-    said == words[0]
+    assert_eq!(second.wait_for_exit().await, Some(0));
+    logged == log_texts[0]
 }
 
-/// Which of two processes came first, and how old is what the other tells, does not hang on the wall clock.
+/// The start order of two processes, and the age of the state that they hand over, must not depend on the wall clock.
 #[test]
-fn a_step_of_the_wall_clock_between_two_processes_hides_neither_from_the_other() {
-    inside(async {
+fn handover_succeeds_across_a_step_of_the_wall_clock() {
+    run_test(async {
         for step in [-3600, 3600] {
-            let Field { platform, .. } = Field::new(6).await;
+            let Harness { platform, .. } = Harness::new(6).await;
             let faults = FaultInjector::new();
             faults.step_wall_clock(step);
-            let handed_over = second_begins_with_what_the_first_knew(&platform, &faults).await;
-            assert!(handed_over, "stepped by {step} s");
+            let restored = second_process_restores_handover_state(&platform, &faults).await;
+            assert!(restored, "stepped by {step} s");
         }
     });
 }
 
-/// A process that can't join its folder for a while is not alone for good.
+/// A process that could not create files in the shared directory at its start must not stay unaware of its peer forever.
 #[test]
-fn a_process_joins_its_folder_once_files_can_be_written_again() {
+fn process_joins_its_peers_once_files_can_be_created_again() {
     const ENOSPC: i32 = 28;
-    inside(async {
-        let Field { platform, .. } = Field::new(7).await;
+    run_test(async {
+        let Harness { platform, .. } = Harness::new(7).await;
         let mut first = platform.start();
-        first.ready().await;
+        first.wait_until_ready().await;
         let faults = FaultInjector::new();
         faults.inject_always(SystemCall::Create, Fault::Error(ENOSPC));
         let mut second = platform.start_with(&faults);
-        second.ready().await;
+        second.wait_until_ready().await;
         faults.clear(SystemCall::Create);
         assert!(faults.injected_count(SystemCall::Create) > 0);
-        let words = "2 processes serve as one dispatcher";
-        assert_eq!(first.logged(words).await, "");
-        assert_eq!(second.logged(words).await, "");
+        let log_text = "2 processes serve as one dispatcher";
+        assert_eq!(first.wait_for_log(log_text).await, "");
+        assert_eq!(second.wait_for_log(log_text).await, "");
     });
 }
 
-/// The checker itself: a dispatcher that takes a request and closes is caught, and one that is slow is not.
+/// Guards the other tests of this file: their clients must report a dispatcher that closes the connection after it received a
+/// request, and accept one that answers.
 #[test]
-fn a_dispatcher_that_drops_requests_is_caught() {
-    inside(async {
-        for drops in [true, false] {
+fn a_dispatcher_that_drops_requests_is_detected() {
+    run_test(async {
+        for drops_requests in [true, false] {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
-                .expect("a port");
-            let address = listener.local_addr().expect("an address");
+                .expect("bind a port");
+            let address = listener.local_addr().expect("get the local address");
             tokio::spawn(async move {
                 loop {
-                    let (mut stream, _) = listener.accept().await.expect("accepts");
+                    let (mut stream, _) = listener.accept().await.expect("accept a connection");
                     tokio::spawn(async move {
                         let (ready, mut bytes) = (b"Z\0\0\0\x05I", [0; 1024]);
-                        // The start of a session, and then requests.
-                        let mut turn = 0;
+                        // The first message starts the session; requests follow.
+                        let mut messages = 0;
                         while stream.read(&mut bytes).await.is_ok_and(|count| count > 0) {
-                            turn += 1;
-                            if (drops && turn > 1) || stream.write_all(ready).await.is_err() {
+                            messages += 1;
+                            if (drops_requests && messages > 1)
+                                || stream.write_all(ready).await.is_err()
+                            {
                                 return;
                             }
                         }
                     });
                 }
             });
-            let told = Arc::new(Told::default());
-            let client = tokio::spawn(client(address, 1, told.clone()));
-            while told.lost().is_empty() && told.served.load(Ordering::Relaxed) < 20 {
+            let outcomes = Arc::new(Outcomes::default());
+            let client = tokio::spawn(run_client(address, 1, outcomes.clone()));
+            while outcomes.lost_requests().is_empty()
+                && outcomes.served.load(Ordering::Relaxed) < 20
+            {
                 sleep(Duration::from_millis(5)).await;
             }
-            told.over.store(true, Ordering::Relaxed);
-            client.await.expect("no panic");
-            assert_eq!(told.lost().is_empty(), !drops);
+            outcomes.is_finished.store(true, Ordering::Relaxed);
+            client.await.expect("the task does not panic");
+            assert_eq!(outcomes.lost_requests().is_empty(), !drops_requests);
         }
     });
 }
