--- a/dispatcher/tests/soak/checker.rs
+++ b/dispatcher/tests/soak/checker.rs
@@ -1,24 +1,26 @@
-//! What must hold of a run, judged by what clients, engines and the change log have seen, and by nothing of the program.
+//! Checks a recorded run against the rules of the dispatcher, from what clients, engines and the change log observed, without any
+//! knowledge of the implementation.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// Microseconds since the run began.
+/// Microseconds: a duration, or the time since the start of the run.
 pub type Micros = u64;
 
 pub const MILLISECOND: Micros = 1_000;
-/// Every limit of time is this much longer on sockets.
-const SLACK: Micros = 50 * MILLISECOND;
-/// An answer so long after its time earns nothing; later it is lost.
-const LATE_BY: Micros = 500 * MILLISECOND;
-/// What goes on to a resting connection while that is being closed is sent again.
-const CROSSES: Micros = 50 * MILLISECOND;
-/// An attempt begins no longer than this after its client has gone.
-const GONE_BY: Micros = 100 * MILLISECOND;
-/// The time passed to an engine is at most what is left, and this.
-const LEFT_AND: Micros = 150 * MILLISECOND;
-/// A dispatcher that starts is ready by then.
-const READY_BY: Micros = 10_000 * MILLISECOND;
+/// Extends every time bound, to allow for the latency of sockets and of the scheduler.
+const LATENCY_SLACK: Micros = 50 * MILLISECOND;
+/// An answer up to this long after its time limit is worthless but allowed; a later one counts as missing.
+const MAX_LATENESS: Micros = 500 * MILLISECOND;
+/// A request written to an idle connection this shortly before the client sees the close raced with it; clients send such a
+/// request again.
+const CLOSE_RACE_WINDOW: Micros = 50 * MILLISECOND;
+/// No attempt starts later than this after its client left.
+const MAX_START_AFTER_CLIENT_LEFT: Micros = 100 * MILLISECOND;
+/// The time limit that an engine is told exceeds the time that remains to the request by no more than this.
+const MAX_EXCESS_TIME_LIMIT: Micros = 150 * MILLISECOND;
+/// A started dispatcher is ready within this time.
+const MAX_START_TIME: Micros = 10_000 * MILLISECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
@@ -27,40 +29,40 @@
     Failed,
 }
 
-/// What a second run of a request would do.
+/// Whether a request may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// Another run is harmless.
     Repeatable,
-    /// Nothing, where it begins so soon after the first attempt that may have run.
+    /// Another run is harmless if it starts within `window` of the first attempt that may have run.
     ByKey { window: Micros },
-    /// Harm.
+    /// The request must not run twice.
     Once,
 }
 
 /// How an attempt ended at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It may have run.
+    /// The attempt may have run.
     MayHaveRun,
-    /// The engine said that it never ran.
+    /// The engine reported that the attempt never ran.
     NeverRan,
 }
 
-/// What was seen. Fields that no rule reads stand in the histories of violations.
+/// An observation. Fields that no rule reads are printed with the violations.
 #[derive(Clone, Copy, Debug)]
-#[allow(dead_code, reason = "some fields are only shown")]
+#[allow(dead_code, reason = "some fields are only printed")]
 pub enum Event {
-    /// The last byte of a request was written to a connection of the dispatcher.
+    /// A client wrote the last byte of a request to a connection of the dispatcher.
     RequestSent {
         request: u64,
         dispatcher: usize,
         time_limit: Micros,
-        /// Answers come in order: the longest limit of it and of those that were written ahead of it with it.
+        /// The longest time limit of this request and of those written before it in the same batch: answers come in order.
         pipeline_time_limit: Micros,
         effect: Effect,
     },
-    /// Its client closed or cancelled.
+    /// The client closed its connection, or cancelled the request.
     ClientLeft {
         request: u64,
     },
@@ -68,15 +70,17 @@
         request: u64,
         answer: Answer,
     },
-    /// Its connection ended without a whole answer; whether it had rested until the request was written.
+    /// The connection ended without a complete answer.
     ConnectionClosed {
         request: u64,
+        /// Whether the connection was idle before the request was written.
         was_idle: bool,
     },
-    /// An engine has read it whole.
+    /// An engine received the complete attempt.
     AttemptStarted {
         request: u64,
         engine: usize,
+        /// The time limit that the dispatcher told the engine.
         announced_time_limit: Micros,
         work_ms: u64,
     },
@@ -85,29 +89,29 @@
         engine: usize,
         end: AttemptEnd,
     },
-    /// The change log has told a dispatcher that the engine drains, or counts as having told it.
+    /// The dispatchers know from the change log that the engine drains, or are assumed to know.
     DrainAnnounced {
         engine: usize,
     },
-    /// The dispatcher was killed, earlier than the end of an orderly shutdown.
+    /// The dispatcher was killed before it completed an orderly shutdown.
     ProcessKilled {
         dispatcher: usize,
     },
-    /// The process was started, and said that it is ready.
     ProcessStarted {
         dispatcher: usize,
     },
+    /// The control socket reported that the process is ready.
     ProcessReady {
         dispatcher: usize,
     },
-    /// What a process held, and may hold.
+    /// A sample of what a process used of a limited resource.
     ResourceUsage {
         dispatcher: usize,
         resource: &'static str,
         used: u64,
         allowed: u64,
     },
-    /// A process ended though nobody had told it to, or with a status other than 0.
+    /// A process exited without being told to, or with a status other than 0.
     ProcessCrashed {
         dispatcher: usize,
     },
@@ -122,7 +126,7 @@
     OneAttemptInFlight,
     NoAttemptAfterClientLeft,
     NoAttemptWhileDraining,
-    RemainingTimePassed,
+    AttemptTimeLimitBounded,
     ColdEngineBudget,
     ResourceLimits,
     ReadyInTime,
@@ -132,7 +136,7 @@
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub rule: Rule,
-    /// None where it is about no request.
+    /// None if the rule is not about a request.
     pub request: Option<u64>,
     pub history: Vec<String>,
 }
@@ -149,28 +153,29 @@
     }
 }
 
-/// What the run allows.
+/// The bounds that depend on the settings of the run and on the machine.
 #[derive(Clone, Debug)]
 pub struct RunLimits {
     pub drain_grace: Micros,
-    /// The most that cold engines may be sent in a window, by the engine, and until when it is cold.
+    /// The cold engines by their number.
     pub cold_engines: BTreeMap<usize, ColdEngine>,
-    /// The longest time for which this machine kept the run itself from going on.
+    /// The longest time for which the machine did not schedule the test itself; it extends every time bound.
     pub longest_stall: Micros,
 }
 
+/// How much work an engine may receive while it is cold.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdEngine {
     pub from: Micros,
     pub until: Micros,
     pub window: Micros,
-    /// So many requests of mean work.
+    /// Bound of the work received within `window`, in requests of mean work.
     pub max_requests: f64,
     pub mean_work_ms: f64,
 }
 
 impl ColdEngine {
-    /// The most requests of mean work where so many are what the settings allow.
+    /// Adds a margin of a few square roots, for random variation, to the number of requests that the settings allow.
     pub fn with_margin(allowed: f64) -> f64 {
         let root = allowed.sqrt();
         if allowed < 30.0 {
@@ -183,179 +188,187 @@
 
 pub struct Trace(pub Vec<(Micros, Event)>);
 
-/// A request; the default is of no effect.
+/// The events of one request.
 #[derive(Default)]
-struct History {
-    taken: Vec<(Micros, usize, Micros)>,
-    behind: Micros,
+struct RequestHistory {
+    /// Time, dispatcher and time limit.
+    sends: Vec<(Micros, usize, Micros)>,
+    pipeline_time_limit: Micros,
     effect: Option<Effect>,
-    gone: Option<Micros>,
+    client_left_at: Option<Micros>,
     answers: Vec<(Micros, Answer)>,
+    /// Time, and whether the connection was idle before the request.
     closes: Vec<(Micros, bool)>,
-    begun: Vec<(Micros, usize, Micros)>,
-    over: Vec<(Micros, usize, AttemptEnd)>,
+    /// Time, engine and announced time limit.
+    attempt_starts: Vec<(Micros, usize, Micros)>,
+    /// Time, engine and end.
+    attempt_ends: Vec<(Micros, usize, AttemptEnd)>,
 }
 
 impl Trace {
-    /// All that was broken.
-    pub fn find_violations(&self, terms: &RunLimits) -> Vec<Violation> {
-        let mut broken = Vec::new();
-        let slack = SLACK + terms.longest_stall;
+    /// Returns all violations of the rules.
+    pub fn find_violations(&self, limits: &RunLimits) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        let slack = LATENCY_SLACK + limits.longest_stall;
         for (request, history) in self.histories() {
-            for rule in history.broken(terms, slack, self) {
+            for rule in history.broken_rules(limits, slack, self) {
                 let request = Some(request);
-                let history = self.lines_about(request);
-                broken.push(Violation {
+                let history = self.event_lines(request);
+                violations.push(Violation {
                     rule,
                     request,
                     history,
                 });
             }
         }
-        broken.extend(self.broken_by_processes(slack));
-        broken.extend(self.cold_budgets_broken(terms));
-        broken
+        violations.extend(self.process_violations(slack));
+        violations.extend(self.cold_engine_violations(limits));
+        violations
     }
 
-    fn histories(&self) -> BTreeMap<u64, History> {
-        let mut histories: BTreeMap<u64, History> = BTreeMap::new();
-        for (at, seen) in &self.0 {
-            let at = *at;
-            let Some(request) = request_of(seen) else {
+    fn histories(&self) -> BTreeMap<u64, RequestHistory> {
+        let mut histories: BTreeMap<u64, RequestHistory> = BTreeMap::new();
+        for (time, event) in &self.0 {
+            let time = *time;
+            let Some(request) = request_of(event) else {
                 continue;
             };
             let history = histories.entry(request).or_default();
-            match *seen {
+            match *event {
                 Event::RequestSent {
                     dispatcher,
-                    time_limit: limit,
-                    pipeline_time_limit: behind,
+                    time_limit,
+                    pipeline_time_limit,
                     effect,
                     ..
                 } => {
-                    history.behind = behind;
-                    history.taken.push((at, dispatcher, limit));
+                    history.pipeline_time_limit = pipeline_time_limit;
+                    history.sends.push((time, dispatcher, time_limit));
                     history.effect = Some(effect);
                 }
-                Event::ClientLeft { .. } => history.gone = history.gone.or(Some(at)),
-                Event::Answered { answer, .. } => history.answers.push((at, answer)),
-                Event::ConnectionClosed {
-                    was_idle: rested, ..
-                } => history.closes.push((at, rested)),
+                Event::ClientLeft { .. } => {
+                    history.client_left_at = history.client_left_at.or(Some(time))
+                }
+                Event::Answered { answer, .. } => history.answers.push((time, answer)),
+                Event::ConnectionClosed { was_idle, .. } => history.closes.push((time, was_idle)),
                 Event::AttemptStarted {
                     engine,
-                    announced_time_limit: told,
+                    announced_time_limit,
                     ..
-                } => history.begun.push((at, engine, told)),
-                Event::AttemptEnded { engine, end, .. } => history.over.push((at, engine, end)),
+                } => history
+                    .attempt_starts
+                    .push((time, engine, announced_time_limit)),
+                Event::AttemptEnded { engine, end, .. } => {
+                    history.attempt_ends.push((time, engine, end))
+                }
                 _ => {}
             }
         }
         histories
     }
 
-    /// What was seen of a request, and what became of processes meanwhile: it may explain the rest.
-    fn lines_about(&self, request: Option<u64>) -> Vec<String> {
-        let of_process = |seen: &Event| {
+    /// Formats the events of a request, and those of all processes, which may explain them.
+    fn event_lines(&self, request: Option<u64>) -> Vec<String> {
+        let is_process_event = |event: &Event| {
             matches!(
-                seen,
+                event,
                 Event::ProcessKilled { .. }
                     | Event::ProcessStarted { .. }
                     | Event::ProcessCrashed { .. }
             )
         };
-        let about = |seen: &Event| request_of(seen) == request || of_process(seen);
-        let about = self.0.iter().filter(|(_, seen)| about(seen));
-        let line = |(at, seen): &(Micros, Event)| format!("{:>9.3} ms {seen:?}", *at as f64 / 1e3);
-        about.map(line).collect()
+        let is_relevant = |event: &Event| request_of(event) == request || is_process_event(event);
+        let relevant = self.0.iter().filter(|(_, event)| is_relevant(event));
+        let line =
+            |(time, event): &(Micros, Event)| format!("{:>9.3} ms {event:?}", *time as f64 / 1e3);
+        relevant.map(line).collect()
     }
 
     fn killed_within(&self, dispatcher: usize, from: Micros, to: Micros) -> bool {
-        self.0.iter().any(|(at, seen)| {
-            matches!(seen, Event::ProcessKilled { dispatcher: killed } if *killed == dispatcher)
-                && (from..=to).contains(at)
+        self.0.iter().any(|(time, event)| {
+            matches!(event, Event::ProcessKilled { dispatcher: killed } if *killed == dispatcher)
+                && (from..=to).contains(time)
         })
     }
 
-    fn drained(&self, engine: usize) -> Option<Micros> {
-        self.0.iter().find_map(|(at, seen)| {
-            matches!(seen, Event::DrainAnnounced { engine: drained } if *drained == engine)
-                .then_some(*at)
+    /// When the dispatchers knew that the engine drains.
+    fn drain_announced_at(&self, engine: usize) -> Option<Micros> {
+        self.0.iter().find_map(|(time, event)| {
+            matches!(event, Event::DrainAnnounced { engine: draining } if *draining == engine)
+                .then_some(*time)
         })
     }
 
-    fn broken_by_processes(&self, slack: Micros) -> Vec<Violation> {
-        let mut broken = Vec::new();
-        let mut started: HashMap<usize, Micros> = HashMap::new();
-        let mut violation = |rule, at: Micros, seen: &Event| {
-            broken.push(Violation {
+    fn process_violations(&self, slack: Micros) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        let mut started_at: HashMap<usize, Micros> = HashMap::new();
+        let mut add_violation = |rule, time: Micros, event: &Event| {
+            violations.push(Violation {
                 rule,
                 request: None,
-                history: vec![format!("{:>9.3} ms {seen:?}", at as f64 / 1e3)],
+                history: vec![format!("{:>9.3} ms {event:?}", time as f64 / 1e3)],
             });
         };
-        for (at, seen) in &self.0 {
-            match seen {
+        for (time, event) in &self.0 {
+            match event {
                 Event::ProcessStarted { dispatcher } => {
-                    started.insert(*dispatcher, *at);
+                    started_at.insert(*dispatcher, *time);
                 }
                 Event::ProcessReady { dispatcher } => {
-                    let began = started.remove(dispatcher).unwrap_or(*at);
-                    if *at > began + READY_BY + slack {
-                        violation(Rule::ReadyInTime, *at, seen);
+                    let started = started_at.remove(dispatcher).unwrap_or(*time);
+                    if *time > started + MAX_START_TIME + slack {
+                        add_violation(Rule::ReadyInTime, *time, event);
                     }
                 }
-                Event::ResourceUsage {
-                    used: held,
-                    allowed,
-                    ..
-                } if held > allowed => {
-                    violation(Rule::ResourceLimits, *at, seen);
+                Event::ResourceUsage { used, allowed, .. } if used > allowed => {
+                    add_violation(Rule::ResourceLimits, *time, event);
                 }
-                Event::ProcessCrashed { .. } => violation(Rule::NoCrash, *at, seen),
+                Event::ProcessCrashed { .. } => add_violation(Rule::NoCrash, *time, event),
                 _ => {}
             }
         }
-        broken
+        violations
     }
 
-    fn cold_budgets_broken(&self, terms: &RunLimits) -> Vec<Violation> {
-        let mut broken = Vec::new();
-        for (engine, cold) in &terms.cold_engines {
-            let sends = self.0.iter().filter_map(|(at, seen)| match seen {
+    fn cold_engine_violations(&self, limits: &RunLimits) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for (engine, cold) in &limits.cold_engines {
+            let attempts = self.0.iter().filter_map(|(time, event)| match event {
                 Event::AttemptStarted {
-                    engine: to,
+                    engine: receiver,
                     work_ms,
                     ..
-                } if to == engine => Some((*at, *work_ms)),
+                } if receiver == engine => Some((*time, *work_ms)),
                 _ => None,
             });
-            let sends = sends.filter(|(at, _)| (cold.from..cold.until).contains(at));
-            let sends: Vec<(Micros, u64)> = sends.collect();
-            let most = (0..sends.len()).map(|first| {
-                let until = sends[first].0 + cold.window;
-                let within = sends[first..].iter().take_while(|(at, _)| *at < until);
-                within
+            let attempts = attempts.filter(|(time, _)| (cold.from..cold.until).contains(time));
+            let attempts: Vec<(Micros, u64)> = attempts.collect();
+            let window_work = (0..attempts.len()).map(|first| {
+                let until = attempts[first].0 + cold.window;
+                let in_window = attempts[first..]
+                    .iter()
+                    .take_while(|(time, _)| *time < until);
+                in_window
                     .map(|(_, work_ms)| *work_ms as f64 / cold.mean_work_ms)
                     .sum()
             });
-            let most = most.fold(0.0, f64::max);
-            if most > cold.max_requests {
-                broken.push(Violation {
+            let max_work = window_work.fold(0.0, f64::max);
+            if max_work > cold.max_requests {
+                violations.push(Violation {
                     rule: Rule::ColdEngineBudget,
                     request: None,
                     history: vec![format!(
-                        "engine {engine}: {most:.1} of mean work in a window, {cold:?}"
+                        "engine {engine}: {max_work:.1} requests of mean work in a window, {cold:?}"
                     )],
                 });
             }
         }
-        broken
+        violations
     }
 }
 
-fn request_of(seen: &Event) -> Option<u64> {
-    match seen {
+fn request_of(event: &Event) -> Option<u64> {
+    match event {
         Event::RequestSent { request, .. }
         | Event::ClientLeft { request }
         | Event::Answered { request, .. }
@@ -366,95 +379,125 @@
     }
 }
 
-impl History {
-    fn broken(&self, terms: &RunLimits, slack: Micros, trace: &Trace) -> Vec<Rule> {
+impl RequestHistory {
+    fn broken_rules(&self, limits: &RunLimits, slack: Micros, trace: &Trace) -> Vec<Rule> {
         let mut broken = Vec::new();
         let mut check = |rule, holds: bool| {
             if !holds {
                 broken.push(rule);
             }
         };
-        check(Rule::AnsweredInTime, self.is_answered(slack, trace));
+        check(Rule::AnsweredInTime, self.is_answered_in_time(slack, trace));
         check(Rule::AtMostOneAnswer, self.answers.len() <= 1);
-        check(Rule::NoUnsafeRepeat, self.is_repeated_as_may(slack));
-        check(Rule::NoRefusalAfterRun, self.is_refused_as_may());
-        check(Rule::OneAttemptInFlight, self.has_one_out(slack));
-        let gone = self.gone.map(|gone| gone + GONE_BY + slack);
-        let after = |begun: &&(Micros, usize, Micros)| gone.is_some_and(|gone| begun.0 > gone);
+        check(Rule::NoUnsafeRepeat, self.is_repeated_safely(slack));
+        check(Rule::NoRefusalAfterRun, self.is_refused_safely());
+        check(
+            Rule::OneAttemptInFlight,
+            self.has_one_attempt_in_flight(slack),
+        );
+        let last_start = self
+            .client_left_at
+            .map(|left_at| left_at + MAX_START_AFTER_CLIENT_LEFT + slack);
+        let starts_too_late = |attempt: &&(Micros, usize, Micros)| {
+            last_start.is_some_and(|last_start| attempt.0 > last_start)
+        };
         check(
             Rule::NoAttemptAfterClientLeft,
-            self.begun.iter().find(after).is_none(),
+            self.attempt_starts.iter().find(starts_too_late).is_none(),
         );
-        let drained = |(at, engine, _): &&(Micros, usize, Micros)| {
-            let told = trace.drained(*engine);
-            told.is_some_and(|told| *at > told + terms.drain_grace + slack)
+        let starts_in_drain = |(time, engine, _): &&(Micros, usize, Micros)| {
+            let announced_at = trace.drain_announced_at(*engine);
+            announced_at
+                .is_some_and(|announced_at| *time > announced_at + limits.drain_grace + slack)
         };
         check(
             Rule::NoAttemptWhileDraining,
-            self.begun.iter().find(drained).is_none(),
+            self.attempt_starts.iter().find(starts_in_drain).is_none(),
         );
-        let too_long = |(at, _, told): &&(Micros, usize, Micros)| {
-            let taken = self.taken.last();
-            taken.is_some_and(|(taken, _, limit)| at + told > taken + limit + LEFT_AND + slack)
+        let may_run_too_long = |(time, _, announced_time_limit): &&(Micros, usize, Micros)| {
+            let last_send = self.sends.last();
+            last_send.is_some_and(|(sent_at, _, time_limit)| {
+                time + announced_time_limit > sent_at + time_limit + MAX_EXCESS_TIME_LIMIT + slack
+            })
         };
         check(
-            Rule::RemainingTimePassed,
-            self.begun.iter().find(too_long).is_none(),
+            Rule::AttemptTimeLimitBounded,
+            self.attempt_starts.iter().find(may_run_too_long).is_none(),
         );
         broken
     }
 
-    /// One whole final answer in time; or its client has gone, its dispatcher was killed, or it crossed the close of a
-    /// connection that rested, and nothing of it was sent on.
-    fn is_answered(&self, slack: Micros, trace: &Trace) -> bool {
-        let Some((taken, dispatcher, _)) = self.taken.last().copied() else {
+    /// Whether the request has a complete final answer in time. It needs none if its client left, if its dispatcher was killed,
+    /// or if it raced with the close of an idle connection and no attempt was sent.
+    fn is_answered_in_time(&self, slack: Micros, trace: &Trace) -> bool {
+        let Some((sent_at, dispatcher, _)) = self.sends.last().copied() else {
             return true;
         };
-        let due = taken + self.behind + LATE_BY + slack;
-        if let Some((at, _)) = self.answers.first() {
-            return *at <= due || self.gone.is_some();
+        let due = sent_at + self.pipeline_time_limit + MAX_LATENESS + slack;
+        if let Some((answered_at, _)) = self.answers.first() {
+            return *answered_at <= due || self.client_left_at.is_some();
         }
-        let crossed = self.closes.last().is_some_and(|(at, rested)| {
-            *rested && *at <= taken + CROSSES + slack && self.begun.is_empty()
+        let raced_with_close = self.closes.last().is_some_and(|(closed_at, was_idle)| {
+            *was_idle
+                && *closed_at <= sent_at + CLOSE_RACE_WINDOW + slack
+                && self.attempt_starts.is_empty()
         });
-        // What was written as its process had just been killed met a connection that nobody served any more.
-        let from = taken.saturating_sub(CROSSES + slack);
-        self.gone.is_some() || crossed || trace.killed_within(dispatcher, from, due)
+        // A request written right after its process was killed reached a connection that no process served any more.
+        let from = sent_at.saturating_sub(CLOSE_RACE_WINDOW + slack);
+        self.client_left_at.is_some()
+            || raced_with_close
+            || trace.killed_within(dispatcher, from, due)
     }
 
-    /// Whether the attempt may have run at its engine: unless that has said that it never ran.
+    /// Whether the attempt may have run: always, unless its engine reported that it never ran.
     fn may_have_run(&self, (_, engine, _): &(Micros, usize, Micros)) -> bool {
-        let mut ends = self.over.iter().filter(|(_, at, _)| at == engine);
+        let mut ends = self
+            .attempt_ends
+            .iter()
+            .filter(|(_, ended_on, _)| ended_on == engine);
         !ends.any(|(_, _, end)| *end == AttemptEnd::NeverRan)
     }
 
-    /// What may not be repeated has no attempt after one that may have run; what may for a while, none after that.
-    fn is_repeated_as_may(&self, slack: Micros) -> bool {
+    /// Whether no attempt follows one that may have run, or, for a request that may be repeated for a while, none after its
+    /// window.
+    fn is_repeated_safely(&self, slack: Micros) -> bool {
         let window = match self.effect {
             Some(Effect::Once) => None,
             Some(Effect::ByKey { window }) => Some(window + slack),
             Some(Effect::Repeatable) | None => return true,
         };
-        let first = self.begun.iter().position(|begun| self.may_have_run(begun));
+        let first = self
+            .attempt_starts
+            .iter()
+            .position(|attempt| self.may_have_run(attempt));
         let Some(first) = first else { return true };
-        let (began, _, _) = self.begun[first];
-        let mut further = self.begun[first + 1..].iter();
-        further.all(|(at, _, _)| window.is_some_and(|window| *at <= began + window))
+        let (first_start, _, _) = self.attempt_starts[first];
+        let mut repeats = self.attempt_starts[first + 1..].iter();
+        repeats.all(|(start, _, _)| window.is_some_and(|window| *start <= first_start + window))
     }
 
-    /// A refusal says that trying again does no harm: not where a request that may not be repeated may have run.
-    fn is_refused_as_may(&self) -> bool {
+    /// Whether no refusal answers a request that may have run and must not be repeated: a refusal tells the client that it may
+    /// try again.
+    fn is_refused_safely(&self) -> bool {
         let mut answers = self.answers.iter();
         let refused = answers.any(|(_, answer)| *answer == Answer::Refused);
-        let may_have_run = || self.begun.iter().any(|begun| self.may_have_run(begun));
+        let may_have_run = || {
+            self.attempt_starts
+                .iter()
+                .any(|attempt| self.may_have_run(attempt))
+        };
         !(refused && self.effect == Some(Effect::Once) && may_have_run())
     }
 
-    fn has_one_out(&self, slack: Micros) -> bool {
-        self.begun.windows(2).all(|pair| {
-            let ((_, engine, _), (next, _, _)) = (pair[0], pair[1]);
-            let mut ends = self.over.iter().filter(|(_, at, _)| *at == engine);
-            ends.any(|(at, _, _)| *at <= next + slack)
+    /// Whether each attempt ended before the next one started.
+    fn has_one_attempt_in_flight(&self, slack: Micros) -> bool {
+        self.attempt_starts.windows(2).all(|pair| {
+            let ((_, engine, _), (next_start, _, _)) = (pair[0], pair[1]);
+            let mut ends = self
+                .attempt_ends
+                .iter()
+                .filter(|(_, ended_on, _)| *ended_on == engine);
+            ends.any(|(ended_at, _, _)| *ended_at <= next_start + slack)
         })
     }
 }
--- a/dispatcher/tests/soak/checker_tests.rs
+++ b/dispatcher/tests/soak/checker_tests.rs
@@ -1,12 +1,12 @@
-//! The judge itself: for each rule a trace that breaks it, and nothing else, is caught; a sound one is not.
+//! Tests of the checker: for each rule it reports a trace that violates just this rule, and it accepts valid traces.
 
 use crate::checker::*;
 use std::collections::BTreeMap;
 
 const REQUEST: u64 = 7;
-const LIMIT: Micros = 1_000 * MILLISECOND;
+const TIME_LIMIT: Micros = 1_000 * MILLISECOND;
 
-fn terms() -> RunLimits {
+fn limits() -> RunLimits {
     let cold = ColdEngine {
         from: 0,
         until: 10_000 * MILLISECOND,
@@ -21,68 +21,71 @@
     }
 }
 
-fn taken(effect: Effect) -> (Micros, Event) {
-    let seen = Event::RequestSent {
+fn sent(effect: Effect) -> (Micros, Event) {
+    let event = Event::RequestSent {
         request: REQUEST,
         dispatcher: 0,
-        time_limit: LIMIT,
-        pipeline_time_limit: LIMIT,
+        time_limit: TIME_LIMIT,
+        pipeline_time_limit: TIME_LIMIT,
         effect,
     };
-    (0, seen)
+    (0, event)
 }
 
-fn begun(at: Micros, engine: usize) -> (Micros, Event) {
-    let seen = Event::AttemptStarted {
+fn started(time: Micros, engine: usize) -> (Micros, Event) {
+    let event = Event::AttemptStarted {
         request: REQUEST,
         engine,
-        announced_time_limit: LIMIT.saturating_sub(at),
+        announced_time_limit: TIME_LIMIT.saturating_sub(time),
         work_ms: 100,
     };
-    (at, seen)
+    (time, event)
 }
 
-fn over(at: Micros, engine: usize, end: AttemptEnd) -> (Micros, Event) {
-    let seen = Event::AttemptEnded {
+fn ended(time: Micros, engine: usize, end: AttemptEnd) -> (Micros, Event) {
+    let event = Event::AttemptEnded {
         request: REQUEST,
         engine,
         end,
     };
-    (at, seen)
+    (time, event)
 }
 
-fn answered(at: Micros) -> (Micros, Event) {
-    let seen = Event::Answered {
+fn answered(time: Micros) -> (Micros, Event) {
+    let event = Event::Answered {
         request: REQUEST,
         answer: Answer::Served,
     };
-    (at, seen)
+    (time, event)
 }
 
-fn broken(trace: Vec<(Micros, Event)>) -> Vec<Rule> {
-    let broken = Trace(trace).find_violations(&terms());
-    broken.into_iter().map(|violation| violation.rule).collect()
+fn broken_rules(trace: Vec<(Micros, Event)>) -> Vec<Rule> {
+    let violations = Trace(trace).find_violations(&limits());
+    violations
+        .into_iter()
+        .map(|violation| violation.rule)
+        .collect()
 }
 
 #[test]
-fn a_sound_trace_breaks_no_rule() {
+fn valid_traces_have_no_violation() {
     let once = vec![
-        taken(Effect::Once),
-        begun(1, 1),
-        over(2, 1, AttemptEnd::NeverRan),
-        begun(3, 2),
-        over(4, 2, AttemptEnd::MayHaveRun),
+        sent(Effect::Once),
+        started(1, 1),
+        ended(2, 1, AttemptEnd::NeverRan),
+        started(3, 2),
+        ended(4, 2, AttemptEnd::MayHaveRun),
         answered(5),
     ];
-    assert_eq!(broken(once), []);
-    let left = vec![
-        taken(Effect::Repeatable),
-        begun(1, 1),
+    assert_eq!(broken_rules(once), []);
+    let client_left = vec![
+        sent(Effect::Repeatable),
+        started(1, 1),
         (2, Event::ClientLeft { request: REQUEST }),
     ];
-    assert_eq!(broken(left), []);
-    let crossed = vec![
-        taken(Effect::Once),
+    assert_eq!(broken_rules(client_left), []);
+    let raced_with_close = vec![
+        sent(Effect::Once),
         (
             20 * MILLISECOND,
             Event::ConnectionClosed {
@@ -91,172 +94,172 @@
             },
         ),
     ];
-    assert_eq!(broken(crossed), []);
+    assert_eq!(broken_rules(raced_with_close), []);
     let killed = vec![
-        taken(Effect::Once),
-        begun(1, 1),
+        sent(Effect::Once),
+        started(1, 1),
         (2, Event::ProcessKilled { dispatcher: 0 }),
     ];
-    assert_eq!(broken(killed), []);
+    assert_eq!(broken_rules(killed), []);
 }
 
 #[test]
-fn what_has_no_answer_or_a_late_one_or_two_is_caught() {
+fn requests_with_no_answer_a_late_answer_or_two_answers_are_reported() {
     assert_eq!(
-        broken(vec![taken(Effect::Repeatable)]),
+        broken_rules(vec![sent(Effect::Repeatable)]),
         [Rule::AnsweredInTime]
     );
-    let late = LIMIT + 600 * MILLISECOND;
+    let late = TIME_LIMIT + 600 * MILLISECOND;
     assert_eq!(
-        broken(vec![taken(Effect::Repeatable), answered(late)]),
+        broken_rules(vec![sent(Effect::Repeatable), answered(late)]),
         [Rule::AnsweredInTime]
     );
-    let twice = vec![taken(Effect::Repeatable), answered(5), answered(6)];
-    assert_eq!(broken(twice), [Rule::AtMostOneAnswer]);
-    let closed = |at, rested| {
+    let twice = vec![sent(Effect::Repeatable), answered(5), answered(6)];
+    assert_eq!(broken_rules(twice), [Rule::AtMostOneAnswer]);
+    let closed = |time, was_idle| {
         let request = REQUEST;
         vec![
-            taken(Effect::Repeatable),
-            (
-                at,
-                Event::ConnectionClosed {
-                    request,
-                    was_idle: rested,
-                },
-            ),
+            sent(Effect::Repeatable),
+            (time, Event::ConnectionClosed { request, was_idle }),
         ]
     };
     assert_eq!(
-        broken(closed(20 * MILLISECOND, false)),
+        broken_rules(closed(20 * MILLISECOND, false)),
         [Rule::AnsweredInTime]
     );
     assert_eq!(
-        broken(closed(200 * MILLISECOND, true)),
+        broken_rules(closed(200 * MILLISECOND, true)),
         [Rule::AnsweredInTime]
     );
-    let mut sent_on = closed(20 * MILLISECOND, true);
-    sent_on.push(begun(30 * MILLISECOND, 1));
-    assert_eq!(broken(sent_on), [Rule::AnsweredInTime]);
-    let long_ago = vec![
+    let mut forwarded = closed(20 * MILLISECOND, true);
+    forwarded.push(started(30 * MILLISECOND, 1));
+    assert_eq!(broken_rules(forwarded), [Rule::AnsweredInTime]);
+    let killed_long_before = vec![
         (0, Event::ProcessKilled { dispatcher: 0 }),
-        (300 * MILLISECOND, taken(Effect::Repeatable).1),
+        (300 * MILLISECOND, sent(Effect::Repeatable).1),
     ];
-    assert_eq!(broken(long_ago), [Rule::AnsweredInTime]);
-    let other = vec![
-        taken(Effect::Repeatable),
+    assert_eq!(broken_rules(killed_long_before), [Rule::AnsweredInTime]);
+    let other_killed = vec![
+        sent(Effect::Repeatable),
         (2, Event::ProcessKilled { dispatcher: 1 }),
     ];
-    assert_eq!(broken(other), [Rule::AnsweredInTime]);
+    assert_eq!(broken_rules(other_killed), [Rule::AnsweredInTime]);
 }
 
 #[test]
-fn what_is_repeated_or_out_twice_is_caught() {
-    let repeated = |effect, again| {
+fn unsafe_repeats_and_concurrent_attempts_are_reported() {
+    let repeated = |effect, second_start| {
         vec![
-            taken(effect),
-            begun(1, 1),
-            over(2, 1, AttemptEnd::MayHaveRun),
-            begun(again, 2),
-            answered(again + 2),
+            sent(effect),
+            started(1, 1),
+            ended(2, 1, AttemptEnd::MayHaveRun),
+            started(second_start, 2),
+            answered(second_start + 2),
         ]
     };
     let keyed = Effect::ByKey {
         window: 3 * MILLISECOND,
     };
     let (soon, within, after) = (3, 50 * MILLISECOND, 60 * MILLISECOND);
-    assert_eq!(broken(repeated(Effect::Repeatable, after)), []);
-    assert_eq!(broken(repeated(Effect::Once, soon)), [Rule::NoUnsafeRepeat]);
-    assert_eq!(broken(repeated(keyed, within)), []);
-    assert_eq!(broken(repeated(keyed, after)), [Rule::NoUnsafeRepeat]);
-    let doubled = vec![
-        taken(Effect::Repeatable),
-        begun(1, 1),
-        begun(3, 2),
-        over(200 * MILLISECOND, 1, AttemptEnd::MayHaveRun),
+    assert_eq!(broken_rules(repeated(Effect::Repeatable, after)), []);
+    assert_eq!(
+        broken_rules(repeated(Effect::Once, soon)),
+        [Rule::NoUnsafeRepeat]
+    );
+    assert_eq!(broken_rules(repeated(keyed, within)), []);
+    assert_eq!(broken_rules(repeated(keyed, after)), [Rule::NoUnsafeRepeat]);
+    let concurrent = vec![
+        sent(Effect::Repeatable),
+        started(1, 1),
+        started(3, 2),
+        ended(200 * MILLISECOND, 1, AttemptEnd::MayHaveRun),
         answered(201 * MILLISECOND),
     ];
-    assert_eq!(broken(doubled), [Rule::OneAttemptInFlight]);
+    assert_eq!(broken_rules(concurrent), [Rule::OneAttemptInFlight]);
 }
 
 #[test]
-fn a_refusal_of_what_may_have_run_and_may_not_be_repeated_is_caught() {
+fn refusals_of_requests_that_may_have_run_and_must_not_repeat_are_reported() {
     let refused = |effect, end| {
         let answer = Answer::Refused;
         let request = REQUEST;
         let refusal = Event::Answered { request, answer };
-        vec![taken(effect), begun(1, 1), over(2, 1, end), (3, refusal)]
+        vec![sent(effect), started(1, 1), ended(2, 1, end), (3, refusal)]
     };
-    assert_eq!(broken(refused(Effect::Once, AttemptEnd::NeverRan)), []);
     assert_eq!(
-        broken(refused(Effect::Once, AttemptEnd::MayHaveRun)),
+        broken_rules(refused(Effect::Once, AttemptEnd::NeverRan)),
+        []
+    );
+    assert_eq!(
+        broken_rules(refused(Effect::Once, AttemptEnd::MayHaveRun)),
         [Rule::NoRefusalAfterRun]
     );
     for effect in [Effect::Repeatable, Effect::ByKey { window: 0 }] {
-        assert_eq!(broken(refused(effect, AttemptEnd::MayHaveRun)), []);
+        assert_eq!(broken_rules(refused(effect, AttemptEnd::MayHaveRun)), []);
     }
 }
 
 #[test]
-fn what_begins_too_late_or_for_too_long_is_caught() {
-    let gone = vec![
-        taken(Effect::Repeatable),
+fn attempts_that_start_too_late_or_with_too_long_a_time_limit_are_reported() {
+    let client_left = vec![
+        sent(Effect::Repeatable),
         (1, Event::ClientLeft { request: REQUEST }),
-        begun(200 * MILLISECOND, 1),
+        started(200 * MILLISECOND, 1),
     ];
-    assert_eq!(broken(gone), [Rule::NoAttemptAfterClientLeft]);
-    let drained = vec![
+    assert_eq!(broken_rules(client_left), [Rule::NoAttemptAfterClientLeft]);
+    let draining = vec![
         (0, Event::DrainAnnounced { engine: 1 }),
-        taken(Effect::Repeatable),
-        begun(600 * MILLISECOND, 1),
+        sent(Effect::Repeatable),
+        started(600 * MILLISECOND, 1),
         answered(601 * MILLISECOND),
     ];
-    assert_eq!(broken(drained), [Rule::NoAttemptWhileDraining]);
-    let long = Event::AttemptStarted {
+    assert_eq!(broken_rules(draining), [Rule::NoAttemptWhileDraining]);
+    let long_attempt = Event::AttemptStarted {
         request: REQUEST,
         engine: 1,
-        announced_time_limit: LIMIT,
+        announced_time_limit: TIME_LIMIT,
         work_ms: 100,
     };
-    let long = vec![
-        taken(Effect::Repeatable),
-        (300 * MILLISECOND, long),
+    let long_limit = vec![
+        sent(Effect::Repeatable),
+        (300 * MILLISECOND, long_attempt),
         answered(301 * MILLISECOND),
     ];
-    assert_eq!(broken(long), [Rule::RemainingTimePassed]);
+    assert_eq!(broken_rules(long_limit), [Rule::AttemptTimeLimitBounded]);
 }
 
 #[test]
-fn what_a_process_or_all_together_do_is_caught() {
-    let held = Event::ResourceUsage {
+fn violations_by_processes_and_of_cold_engine_budgets_are_reported() {
+    let over_limit = Event::ResourceUsage {
         dispatcher: 0,
         resource: "descriptors",
         used: 5,
         allowed: 4,
     };
-    assert_eq!(broken(vec![(0, held)]), [Rule::ResourceLimits]);
+    assert_eq!(broken_rules(vec![(0, over_limit)]), [Rule::ResourceLimits]);
     assert_eq!(
-        broken(vec![(0, Event::ProcessCrashed { dispatcher: 0 })]),
+        broken_rules(vec![(0, Event::ProcessCrashed { dispatcher: 0 })]),
         [Rule::NoCrash]
     );
-    let late = [
+    let ready_late = [
         (0, Event::ProcessStarted { dispatcher: 0 }),
         (11_000 * MILLISECOND, Event::ProcessReady { dispatcher: 0 }),
     ];
-    assert_eq!(broken(late.to_vec()), [Rule::ReadyInTime]);
-    // More than one and three times its root and three in a window.
-    let many = |count: u64, step: Micros| {
-        let sends = (0..count).map(|request| {
-            let begun = Event::AttemptStarted {
+    assert_eq!(broken_rules(ready_late.to_vec()), [Rule::ReadyInTime]);
+    // The budget is 1.0 with its margin: 1 + 3 * sqrt(1) + 3 = 7 requests of mean work in a window.
+    let attempts = |count: u64, interval: Micros| {
+        let events = (0..count).map(|request| {
+            let started = Event::AttemptStarted {
                 request,
                 engine: 9,
                 announced_time_limit: 0,
                 work_ms: 100,
             };
-            (request * step, begun)
+            (request * interval, started)
         });
-        broken(sends.collect())
+        broken_rules(events.collect())
     };
-    assert_eq!(many(7, 1), []);
-    assert_eq!(many(8, 1), [Rule::ColdEngineBudget]);
-    assert_eq!(many(8, 200 * MILLISECOND), []);
+    assert_eq!(attempts(7, 1), []);
+    assert_eq!(attempts(8, 1), [Rule::ColdEngineBudget]);
+    assert_eq!(attempts(8, 200 * MILLISECOND), []);
 }
--- a/dispatcher/tests/soak/clients.rs
+++ b/dispatcher/tests/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: one command at a time or many at once, whole or in pieces; some leave, cancel, stay idle, or go on using a
-//! connection until it is closed.
+//! Clients that send one query at a time or several in one batch, in one write or in pieces. Some disconnect early, cancel,
+//! stay idle, or reuse a connection until it is closed.
 
 use crate::checker::{Answer, Effect, Event, MILLISECOND, Micros};
 use crate::fakes::{Recorder, SeededRng};
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Where a client may connect.
+/// A dispatcher to which clients may connect.
 #[derive(Clone)]
 pub struct DispatcherEndpoint {
     pub dispatcher: usize,
@@ -21,23 +21,24 @@
     pub accepts_connections: Arc<AtomicBool>,
 }
 
-/// The shortest that a client waits for an answer.
-const LEAST_LIMIT: Micros = 500 * MILLISECOND;
-/// A client stops waiting so long after its limit; the judge says whether that was too late.
-const WAITS_ON: Duration = Duration::from_millis(1_500);
+/// The shortest time limit of a request.
+const MIN_TIME_LIMIT: Micros = 500 * MILLISECOND;
+/// How long a client waits after the time limit of a request. It exceeds what the checker allows, so that a late answer is
+/// still recorded.
+const EXTRA_WAIT: Duration = Duration::from_millis(1_500);
 
 struct Session {
     stream: TcpStream,
     bytes: bytes::BytesMut,
-    /// The session's key, for a cancel.
-    key: Vec<u8>,
+    /// The key of the session for a cancel request.
+    cancel_key: Vec<u8>,
 }
 
-/// What came of waiting for one answer.
-enum Came {
+/// The result of waiting for one answer.
+enum WaitResult {
     Answer(Answer),
     Closed,
-    Nothing,
+    TimedOut,
 }
 
 impl Session {
@@ -47,26 +48,26 @@
         let mut session = Session {
             stream,
             bytes: bytes::BytesMut::new(),
-            key: Vec::new(),
+            cancel_key: Vec::new(),
         };
-        let started = timeout(Duration::from_secs(3), session.answer()).await;
-        matches!(started, Ok(Came::Answer(Answer::Served))).then_some(session)
+        let started = timeout(Duration::from_secs(3), session.read_answer()).await;
+        matches!(started, Ok(WaitResult::Answer(Answer::Served))).then_some(session)
     }
 
-    /// What is said up to the next word that the server is ready, or to its close.
-    async fn answer(&mut self) -> Came {
+    /// Reads up to the next ReadyForQuery message, or to the close of the connection.
+    async fn read_answer(&mut self) -> WaitResult {
         let mut answer = Answer::Served;
-        let mut told = false;
+        let mut has_error = false;
         loop {
             while let Ok(Some((kind, body))) = wire::message(&mut self.bytes) {
                 match kind {
-                    b'Z' => return Came::Answer(answer),
-                    b'K' => self.key = body.to_vec(),
+                    b'Z' => return WaitResult::Answer(answer),
+                    b'K' => self.cancel_key = body.to_vec(),
                     b'E' => {
-                        told = true;
-                        let state = wire::sqlstate(&body);
-                        let refused = state.starts_with(b"53") || state == b"57P03";
-                        answer = if refused {
+                        has_error = true;
+                        let sqlstate = wire::sqlstate(&body);
+                        let is_refusal = sqlstate.starts_with(b"53") || sqlstate == b"57P03";
+                        answer = if is_refusal {
                             Answer::Refused
                         } else {
                             Answer::Failed
@@ -77,15 +78,15 @@
             }
             match self.stream.read_buf(&mut self.bytes).await {
                 Ok(count) if count > 0 => {}
-                // The last word of a session that ends.
-                _ if told => return Came::Answer(answer),
-                _ => return Came::Closed,
+                // The server closes a session after an error that ends it.
+                _ if has_error => return WaitResult::Answer(answer),
+                _ => return WaitResult::Closed,
             }
         }
     }
 
-    /// Whether it is open and nothing has been said on it, as far as this end knows.
-    fn rests(&self) -> bool {
+    /// Whether the connection is open and no data has arrived.
+    fn is_idle(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
@@ -95,29 +96,29 @@
 #[derive(Clone, Copy)]
 struct Request {
     id: u64,
-    limit: Micros,
+    time_limit: Micros,
     class: &'static str,
     effect: Effect,
 }
 
 impl Request {
-    fn draw(draws: &mut SeededRng, asked: &RequestLimits) -> Request {
-        let window = asked.repeat_window;
-        let (class, effect) = match draws.below(100) {
+    fn draw(rng: &mut SeededRng, limits: &RequestLimits) -> Request {
+        let window = limits.repeat_window;
+        let (class, effect) = match rng.below(100) {
             0..20 => ("journal-load", Effect::Once),
             20..32 => ("report", Effect::Repeatable),
             32..44 => ("balance", Effect::ByKey { window }),
             _ => ("lookup", Effect::Repeatable),
         };
         Request {
-            id: draws.next(),
-            limit: LEAST_LIMIT + draws.below(asked.max_time_limit - LEAST_LIMIT),
+            id: rng.next(),
+            time_limit: MIN_TIME_LIMIT + rng.below(limits.max_time_limit - MIN_TIME_LIMIT),
             class,
             effect,
         }
     }
 
-    fn bytes(&self) -> Vec<u8> {
+    fn encode(&self) -> Vec<u8> {
         let verb = if self.effect == Effect::Repeatable {
             "SELECT * FROM"
         } else {
@@ -133,18 +134,18 @@
             "/* verb={},txn={:016x},limit={}{token},cpu={cpu}.0,memory=8 */ {verb} sales_{group}.orders",
             self.class,
             self.id,
-            self.limit / MILLISECOND
+            self.time_limit / MILLISECOND
         );
         wire::query(&text).to_vec()
     }
 }
 
-/// What holds of all requests of a run.
+/// Parameters of all requests of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
-    /// The longest that a client waits for an answer.
+    /// The longest time limit of a request.
     pub max_time_limit: Micros,
-    /// How long a keyed request may be repeated.
+    /// How long after its first attempt a request with a key may be repeated.
     pub repeat_window: Micros,
 }
 
@@ -157,9 +158,9 @@
 }
 
 impl Client {
-    /// Asks until all is over.
+    /// Sends requests until the run is finished.
     pub async fn run(mut self) {
-        let mut kept: Option<(Session, usize)> = None;
+        let mut reusable: Option<(Session, usize)> = None;
         while !self.is_finished.load(Ordering::Relaxed) {
             let pause = if self.rng.chance(5) {
                 self.rng.millis_between(200, 900)
@@ -167,34 +168,34 @@
                 self.rng.millis_between(1, 60)
             };
             sleep(pause).await;
-            let session = kept.take().filter(|(session, _)| session.rests());
-            let rested = session.is_some();
+            let session = reusable.take().filter(|(session, _)| session.is_idle());
+            let was_idle = session.is_some();
             let Some((session, dispatcher)) = (match session {
                 Some(session) => Some(session),
                 None => self.connect().await,
             }) else {
                 continue;
             };
-            kept = self.ask(session, dispatcher, rested).await;
+            reusable = self.send_batch(session, dispatcher, was_idle).await;
         }
     }
 
     async fn connect(&mut self) -> Option<(Session, usize)> {
-        let place = self.rng.below(self.endpoints.len() as u64) as usize;
-        let place = self.endpoints[place].clone();
-        if !place.accepts_connections.load(Ordering::Relaxed) {
+        let index = self.rng.below(self.endpoints.len() as u64) as usize;
+        let endpoint = self.endpoints[index].clone();
+        if !endpoint.accepts_connections.load(Ordering::Relaxed) {
             return None;
         }
-        let session = Session::open(place.address).await?;
-        Some((session, place.dispatcher))
+        let session = Session::open(endpoint.address).await?;
+        Some((session, endpoint.dispatcher))
     }
 
-    /// Writes one command, or several at once; the session, where it stays open.
-    async fn ask(
+    /// Writes one query, or several at once, and waits for the answers. Returns the session if it stays open.
+    async fn send_batch(
         &mut self,
         mut session: Session,
         dispatcher: usize,
-        rested: bool,
+        was_idle: bool,
     ) -> Option<(Session, usize)> {
         let count = match self.rng.below(100) {
             0..80 => 1,
@@ -204,62 +205,66 @@
         let requests: Vec<Request> = (0..count)
             .map(|_| Request::draw(&mut self.rng, &self.request_limits))
             .collect();
-        let bytes: Vec<u8> = requests.iter().flat_map(Request::bytes).collect();
+        let bytes: Vec<u8> = requests.iter().flat_map(Request::encode).collect();
         if !self.write(&mut session, &bytes).await {
-            // The last byte of none is known to have been written.
+            // It is unknown whether the last byte of any request was written.
             return None;
         }
-        let mut behind = 0;
+        let mut pipeline_time_limit = 0;
         for request in &requests {
-            behind = request.limit.max(behind);
+            pipeline_time_limit = request.time_limit.max(pipeline_time_limit);
             self.recorder.record(Event::RequestSent {
                 request: request.id,
                 dispatcher,
-                time_limit: request.limit,
-                pipeline_time_limit: behind,
+                time_limit: request.time_limit,
+                pipeline_time_limit,
                 effect: request.effect,
             });
         }
-        let leaves = self.rng.chance(8).then(|| self.rng.millis_between(1, 300));
+        let leaves_after = self.rng.chance(8).then(|| self.rng.millis_between(1, 300));
         let cancels = count == 1 && self.rng.chance(5);
-        let mut open: VecDeque<Request> = requests.into();
-        let leaves_at = leaves.map(|after| Instant::now() + after);
-        let latest = open.iter().map(|request| request.limit).max().unwrap_or(0);
-        let latest = Instant::now() + Duration::from_micros(latest) + WAITS_ON;
-        while let Some(request) = open.front().copied() {
-            let came = tokio::select! {
+        let mut unanswered: VecDeque<Request> = requests.into();
+        let leaves_at = leaves_after.map(|after| Instant::now() + after);
+        let max_time_limit = unanswered
+            .iter()
+            .map(|request| request.time_limit)
+            .max()
+            .unwrap_or(0);
+        let wait_until = Instant::now() + Duration::from_micros(max_time_limit) + EXTRA_WAIT;
+        while let Some(request) = unanswered.front().copied() {
+            let result = tokio::select! {
                 biased;
-                came = session.answer() => came,
-                () = sleep_until(leaves_at.unwrap_or(latest)), if leaves_at.is_some() => {
-                    self.leave(session, &open, cancels).await;
+                result = session.read_answer() => result,
+                () = sleep_until(leaves_at.unwrap_or(wait_until)), if leaves_at.is_some() => {
+                    self.leave(session, &unanswered, cancels).await;
                     return None;
                 }
-                () = sleep_until(latest) => Came::Nothing,
+                () = sleep_until(wait_until) => WaitResult::TimedOut,
             };
             let id = request.id;
-            match came {
-                Came::Answer(answer) => {
+            match result {
+                WaitResult::Answer(answer) => {
                     self.recorder.record(Event::Answered {
                         request: id,
                         answer,
                     });
-                    open.pop_front();
+                    unanswered.pop_front();
                 }
-                Came::Closed => {
-                    for request in open {
-                        let (request, was_idle) = (request.id, rested);
+                WaitResult::Closed => {
+                    for request in unanswered {
+                        let (request, was_idle) = (request.id, was_idle);
                         self.recorder
                             .record(Event::ConnectionClosed { request, was_idle });
                     }
                     return None;
                 }
-                Came::Nothing => return None,
+                WaitResult::TimedOut => return None,
             }
         }
         Some((session, dispatcher))
     }
 
-    /// Writes whole, or in pieces.
+    /// Writes the bytes at once, or in pieces with pauses.
     async fn write(&mut self, session: &mut Session, bytes: &[u8]) -> bool {
         if !self.rng.chance(15) {
             return session.stream.write_all(bytes).await.is_ok();
@@ -274,45 +279,53 @@
         true
     }
 
-    /// Goes without its answers: closes, or cancels and closes half a second later.
-    async fn leave(&mut self, session: Session, open: &VecDeque<Request>, cancels: bool) {
+    /// Leaves before the answers: closes the connection, or cancels and closes it half a second later.
+    async fn leave(&mut self, session: Session, unanswered: &VecDeque<Request>, cancels: bool) {
         if cancels && let Ok(peer) = session.stream.peer_addr() {
-            let bytes = wire::cancel(&session.key);
-            if let Ok(mut other) = TcpStream::connect(peer).await
-                && other.write_all(&bytes).await.is_ok()
+            let bytes = wire::cancel(&session.cancel_key);
+            if let Ok(mut cancel_stream) = TcpStream::connect(peer).await
+                && cancel_stream.write_all(&bytes).await.is_ok()
             {
-                // It counts once it is read: the connection is closed then.
-                let _ = timeout(Duration::from_secs(2), other.read(&mut [0; 64])).await;
+                // The cancel counts once the dispatcher has read it, which then closes this connection.
+                let _ = timeout(Duration::from_secs(2), cancel_stream.read(&mut [0; 64])).await;
             }
         } else {
             drop(session);
-            open.iter().for_each(|request| self.gone(request));
+            unanswered
+                .iter()
+                .for_each(|request| self.record_left(request));
             return;
         }
-        open.iter().for_each(|request| self.gone(request));
+        unanswered
+            .iter()
+            .for_each(|request| self.record_left(request));
         sleep(Duration::from_millis(500)).await;
         drop(session);
     }
 
-    fn gone(&self, request: &Request) {
+    fn record_left(&self, request: &Request) {
         self.recorder.record(Event::ClientLeft {
             request: request.id,
         });
     }
 }
 
-/// Connections that say nothing, or start and then rest, until all is over.
-pub async fn hold_idle_connections(place: DispatcherEndpoint, count: usize, over: Arc<AtomicBool>) {
-    let mut kept = Vec::new();
+/// Holds connections open until the run is finished; every other one starts a session, the rest send nothing.
+pub async fn hold_idle_connections(
+    endpoint: DispatcherEndpoint,
+    count: usize,
+    is_finished: Arc<AtomicBool>,
+) {
+    let mut streams = Vec::new();
     for number in 0..count {
-        if let Ok(mut stream) = TcpStream::connect(place.address).await {
+        if let Ok(mut stream) = TcpStream::connect(endpoint.address).await {
             if number % 2 == 0 {
                 let _ = stream.write_all(&wire::startup()).await;
             }
-            kept.push(stream);
+            streams.push(stream);
         }
     }
-    while !over.load(Ordering::Relaxed) {
+    while !is_finished.load(Ordering::Relaxed) {
         sleep(Duration::from_millis(50)).await;
     }
 }
--- a/dispatcher/tests/soak/dispatcher.rs
+++ b/dispatcher/tests/soak/dispatcher.rs
@@ -1,4 +1,4 @@
-//! One dispatcher: its processes, one after the other, and what it holds.
+//! One dispatcher: runs its processes, one after the other, and samples their use of descriptors and memory.
 
 use crate::checker::Event;
 use crate::fakes::Recorder;
@@ -14,41 +14,42 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// Descriptors and memory of each dispatcher.
+/// File descriptors that a process of a dispatcher may open.
 pub const MAX_SOCKETS: u64 = 256;
-/// What a build without optimisation holds beside what it uses; the program counts itself against 64 MB.
-const MEMORY_KB: u64 = 64 * 1024;
-/// No verdict hangs on this: it only ends a run that would wait for ever.
-const HANGS: Duration = Duration::from_secs(60);
+/// Bound of the private resident memory of a process, including the overhead of a build without optimization. The program
+/// limits itself to 64 MB.
+const MAX_MEMORY_KB: u64 = 64 * 1024;
+/// Ends a run that would wait forever; no rule depends on the value.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub struct Dispatcher {
     pub number: usize,
     pub address: SocketAddr,
-    control: SocketAddr,
-    folder: PathBuf,
+    control_address: SocketAddr,
+    directory: PathBuf,
     pub faults: FaultInjector,
     recorder: Recorder,
     child: Option<Child>,
-    /// New connections are not made while it ends or is away.
+    /// Cleared while the process shuts down or does not run: clients open no connections then.
     pub accepts_connections: Arc<AtomicBool>,
 }
 
-/// An address that nobody has now.
+/// An address that is unused at the moment.
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    listener.local_addr().expect("get the local address")
 }
 
 impl Dispatcher {
     pub fn new(seed: u64, number: usize, recorder: &Recorder) -> Dispatcher {
         let name = format!("sedgebeam-soak-{}-{seed}-{number}", std::process::id());
-        let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        let directory = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&directory).expect("create the directory");
         Dispatcher {
             number,
             address: free_address(),
-            control: free_address(),
-            folder,
+            control_address: free_address(),
+            directory,
             faults: FaultInjector::new(),
             recorder: recorder.clone(),
             child: None,
@@ -56,28 +57,29 @@
         }
     }
 
-    /// Writes the platform's file: this list, this change log, these settings.
-    pub fn configure(&self, known: &str, changelog: SocketAddr, settings: &str) {
+    /// Writes the configuration file with this list of engines, this change log and these settings.
+    pub fn configure(&self, known: &str, change_log: SocketAddr, settings: &str) {
         let text = format!(
-            r#"{{"name":"n{}","listen":"{}","control":"{}","seed":"8c1f30d27a5be96{}","changelog":"{changelog}",
+            r#"{{"name":"n{}","listen":"{}","control":"{}","seed":"8c1f30d27a5be96{}","changelog":"{change_log}",
               "limits":{{"sockets":{MAX_SOCKETS},"memory_mb":64}},"known":{known},"settings":{settings}}}"#,
-            self.number, self.address, self.control, self.number
+            self.number, self.address, self.control_address, self.number
         );
-        let whole = self.folder.join("new.json");
-        std::fs::write(&whole, text).expect("writes");
-        std::fs::rename(whole, self.folder.join("config.json")).expect("replaces");
+        let new_file = self.directory.join("new.json");
+        std::fs::write(&new_file, text).expect("write the configuration file");
+        std::fs::rename(new_file, self.directory.join("config.json"))
+            .expect("replace the configuration file");
     }
 
-    /// Starts a process, and waits until it says that it is ready.
+    /// Starts a process, and waits until its control socket reports that it is ready.
     pub async fn start(&mut self) {
         let number = self.number;
         self.recorder
             .record(Event::ProcessStarted { dispatcher: number });
-        let limited = format!("ulimit -n {MAX_SOCKETS} && exec \"$0\" serve");
-        let log = std::fs::File::create(self.folder.join("log")).expect("a log");
+        let command = format!("ulimit -n {MAX_SOCKETS} && exec \"$0\" serve");
+        let log = std::fs::File::create(self.directory.join("log")).expect("create the log file");
         let child = Command::new("sh")
-            .args(["-c", &limited, env!("CARGO_BIN_EXE_sedgebeam")])
-            .env("PROXY_CONFIG", self.folder.join("config.json"))
+            .args(["-c", &command, env!("CARGO_BIN_EXE_sedgebeam")])
+            .env("PROXY_CONFIG", self.directory.join("config.json"))
             .env_remove("PROXY_LISTEN")
             .env_remove("PROXY_NAME")
             .env("SEDGEBEAM_LOG", "info")
@@ -85,9 +87,9 @@
             .stderr(Stdio::from(log))
             .kill_on_drop(true)
             .spawn();
-        self.child = Some(child.expect("the program starts"));
-        let until = Instant::now() + HANGS;
-        while !self.is_ready().await && Instant::now() < until {
+        self.child = Some(child.expect("start the program"));
+        let deadline = Instant::now() + HANG_TIMEOUT;
+        while !self.is_ready().await && Instant::now() < deadline {
             sleep(Duration::from_millis(10)).await;
         }
         self.recorder
@@ -96,118 +98,124 @@
     }
 
     async fn is_ready(&self) -> bool {
-        let asked = async {
-            let mut stream = TcpStream::connect(self.control).await?;
+        let ping = async {
+            let mut stream = TcpStream::connect(self.control_address).await?;
             stream.write_all(b"PING\n").await?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await?;
             std::io::Result::Ok(answer.starts_with("200"))
         };
-        let asked = timeout(Duration::from_secs(2), asked).await;
-        matches!(asked, Ok(Ok(true)))
+        let answer = timeout(Duration::from_secs(2), ping).await;
+        matches!(answer, Ok(Ok(true)))
     }
 
-    fn id(&self) -> Option<u32> {
+    fn process_id(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
     pub fn signal(&self, signal: &str) {
-        if let Some(id) = self.id() {
-            let sent = std::process::Command::new("kill")
-                .args([signal, &id.to_string()])
+        if let Some(process_id) = self.process_id() {
+            let status = std::process::Command::new("kill")
+                .args([signal, &process_id.to_string()])
                 .status();
-            assert!(sent.is_ok(), "kill runs");
+            assert!(status.is_ok(), "kill can be run");
         }
     }
 
-    /// Kills the process as a machine dies, and waits until it has gone.
+    /// Kills the process as the failure of a machine would, and waits for its exit.
     pub async fn kill(&mut self) {
         self.accepts_connections.store(false, Ordering::Relaxed);
         self.signal("-KILL");
-        self.gone().await;
-        // Only now: what was written to it before the signal took effect is excused too.
+        self.wait_for_exit().await;
+        // Recorded after the exit, so that requests written before the signal took effect are excused too.
         self.recorder.record(Event::ProcessKilled {
             dispatcher: self.number,
         });
     }
 
-    /// Ends the process in order: SIGTERM, with other signals behind it, and SIGKILL at the earliest moment at which the
-    /// platform may send it.
-    pub async fn shut_down(&mut self, longest_deadline: Duration) {
-        let kill_after = longest_deadline.min(Duration::from_secs(3)) + Duration::from_millis(700);
-        let began = Instant::now();
+    /// Shuts the process down with SIGTERM, followed by other signals, and sends SIGKILL at the earliest time at which the
+    /// platform may.
+    pub async fn shut_down(&mut self, max_time_limit: Duration) {
+        let kill_after = max_time_limit.min(Duration::from_secs(3)) + Duration::from_millis(700);
+        let started_at = Instant::now();
         self.signal("-TERM");
         for signal in ["-HUP", "-TERM", "-HUP"] {
             sleep(Duration::from_millis(50)).await;
             self.signal(signal);
         }
-        // The front goes on connecting for a while.
+        // Clients keep connecting for a while after the signal.
         sleep(Duration::from_millis(150)).await;
         self.accepts_connections.store(false, Ordering::Relaxed);
-        let left = kill_after.saturating_sub(began.elapsed());
+        let remaining = kill_after.saturating_sub(started_at.elapsed());
         let Some(child) = &mut self.child else { return };
-        match timeout(left, child.wait()).await {
+        match timeout(remaining, child.wait()).await {
             Ok(Ok(status)) if status.success() => {}
-            Ok(_) => self.crashed(),
+            Ok(_) => self.record_crash(),
             Err(_) => {
                 self.signal("-KILL");
-                self.gone().await;
+                self.wait_for_exit().await;
             }
         }
         self.child = None;
     }
 
-    fn crashed(&self) {
-        let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
-        let last: Vec<&str> = log.lines().rev().take(5).collect();
-        eprintln!("dispatcher {}: its last words: {last:?}", self.number);
+    fn record_crash(&self) {
+        let log = std::fs::read_to_string(self.directory.join("log")).unwrap_or_default();
+        let last_lines: Vec<&str> = log.lines().rev().take(5).collect();
+        eprintln!(
+            "dispatcher {}: last lines of its log, newest first: {last_lines:?}",
+            self.number
+        );
         self.recorder.record(Event::ProcessCrashed {
             dispatcher: self.number,
         });
     }
 
-    async fn gone(&mut self) {
+    async fn wait_for_exit(&mut self) {
         if let Some(child) = &mut self.child {
-            let _ = timeout(HANGS, child.wait()).await;
+            let _ = timeout(HANG_TIMEOUT, child.wait()).await;
         }
         self.child = None;
     }
 
-    /// Notes what the process holds, and whether it still runs.
+    /// Samples the resources of the process, and records a crash if it does not run any more.
     pub fn check_process(&mut self) {
-        let ended = self.child.as_mut().is_some_and(|child| {
+        let has_exited = self.child.as_mut().is_some_and(|child| {
             let status = child.try_wait();
             matches!(status, Ok(Some(_)))
         });
-        if ended {
-            self.crashed();
+        if has_exited {
+            self.record_crash();
             self.child = None;
         }
-        let Some(id) = self.id() else { return };
-        let held = |what, held, allowed| {
+        let Some(process_id) = self.process_id() else {
+            return;
+        };
+        let record_usage = |resource, used, allowed| {
             self.recorder.record(Event::ResourceUsage {
                 dispatcher: self.number,
-                resource: what,
-                used: held,
+                resource,
+                used,
                 allowed,
             });
         };
-        if let Ok(entries) = std::fs::read_dir(format!("/proc/{id}/fd")) {
-            held("descriptors", entries.count() as u64, MAX_SOCKETS);
+        if let Ok(entries) = std::fs::read_dir(format!("/proc/{process_id}/fd")) {
+            record_usage("descriptors", entries.count() as u64, MAX_SOCKETS);
         }
-        let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
-        let resident = status
+        let status =
+            std::fs::read_to_string(format!("/proc/{process_id}/status")).unwrap_or_default();
+        let resident_kb = status
             .lines()
             .find_map(|line| line.strip_prefix("RssAnon:"));
-        let resident = resident.and_then(|text| text.split_whitespace().next()?.parse().ok());
-        if let Some(resident) = resident {
-            held("memory", resident, MEMORY_KB);
+        let resident_kb = resident_kb.and_then(|text| text.split_whitespace().next()?.parse().ok());
+        if let Some(resident_kb) = resident_kb {
+            record_usage("memory", resident_kb, MAX_MEMORY_KB);
         }
     }
 }
 
 impl Drop for Dispatcher {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/dispatcher/tests/soak/fakes.rs
+++ b/dispatcher/tests/soak/fakes.rs
@@ -1,4 +1,5 @@
-//! What the dispatchers talk to: engines that are well or not, and change logs.
+//! Fake engines, with or without faults, and fake change logs for the dispatchers to connect to; the random numbers and the
+//! recorder of a run.
 
 use crate::checker::{AttemptEnd, Event, MILLISECOND, Micros};
 use sedgebeam_lab::wire;
@@ -13,7 +14,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Draws of one seed.
+/// A deterministic random number generator.
 #[derive(Clone, Debug)]
 pub struct SeededRng(u64);
 
@@ -27,13 +28,14 @@
         self.0
     }
 
+    /// A number below `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound.max(1)
     }
 
-    /// True so many times of a hundred.
-    pub fn chance(&mut self, part: u64) -> bool {
-        self.below(100) < part
+    /// True with a probability of `percent` percent.
+    pub fn chance(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
     }
 
     pub fn millis_between(&mut self, from: u64, to: u64) -> Duration {
@@ -41,66 +43,71 @@
     }
 }
 
-/// All that is seen in a run.
+/// Records all events of a run, shared by everything that takes part in it.
 #[derive(Clone)]
 pub struct Recorder {
-    began: Instant,
-    seen: Arc<Mutex<Vec<(Micros, Event)>>>,
+    started_at: Instant,
+    events: Arc<Mutex<Vec<(Micros, Event)>>>,
 }
 
 impl Recorder {
     pub fn new() -> Recorder {
         Recorder {
-            began: Instant::now(),
-            seen: Arc::default(),
+            started_at: Instant::now(),
+            events: Arc::default(),
         }
     }
 
     pub fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
-    pub fn record(&self, seen: Event) {
-        // The time is read under the lock: the trace is in order.
-        let mut trace = self.seen.lock().expect("nobody panicked");
+    pub fn record(&self, event: Event) {
+        // Reads the time under the lock, so that the trace is in order.
+        let mut trace = self.events.lock().expect("the lock is not poisoned");
         let now = self.now();
-        trace.push((now, seen));
+        trace.push((now, event));
     }
 
     pub fn take(&self) -> Vec<(Micros, Event)> {
-        std::mem::take(&mut self.seen.lock().expect("nobody panicked"))
+        std::mem::take(&mut self.events.lock().expect("the lock is not poisoned"))
     }
 }
 
-/// An engine as the change log names it.
+/// A fake engine, as the change log lists it.
 pub struct Engine {
     pub number: usize,
     pub address: SocketAddr,
-    /// It answers nothing while this is set.
+    /// While set, the engine sends no answers.
     pub is_hung: Arc<AtomicBool>,
 }
 
-/// Starts an engine; so many of a hundred requests meet a fault.
-pub async fn start_engine(number: usize, faults: u64, seed: u64, recorder: Recorder) -> Engine {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let hangs = Arc::new(AtomicBool::new(false));
-    let hanging = hangs.clone();
+/// Starts an engine on which `fault_percent` percent of the requests meet a fault.
+pub async fn start_engine(
+    number: usize,
+    fault_percent: u64,
+    seed: u64,
+    recorder: Recorder,
+) -> Engine {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+    let address = listener.local_addr().expect("get the local address");
+    let is_hung = Arc::new(AtomicBool::new(false));
+    let connection_is_hung = is_hung.clone();
     tokio::spawn(async move {
-        let mut draws = SeededRng::new(seed);
+        let mut rng = SeededRng::new(seed);
         while let Ok((stream, _)) = listener.accept().await {
             let connection = Connection {
                 engine: number,
-                faults,
-                draws: SeededRng::new(draws.next()),
+                fault_percent,
+                rng: SeededRng::new(rng.next()),
                 recorder: recorder.clone(),
-                hangs: hanging.clone(),
-                // What comes is read at once: when an attempt has come whole is what counts.
-                late: draws.chance(10).then(|| draws.millis_between(50, 400)),
-                out: HashMap::new(),
+                is_hung: connection_is_hung.clone(),
+                // Delays answers only: attempts are read at once, as the time at which one was received is recorded.
+                answer_delay: rng.chance(10).then(|| rng.millis_between(50, 400)),
+                in_flight: HashMap::new(),
             };
-            let turned_away = draws.chance(faults / 4);
-            if !turned_away {
+            let is_rejected = rng.chance(fault_percent / 4);
+            if !is_rejected {
                 tokio::spawn(connection.serve(stream));
             }
         }
@@ -108,40 +115,45 @@
     Engine {
         number,
         address,
-        is_hung: hangs,
+        is_hung,
     }
 }
 
-/// What becomes of a request at an engine.
+/// How an engine handles an attempt.
 enum Plan {
-    Word(&'static str, AttemptEnd),
+    /// Answers with this status.
+    Status(&'static str, AttemptEnd),
+    /// Sends no answer.
     Hang,
+    /// Closes the connection.
     Reset,
-    Cut,
-    Twice,
+    /// Sends the first half of an answer.
+    Truncate,
+    /// Sends the answer twice.
+    Duplicate,
 }
 
-/// An answer that is due.
-struct Due {
+/// An attempt whose answer is due.
+struct DueAnswer {
     id: String,
     plan: Plan,
 }
 
 struct Connection {
     engine: usize,
-    faults: u64,
-    draws: SeededRng,
+    fault_percent: u64,
+    rng: SeededRng,
     recorder: Recorder,
-    hangs: Arc<AtomicBool>,
-    /// All answers on this connection are late by this time.
-    late: Option<Duration>,
-    /// Requests that are out here, by their names.
-    out: HashMap<String, u64>,
+    is_hung: Arc<AtomicBool>,
+    /// Extra delay of all answers on this connection.
+    answer_delay: Option<Duration>,
+    /// The requests of the attempts in flight on this connection, by the ids of the attempts.
+    in_flight: HashMap<String, u64>,
 }
 
 impl Connection {
-    fn over(&mut self, id: &str, end: AttemptEnd) {
-        if let Some(request) = self.out.remove(id) {
+    fn finish(&mut self, id: &str, end: AttemptEnd) {
+        if let Some(request) = self.in_flight.remove(id) {
             self.recorder.record(Event::AttemptEnded {
                 request,
                 engine: self.engine,
@@ -150,24 +162,24 @@
         }
     }
 
-    fn plan(&mut self) -> Plan {
-        if !self.draws.chance(self.faults) {
-            return Plan::Word("OK", AttemptEnd::MayHaveRun);
+    fn draw_plan(&mut self) -> Plan {
+        if !self.rng.chance(self.fault_percent) {
+            return Plan::Status("OK", AttemptEnd::MayHaveRun);
         }
-        match self.draws.below(8) {
-            0 => Plan::Word("BUSY", AttemptEnd::NeverRan),
-            1 => Plan::Word("VOID", AttemptEnd::NeverRan),
-            2 => Plan::Word("ERR", AttemptEnd::MayHaveRun),
+        match self.rng.below(8) {
+            0 => Plan::Status("BUSY", AttemptEnd::NeverRan),
+            1 => Plan::Status("VOID", AttemptEnd::NeverRan),
+            2 => Plan::Status("ERR", AttemptEnd::MayHaveRun),
             3 => Plan::Reset,
-            4 => Plan::Cut,
-            5 => Plan::Twice,
+            4 => Plan::Truncate,
+            5 => Plan::Duplicate,
             _ => Plan::Hang,
         }
     }
 
     async fn serve(mut self, stream: TcpStream) {
         let (mut read, mut write) = stream.into_split();
-        let (dues, mut due) = mpsc::unbounded_channel::<Due>();
+        let (due_sender, mut due_answers) = mpsc::unbounded_channel::<DueAnswer>();
         let mut bytes = bytes::BytesMut::new();
         loop {
             tokio::select! {
@@ -176,145 +188,146 @@
                     if !count.is_ok_and(|count| count > 0) {
                         break;
                     }
-                    while let Ok(Some(words)) = wire::array(&mut bytes) {
-                        self.command(&words, &dues, &mut write).await;
+                    while let Ok(Some(fields)) = wire::array(&mut bytes) {
+                        self.handle_command(&fields, &due_sender, &mut write).await;
                     }
                 }
-                Some(due) = due.recv() => {
-                    if !self.answer(due, &mut write).await {
+                Some(due) = due_answers.recv() => {
+                    if !self.send_answer(due, &mut write).await {
                         break;
                     }
                 }
             }
         }
-        let left: Vec<String> = self.out.keys().cloned().collect();
-        for id in left {
-            self.over(&id, AttemptEnd::MayHaveRun);
+        let unfinished: Vec<String> = self.in_flight.keys().cloned().collect();
+        for id in unfinished {
+            self.finish(&id, AttemptEnd::MayHaveRun);
         }
     }
 
-    async fn command(
+    async fn handle_command(
         &mut self,
-        words: &[bytes::BytesMut],
-        dues: &mpsc::UnboundedSender<Due>,
+        fields: &[bytes::BytesMut],
+        due_sender: &mpsc::UnboundedSender<DueAnswer>,
         write: &mut OwnedWriteHalf,
     ) {
-        let text = |place: usize| {
-            let word = words.get(place);
-            word.map_or(String::new(), |word| {
-                String::from_utf8_lossy(word).into_owned()
+        let text = |index: usize| {
+            let field = fields.get(index);
+            field.map_or(String::new(), |field| {
+                String::from_utf8_lossy(field).into_owned()
             })
         };
         let (verb, id) = (text(0), text(1));
         match verb.as_str() {
             "fetch" => {
                 let request = u64::from_str_radix(&id, 16).unwrap_or_default();
-                let fields = text(2);
-                let field = fields
+                let header = text(2);
+                let time_limit_field = header
                     .split(',')
                     .find_map(|field| field.strip_prefix("ms="));
-                let told = field
+                let time_limit_ms = time_limit_field
                     .and_then(|ms| ms.parse::<Micros>().ok())
                     .unwrap_or_default();
                 self.recorder.record(Event::AttemptStarted {
                     request,
                     engine: self.engine,
-                    announced_time_limit: told * MILLISECOND,
-                    work_ms: if fields.starts_with("kind=lookup") {
+                    announced_time_limit: time_limit_ms * MILLISECOND,
+                    work_ms: if header.starts_with("kind=lookup") {
                         80
                     } else {
                         2_000
                     },
                 });
-                self.out.insert(id.clone(), request);
-                let plan = self.plan();
-                let takes = if self.draws.chance(10) {
-                    self.draws.millis_between(100, 900)
+                self.in_flight.insert(id.clone(), request);
+                let plan = self.draw_plan();
+                let answer_time = if self.rng.chance(10) {
+                    self.rng.millis_between(100, 900)
                 } else {
-                    self.draws.millis_between(1, 20)
-                } + self.late.unwrap_or_default();
-                let (dues, hangs) = (dues.clone(), self.hangs.clone());
+                    self.rng.millis_between(1, 20)
+                } + self.answer_delay.unwrap_or_default();
+                let (due_sender, is_hung) = (due_sender.clone(), self.is_hung.clone());
                 tokio::spawn(async move {
-                    sleep(takes).await;
-                    if !hangs.load(Ordering::Relaxed) {
-                        let _ = dues.send(Due { id, plan });
+                    sleep(answer_time).await;
+                    if !is_hung.load(Ordering::Relaxed) {
+                        let _ = due_sender.send(DueAnswer { id, plan });
                     }
                 });
             }
-            "abort" => self.over(&id, AttemptEnd::MayHaveRun),
+            "abort" => self.finish(&id, AttemptEnd::MayHaveRun),
             "stats" | "alive" => {
-                let _ = write.write_all(&array(&[&id, "UP", "-", ""])).await;
+                let _ = write.write_all(&encode_array(&[&id, "UP", "-", ""])).await;
             }
             _ => {}
         }
     }
 
-    /// Answers; false where the connection ends with it.
-    async fn answer(&mut self, due: Due, write: &mut OwnedWriteHalf) -> bool {
-        if !self.out.contains_key(&due.id) {
+    /// Sends the answer according to its plan, and returns whether the connection stays open.
+    async fn send_answer(&mut self, due: DueAnswer, write: &mut OwnedWriteHalf) -> bool {
+        if !self.in_flight.contains_key(&due.id) {
             return true;
         }
-        let ok = array(&[&due.id, "OK", "parts=1,work=5.0,peak=8", "a\tb\tc\n"]);
+        let ok = encode_array(&[&due.id, "OK", "parts=1,work=5.0,peak=8", "a\tb\tc\n"]);
         match due.plan {
             Plan::Hang => true,
             Plan::Reset => false,
-            Plan::Cut => {
+            Plan::Truncate => {
                 let _ = write.write_all(&ok[..ok.len() / 2]).await;
                 true
             }
-            Plan::Twice => {
-                self.over(&due.id, AttemptEnd::MayHaveRun);
-                let twice = [ok.clone(), ok].concat();
-                write.write_all(&twice).await.is_ok()
+            Plan::Duplicate => {
+                self.finish(&due.id, AttemptEnd::MayHaveRun);
+                let both = [ok.clone(), ok].concat();
+                write.write_all(&both).await.is_ok()
             }
-            Plan::Word(word, end) => {
-                self.over(&due.id, end);
-                let told = if word == "OK" {
+            Plan::Status(status, end) => {
+                self.finish(&due.id, end);
+                let answer = if status == "OK" {
                     ok
                 } else {
-                    array(&[&due.id, word, "-", ""])
+                    encode_array(&[&due.id, status, "-", ""])
                 };
-                write.write_all(&told).await.is_ok()
+                write.write_all(&answer).await.is_ok()
             }
         }
     }
 }
 
-fn array(words: &[&str]) -> Vec<u8> {
-    let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
+fn encode_array(fields: &[&str]) -> Vec<u8> {
+    let fields: Vec<&[u8]> = fields.iter().map(|field| field.as_bytes()).collect();
     let mut bytes = bytes::BytesMut::new();
-    wire::put_array(&mut bytes, &words);
+    wire::put_array(&mut bytes, &fields);
     bytes.to_vec()
 }
 
-/// What a change log has told so far, and how it behaves.
+/// A fake change log.
 #[derive(Clone)]
 pub struct ChangeLog {
     pub address: SocketAddr,
     events: Arc<Mutex<Vec<String>>>,
-    /// It accepts and says nothing, and closes nothing, while this is set.
+    /// While set, the log accepts connections, but sends nothing and closes nothing.
     pub is_silent: Arc<AtomicBool>,
     followers: Arc<AtomicUsize>,
 }
 
-const LOOK: Duration = Duration::from_millis(10);
+/// Time between two looks for new events.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Starts a change log; several may tell of the same events.
+/// Starts a change log; several logs may serve the same events.
 pub async fn start_change_log(events: Arc<Mutex<Vec<String>>>) -> ChangeLog {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
     let log = ChangeLog {
-        address: listener.local_addr().expect("an address"),
+        address: listener.local_addr().expect("get the local address"),
         events,
         is_silent: Arc::default(),
         followers: Arc::default(),
     };
-    let serving = log.clone();
+    let shared = log.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let log = serving.clone();
+            let log = shared.clone();
             tokio::spawn(async move {
                 log.followers.fetch_add(1, Ordering::Relaxed);
-                let _ = log.tell(stream).await;
+                let _ = log.serve(stream).await;
                 log.followers.fetch_sub(1, Ordering::Relaxed);
             });
         }
@@ -323,41 +336,42 @@
 }
 
 impl ChangeLog {
-    async fn tell(&self, mut stream: TcpStream) -> std::io::Result<()> {
+    /// Sends events on one connection until it fails.
+    async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(stream.read_u8().await?);
         }
         let head = String::from_utf8_lossy(&head).into_owned();
-        let last = head
+        let last_event_id = head
             .lines()
             .find_map(|line| line.strip_prefix("Last-Event-ID: "));
-        let mut told = last
-            .and_then(|last| last.parse::<usize>().ok())
+        let mut delivered = last_event_id
+            .and_then(|id| id.parse::<usize>().ok())
             .unwrap_or(0);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
             .await?;
-        let mut looks = 0;
+        let mut polls = 0;
         loop {
             while self.is_silent.load(Ordering::Relaxed) {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             let new: Vec<String> = {
-                let events = self.events.lock().expect("nobody panicked");
-                events.get(told..).unwrap_or_default().to_vec()
+                let events = self.events.lock().expect("the lock is not poisoned");
+                events.get(delivered..).unwrap_or_default().to_vec()
             };
             for event in new {
-                told += 1;
+                delivered += 1;
                 stream
-                    .write_all(format!("id: {told}\ndata: {event}\n\n").as_bytes())
+                    .write_all(format!("id: {delivered}\ndata: {event}\n\n").as_bytes())
                     .await?;
             }
-            looks += 1;
-            if looks % 50 == 0 {
+            polls += 1;
+            if polls % 50 == 0 {
                 stream.write_all(b":\n\n").await?;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/dispatcher/tests/soak/main.rs
+++ b/dispatcher/tests/soak/main.rs
@@ -1,8 +1,8 @@
-//! A soak: real processes of the program between stand-ins, under a load and faults drawn from a seed, and a judge that knows the
-//! clauses and nothing of the program.
+//! Soak test: real processes of the program between fake clients and fake engines, under load and faults drawn from a seed. A
+//! checker that knows only the rules examines what the fakes observed.
 //!
-//! `cargo test` runs a few seeds for a short while. A longer run is started by hand, with its seeds and how many troubles each
-//! has: `SEDGEBEAM_SOAK_SEEDS=1..51 SEDGEBEAM_SOAK_TROUBLES=12 cargo test -p sedgebeam --test soak -- soak --nocapture`.
+//! `cargo test` runs a few seeds for a short time. Longer runs are started by hand, with a range of seeds and a number of
+//! faults per seed: `SEDGEBEAM_SOAK_SEEDS=1..51 SEDGEBEAM_SOAK_TROUBLES=12 cargo test -p sedgebeam --test soak -- soak --nocapture`.
 
 mod checker;
 mod checker_tests;
@@ -26,20 +26,21 @@
 use tokio::time::{sleep, timeout};
 
 const SEEDS: Range<u64> = 1..5;
-const TROUBLES: usize = 6;
+const FAULTS_PER_RUN: usize = 6;
 const CLIENTS: u64 = 12;
-const GRACE: Duration = Duration::from_millis(500);
-/// What the change log has to tell counts as told by then, heard or not.
-const TOLD_BY: Duration = Duration::from_secs(7);
-/// The time within which a change log that is well tells of a change.
-const TELLS_WITHIN: Duration = Duration::from_millis(50);
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// After this time a dispatcher is assumed to know an event of the change log, even if the log was disturbed.
+const MAX_EVENT_DELAY: Duration = Duration::from_secs(7);
+/// The time within which an undisturbed change log delivers an event.
+const EVENT_DELAY: Duration = Duration::from_millis(50);
 
+// Settings that also determine how much work a cold engine may receive.
 const CORES: f64 = 12.0;
 const START_CAPACITY: f64 = 0.3;
 const WARM_AFTER_MS: f64 = 5_000.0;
 const FALL_MULTIPLE: f64 = 4.0;
 const OVERLOAD_FOR: Micros = 1_000 * MILLISECOND;
-/// Mean work of a request, by how often each class is asked for.
+/// Mean work of a request, by the shares of the classes.
 const MEAN_WORK_MS: f64 = 0.56 * 80.0 + 0.44 * 2_000.0;
 
 const EINTR: i32 = 4;
@@ -48,8 +49,8 @@
 const ECONNABORTED: i32 = 103;
 const ENOBUFS: i32 = 105;
 
-/// System calls that fail or do a part: of which each how many-th.
-const FAILURES: [(SystemCall, i32, Fault); 8] = [
+/// System calls that fail or transfer one byte: the call, of which every n-th meets the fault, and the fault.
+const SYSTEM_CALL_FAULTS: [(SystemCall, i32, Fault); 8] = [
     (SystemCall::Recv, 1, Fault::OneByte),
     (SystemCall::Send, 1, Fault::OneByte),
     (SystemCall::Recv, 3, Fault::Error(EINTR)),
@@ -60,12 +61,12 @@
     (SystemCall::SetSockOpt, 1, Fault::Error(ENOBUFS)),
 ];
 
-fn settings(dispatchers: usize, asked: &RequestLimits) -> String {
+fn settings(dispatchers: usize, limits: &RequestLimits) -> String {
     let (give_up, window) = (
-        asked.max_time_limit / MILLISECOND,
-        asked.repeat_window / MILLISECOND,
+        limits.max_time_limit / MILLISECOND,
+        limits.repeat_window / MILLISECOND,
     );
-    let grace = GRACE.as_millis();
+    let drain_grace = DRAIN_GRACE.as_millis();
     let overload_for = OVERLOAD_FOR / MILLISECOND;
     format!(
         r#"{{"balancers": {dispatchers}, "kinds": ["std"], "zones": ["a"], "zone": "a", "tick": 5.0,
@@ -73,7 +74,7 @@
     "threads_by_class": [1, 4, 2, 1], "size_cores": [{CORES}], "size_mb": [24576.0], "tells_cost": true}},
   "limits": {{"cancel": true, "max_attempts": 3, "max_streams": 8, "connect_timeout": 250.0,
     "conn_idle": 3000.0, "max_retry_after": 1000.0}},
-  "rules": {{"answer_slack": 20.0, "drain_grace": {grace}.0, "start_capacity": {START_CAPACITY},
+  "rules": {{"answer_slack": 20.0, "drain_grace": {drain_grace}.0, "start_capacity": {START_CAPACITY},
     "warm_after": {WARM_AFTER_MS}, "fall_multiple": {FALL_MULTIPLE}, "overload_for": {overload_for}.0}},
   "services": [
     {{"name": "lookup", "worth": 1.0, "on_time": 500.0, "give_up": {give_up}.0, "effect": "repeatable"}},
@@ -84,6 +85,7 @@
     )
 }
 
+/// The entry of an engine in an event of the change log.
 fn target(engine: &Engine, state: &str, boot_ms: u128) -> String {
     format!(
         r#"{{"uid":"s-{:08x}","endpoint":"{}","az":"a","model":"std","pod_group":0,"state":"{state}","capacity_hint":4,"boot_ms":{boot_ms}}}"#,
@@ -91,26 +93,29 @@
     )
 }
 
-/// The longest time for which this machine kept a thread of the run from going on.
-struct Stall {
+/// Measures the longest time for which the machine did not schedule a thread of the test.
+struct StallMonitor {
     longest: Arc<AtomicU64>,
-    over: Arc<AtomicBool>,
+    is_finished: Arc<AtomicBool>,
 }
 
-impl Stall {
-    fn watch() -> Stall {
-        const BEAT: Duration = Duration::from_millis(5);
-        let (longest, over) = (Arc::<AtomicU64>::default(), Arc::<AtomicBool>::default());
-        let (told, done) = (longest.clone(), over.clone());
+impl StallMonitor {
+    fn start() -> StallMonitor {
+        const INTERVAL: Duration = Duration::from_millis(5);
+        let (longest, is_finished) = (Arc::<AtomicU64>::default(), Arc::<AtomicBool>::default());
+        let (thread_longest, thread_is_finished) = (longest.clone(), is_finished.clone());
         std::thread::spawn(move || {
-            while !done.load(Ordering::Relaxed) {
-                let began = Instant::now();
-                std::thread::sleep(BEAT);
-                let late = began.elapsed().saturating_sub(BEAT).as_micros() as u64;
-                told.fetch_max(late, Ordering::Relaxed);
+            while !thread_is_finished.load(Ordering::Relaxed) {
+                let started_at = Instant::now();
+                std::thread::sleep(INTERVAL);
+                let delay = started_at.elapsed().saturating_sub(INTERVAL).as_micros() as u64;
+                thread_longest.fetch_max(delay, Ordering::Relaxed);
             }
         });
-        Stall { longest, over }
+        StallMonitor {
+            longest,
+            is_finished,
+        }
     }
 
     fn longest(&self) -> Micros {
@@ -118,95 +123,96 @@
     }
 }
 
-impl Drop for Stall {
+impl Drop for StallMonitor {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.is_finished.store(true, Ordering::Relaxed);
     }
 }
 
-/// One run.
+/// One run of the soak test: the dispatchers, and the fakes around them.
 struct Run {
     seed: u64,
-    draws: SeededRng,
+    rng: SeededRng,
     recorder: Recorder,
-    asked: RequestLimits,
+    request_limits: RequestLimits,
     settings: String,
     engines: Vec<Engine>,
     draining: Vec<usize>,
+    /// The events of the change log, as JSON.
     events: Arc<Mutex<Vec<String>>>,
-    logs: Vec<ChangeLog>,
+    change_logs: Vec<ChangeLog>,
     dispatchers: Vec<Dispatcher>,
-    cold: BTreeMap<usize, ColdEngine>,
-    /// When what the change log tells may last have gone astray.
-    disturbed: Option<Instant>,
-    over: Arc<AtomicBool>,
-    /// For the clients' idle crowds.
+    cold_engines: BTreeMap<usize, ColdEngine>,
+    /// When an event of the change log may last have been lost or late.
+    disturbed_at: Option<Instant>,
+    is_finished: Arc<AtomicBool>,
+    /// Background tasks: idle connections, and faults that end later.
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Run {
     async fn new(seed: u64) -> Run {
-        let mut draws = SeededRng::new(seed);
+        let mut rng = SeededRng::new(seed);
         let recorder = Recorder::new();
-        let dispatchers = 2 + draws.below(2) as usize;
-        // Deadlines beyond the earliest kill after SIGTERM, too.
-        let longest = if draws.chance(25) {
-            5_000 + draws.below(15_000)
+        let dispatchers = 2 + rng.below(2) as usize;
+        // Some runs have time limits beyond the earliest SIGKILL after SIGTERM.
+        let max_time_limit_ms = if rng.chance(25) {
+            5_000 + rng.below(15_000)
         } else {
-            1_500 + draws.below(1_500)
+            1_500 + rng.below(1_500)
         };
-        let asked = RequestLimits {
-            max_time_limit: longest * MILLISECOND,
-            repeat_window: (300 + draws.below(3_000)) * MILLISECOND,
+        let request_limits = RequestLimits {
+            max_time_limit: max_time_limit_ms * MILLISECOND,
+            repeat_window: (300 + rng.below(3_000)) * MILLISECOND,
         };
         let mut engines = Vec::new();
-        for number in 1..=3 + draws.below(3) as usize {
-            let (faults, seed) = (draws.below(20), draws.next());
-            engines.push(start_engine(number, faults, seed, recorder.clone()).await);
+        for number in 1..=3 + rng.below(3) as usize {
+            let (fault_percent, seed) = (rng.below(20), rng.next());
+            engines.push(start_engine(number, fault_percent, seed, recorder.clone()).await);
         }
         let targets: Vec<String> = engines
             .iter()
             .map(|engine| target(engine, "up", 0))
             .collect();
-        let whole = format!(
+        let complete_list = format!(
             r#"{{"seq":1,"fleet":{{"rev":1,"all":true,"targets":[{}]}}}}"#,
             targets.join(",")
         );
-        let events = Arc::new(Mutex::new(vec![whole]));
-        let mut logs = Vec::new();
+        let events = Arc::new(Mutex::new(vec![complete_list]));
+        let mut change_logs = Vec::new();
         for _ in 0..2 {
-            logs.push(start_change_log(events.clone()).await);
+            change_logs.push(start_change_log(events.clone()).await);
         }
         let dispatchers: Vec<Dispatcher> = (0..dispatchers)
             .map(|number| Dispatcher::new(seed, number, &recorder))
             .collect();
         Run {
             seed,
-            settings: settings(dispatchers.len(), &asked),
-            draws,
+            settings: settings(dispatchers.len(), &request_limits),
+            rng,
             recorder,
-            asked,
+            request_limits,
             engines,
             draining: Vec::new(),
             events,
-            logs,
+            change_logs,
             dispatchers,
-            cold: BTreeMap::new(),
-            disturbed: None,
-            over: Arc::default(),
+            cold_engines: BTreeMap::new(),
+            disturbed_at: None,
+            is_finished: Arc::default(),
             tasks: Vec::new(),
         }
     }
 
     fn configure(&self, number: usize) {
-        let events = self.events.lock().expect("nobody panicked");
+        let events = self.events.lock().expect("the lock is not poisoned");
         let known = format!(
             r#"{{"seq":{},"results":[{}]}}"#,
             events.len(),
             events.join(",")
         );
-        let log: SocketAddr = self.logs[0].address;
-        self.dispatchers[number].configure(&known, log, &self.settings);
+        let change_log: SocketAddr = self.change_logs[0].address;
+        self.dispatchers[number].configure(&known, change_log, &self.settings);
     }
 
     async fn start(&mut self, number: usize) {
@@ -214,179 +220,195 @@
         self.dispatchers[number].start().await;
     }
 
-    fn tell(&self, target: &str) {
-        let mut events = self.events.lock().expect("nobody panicked");
+    /// Appends an event about this engine to the change log.
+    fn append_event(&self, target: &str) {
+        let mut events = self.events.lock().expect("the lock is not poisoned");
         let seq = events.len() + 1;
         events.push(format!(
             r#"{{"seq":{seq},"fleet":{{"rev":{seq},"all":false,"targets":[{target}]}}}}"#
         ));
     }
 
-    fn disturb(&mut self) {
-        self.disturbed = Some(Instant::now());
+    fn mark_disturbed(&mut self) {
+        self.disturbed_at = Some(Instant::now());
     }
 
-    fn one_dispatcher(&mut self) -> usize {
-        self.draws.below(self.dispatchers.len() as u64) as usize
+    fn draw_dispatcher(&mut self) -> usize {
+        self.rng.below(self.dispatchers.len() as u64) as usize
     }
 
-    /// One trouble, and some time after it.
-    async fn trouble(&mut self) {
-        match self.draws.below(10) {
-            0 => self.hang().await,
-            1 => self.drain().await,
-            2 => self.join_cold().await,
-            3 => self.silence().await,
-            4 => self.move_log().await,
-            5 => self.end_one().await,
-            6 => self.kill_one().await,
-            7 => self.crowd_one(),
-            _ => self.fail_calls().await,
+    /// Injects one fault, and waits for some time.
+    async fn inject_fault(&mut self) {
+        match self.rng.below(10) {
+            0 => self.hang_engine().await,
+            1 => self.drain_engine().await,
+            2 => self.add_cold_engine().await,
+            3 => self.silence_change_log().await,
+            4 => self.move_change_log().await,
+            5 => self.restart_dispatcher().await,
+            6 => self.kill_dispatcher().await,
+            7 => self.open_idle_connections(),
+            _ => self.fault_system_calls().await,
         }
         for dispatcher in &mut self.dispatchers {
             dispatcher.check_process();
         }
-        sleep(self.draws.millis_between(100, 600)).await;
+        sleep(self.rng.millis_between(100, 600)).await;
     }
 
-    /// An engine answers nothing for a while.
-    async fn hang(&mut self) {
-        let place = self.draws.below(self.engines.len() as u64) as usize;
-        let hangs = self.engines[place].is_hung.clone();
-        hangs.store(true, Ordering::Relaxed);
-        let time = self.draws.millis_between(300, 1_500);
+    /// One engine sends no answers for a while.
+    async fn hang_engine(&mut self) {
+        let index = self.rng.below(self.engines.len() as u64) as usize;
+        let is_hung = self.engines[index].is_hung.clone();
+        is_hung.store(true, Ordering::Relaxed);
+        let duration = self.rng.millis_between(300, 1_500);
         self.tasks.push(tokio::spawn(async move {
-            sleep(time).await;
-            hangs.store(false, Ordering::Relaxed);
+            sleep(duration).await;
+            is_hung.store(false, Ordering::Relaxed);
         }));
     }
 
-    /// An engine begins to drain; two are left in any case.
-    async fn drain(&mut self) {
-        let up: Vec<usize> = (0..self.engines.len())
-            .filter(|place| !self.draining.contains(place))
+    /// One engine starts to drain, unless only two are up.
+    async fn drain_engine(&mut self) {
+        let up_engines: Vec<usize> = (0..self.engines.len())
+            .filter(|index| !self.draining.contains(index))
             .collect();
-        if up.len() <= 2 {
+        if up_engines.len() <= 2 {
             return;
         }
-        let place = up[self.draws.below(up.len() as u64) as usize];
-        self.draining.push(place);
-        self.tell(&target(&self.engines[place], "draining", 0));
-        let calm = self.disturbed.is_none_or(|at| at.elapsed() > TOLD_BY);
-        let told = if calm { TELLS_WITHIN } else { TOLD_BY };
-        let (recorder, engine) = (self.recorder.clone(), self.engines[place].number);
+        let index = up_engines[self.rng.below(up_engines.len() as u64) as usize];
+        self.draining.push(index);
+        self.append_event(&target(&self.engines[index], "draining", 0));
+        let is_undisturbed = self
+            .disturbed_at
+            .is_none_or(|at| at.elapsed() > MAX_EVENT_DELAY);
+        let delay = if is_undisturbed {
+            EVENT_DELAY
+        } else {
+            MAX_EVENT_DELAY
+        };
+        let (recorder, engine) = (self.recorder.clone(), self.engines[index].number);
         self.tasks.push(tokio::spawn(async move {
-            sleep(told).await;
+            sleep(delay).await;
             recorder.record(Event::DrainAnnounced { engine });
         }));
     }
 
-    /// An engine starts, and is cold.
-    async fn join_cold(&mut self) {
+    /// Adds an engine that has just booted, which is cold.
+    async fn add_cold_engine(&mut self) {
         let number = self.engines.len() + 1;
-        let seed = self.draws.next();
-        let new = start_engine(number, 0, seed, self.recorder.clone()).await;
+        let seed = self.rng.next();
+        let new_engine = start_engine(number, 0, seed, self.recorder.clone()).await;
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        let boot_ms = now.expect("a clock").as_millis();
+        let boot_ms = now.expect("the clock is past the epoch").as_millis();
         let from = self.recorder.now();
-        self.tell(&target(&new, "up", boot_ms));
-        self.engines.push(new);
-        let half = OVERLOAD_FOR as f64 / MILLISECOND as f64 / 2.0 / WARM_AFTER_MS;
-        let able = START_CAPACITY + (1.0 - START_CAPACITY) * half;
-        let window = OVERLOAD_FOR as f64 / 1e6;
-        let allowed = FALL_MULTIPLE * able * CORES * window * 1e3 / MEAN_WORK_MS;
-        let cold = ColdEngine {
+        self.append_event(&target(&new_engine, "up", boot_ms));
+        self.engines.push(new_engine);
+        let warm_share_mid_window = OVERLOAD_FOR as f64 / MILLISECOND as f64 / 2.0 / WARM_AFTER_MS;
+        let mean_capacity = START_CAPACITY + (1.0 - START_CAPACITY) * warm_share_mid_window;
+        let window_s = OVERLOAD_FOR as f64 / 1e6;
+        let allowed = FALL_MULTIPLE * mean_capacity * CORES * window_s * 1e3 / MEAN_WORK_MS;
+        let cold_engine = ColdEngine {
             from,
             until: from + OVERLOAD_FOR,
             window: OVERLOAD_FOR,
             max_requests: ColdEngine::with_margin(allowed),
             mean_work_ms: MEAN_WORK_MS,
         };
-        self.cold.insert(number, cold);
+        self.cold_engines.insert(number, cold_engine);
     }
 
-    /// The change log says nothing, and closes nothing; a process may start meanwhile, and an engine drain.
-    async fn silence(&mut self) {
-        self.disturb();
-        for log in &self.logs {
+    /// The change log sends nothing, and closes nothing, for a while; meanwhile a process may be killed and restarted, and an
+    /// engine may drain.
+    async fn silence_change_log(&mut self) {
+        self.mark_disturbed();
+        for log in &self.change_logs {
             log.is_silent.store(true, Ordering::Relaxed);
         }
-        if self.draws.chance(30) {
-            self.kill_one().await;
+        if self.rng.chance(30) {
+            self.kill_dispatcher().await;
         }
-        if self.draws.chance(30) {
-            self.drain().await;
+        if self.rng.chance(30) {
+            self.drain_engine().await;
         }
-        sleep(self.draws.millis_between(200, 2_500)).await;
-        for log in &self.logs {
+        sleep(self.rng.millis_between(200, 2_500)).await;
+        for log in &self.change_logs {
             log.is_silent.store(false, Ordering::Relaxed);
         }
-        self.disturb();
+        self.mark_disturbed();
     }
 
-    /// New configurations in a row, each with another change log.
-    async fn move_log(&mut self) {
-        self.disturb();
-        for _ in 0..1 + self.draws.below(3) {
-            self.logs.swap(0, 1);
+    /// Applies several configurations in a row, each with the other change log.
+    async fn move_change_log(&mut self) {
+        self.mark_disturbed();
+        for _ in 0..1 + self.rng.below(3) {
+            self.change_logs.swap(0, 1);
             for number in 0..self.dispatchers.len() {
                 self.configure(number);
                 self.dispatchers[number].signal("-HUP");
             }
-            sleep(self.draws.millis_between(10, 200)).await;
+            sleep(self.rng.millis_between(10, 200)).await;
         }
     }
 
-    async fn end_one(&mut self) {
-        self.disturb();
-        let number = self.one_dispatcher();
-        // What hangs, hangs through all of it.
-        let place = self.draws.below(self.engines.len() as u64) as usize;
-        let hangs = self.engines[place].is_hung.clone();
-        hangs.store(self.draws.chance(60), Ordering::Relaxed);
-        let longest = Duration::from_micros(self.asked.max_time_limit);
-        self.dispatchers[number].shut_down(longest).await;
-        hangs.store(false, Ordering::Relaxed);
+    /// Shuts one dispatcher down, while an engine may be hung, and starts it again.
+    async fn restart_dispatcher(&mut self) {
+        self.mark_disturbed();
+        let number = self.draw_dispatcher();
+        // An engine that hangs does so during the whole shutdown.
+        let index = self.rng.below(self.engines.len() as u64) as usize;
+        let is_hung = self.engines[index].is_hung.clone();
+        is_hung.store(self.rng.chance(60), Ordering::Relaxed);
+        let max_time_limit = Duration::from_micros(self.request_limits.max_time_limit);
+        self.dispatchers[number].shut_down(max_time_limit).await;
+        is_hung.store(false, Ordering::Relaxed);
         self.start(number).await;
     }
 
-    async fn kill_one(&mut self) {
-        self.disturb();
-        let number = self.one_dispatcher();
+    async fn kill_dispatcher(&mut self) {
+        self.mark_disturbed();
+        let number = self.draw_dispatcher();
         self.dispatchers[number].kill().await;
         self.start(number).await;
     }
 
-    /// Idle clients take what descriptors they can get.
-    fn crowd_one(&mut self) {
-        let number = self.one_dispatcher();
-        let (place, over) = (self.place(number), self.over.clone());
-        let count = 100 + self.draws.below(150) as usize;
-        self.tasks
-            .push(tokio::spawn(hold_idle_connections(place, count, over)));
+    /// Idle connections use up the descriptors of a dispatcher.
+    fn open_idle_connections(&mut self) {
+        let number = self.draw_dispatcher();
+        let (endpoint, is_finished) = (self.endpoint(number), self.is_finished.clone());
+        let count = 100 + self.rng.below(150) as usize;
+        self.tasks.push(tokio::spawn(hold_idle_connections(
+            endpoint,
+            count,
+            is_finished,
+        )));
     }
 
-    /// System calls of one dispatcher fail, or do a part, for a moment; or its wall clock is stepped for as long.
-    async fn fail_calls(&mut self) {
-        const HOUR: i32 = 3_600;
-        self.disturb();
-        let number = self.one_dispatcher();
-        let kind = self.draws.below(FAILURES.len() as u64 + 1) as usize;
-        let time = self.draws.millis_between(200, 800);
+    /// For a moment, system calls of one dispatcher fail or transfer one byte, or its wall clock is off by an hour.
+    async fn fault_system_calls(&mut self) {
+        const HOUR_SECONDS: i32 = 3_600;
+        self.mark_disturbed();
+        let number = self.draw_dispatcher();
+        let fault_index = self.rng.below(SYSTEM_CALL_FAULTS.len() as u64 + 1) as usize;
+        let duration = self.rng.millis_between(200, 800);
         let faults = &self.dispatchers[number].faults;
-        let call = if let Some((call, every, fault)) = FAILURES.get(kind) {
+        let call = if let Some((call, every, fault)) = SYSTEM_CALL_FAULTS.get(fault_index) {
             faults.inject_every_nth(*every, *call, *fault);
             *call
         } else {
-            let hour = if self.draws.chance(50) { HOUR } else { -HOUR };
-            faults.step_wall_clock(hour);
+            let offset = if self.rng.chance(50) {
+                HOUR_SECONDS
+            } else {
+                -HOUR_SECONDS
+            };
+            faults.step_wall_clock(offset);
             SystemCall::WallClock
         };
-        sleep(time).await;
+        sleep(duration).await;
         self.dispatchers[number].faults.clear(call);
     }
 
-    fn place(&self, number: usize) -> DispatcherEndpoint {
+    fn endpoint(&self, number: usize) -> DispatcherEndpoint {
         let dispatcher = &self.dispatchers[number];
         DispatcherEndpoint {
             dispatcher: number,
@@ -395,85 +417,88 @@
         }
     }
 
-    /// Plays so many troubles; what was broken, and how many requests there were.
-    async fn play(mut self, troubles: usize) -> (Vec<Violation>, Counts) {
-        let stall = Stall::watch();
+    /// Runs the load with this many faults, and returns the violations and the counts of events.
+    async fn execute(mut self, faults: usize) -> (Vec<Violation>, Counts) {
+        let stall_monitor = StallMonitor::start();
         for number in 0..self.dispatchers.len() {
             self.start(number).await;
         }
-        let places: Vec<DispatcherEndpoint> = (0..self.dispatchers.len())
-            .map(|number| self.place(number))
+        let endpoints: Vec<DispatcherEndpoint> = (0..self.dispatchers.len())
+            .map(|number| self.endpoint(number))
             .collect();
         let clients: Vec<_> = (0..CLIENTS)
             .map(|client| {
                 let client = Client {
                     rng: SeededRng::new((self.seed << 8) | client),
-                    endpoints: places.clone(),
+                    endpoints: endpoints.clone(),
                     recorder: self.recorder.clone(),
-                    is_finished: self.over.clone(),
-                    request_limits: self.asked,
+                    is_finished: self.is_finished.clone(),
+                    request_limits: self.request_limits,
                 };
                 tokio::spawn(client.run())
             })
             .collect();
         sleep(Duration::from_millis(300)).await;
-        for _ in 0..troubles {
-            self.trouble().await;
+        for _ in 0..faults {
+            self.inject_fault().await;
         }
-        let longest = Duration::from_micros(self.asked.max_time_limit);
-        // The end of all, with clients that go on.
+        let max_time_limit = Duration::from_micros(self.request_limits.max_time_limit);
+        // Shuts all dispatchers down while the clients keep sending.
         for dispatcher in &mut self.dispatchers {
             dispatcher.check_process();
-            dispatcher.shut_down(longest).await;
+            dispatcher.shut_down(max_time_limit).await;
         }
-        self.over.store(true, Ordering::Relaxed);
+        self.is_finished.store(true, Ordering::Relaxed);
         for task in clients.into_iter().chain(std::mem::take(&mut self.tasks)) {
             let ended = timeout(Duration::from_secs(30), task).await;
-            ended.expect("it ends").expect("no panic");
+            ended
+                .expect("the task ends in time")
+                .expect("the task does not panic");
         }
-        let terms = RunLimits {
-            drain_grace: GRACE.as_micros() as Micros,
-            cold_engines: self.cold.clone(),
-            longest_stall: stall.longest(),
+        let limits = RunLimits {
+            drain_grace: DRAIN_GRACE.as_micros() as Micros,
+            cold_engines: self.cold_engines.clone(),
+            longest_stall: stall_monitor.longest(),
         };
         let trace = Trace(self.recorder.take());
-        let counts = Counts::of(&trace, &terms);
-        (trace.find_violations(&terms), counts)
+        let counts = Counts::of(&trace, &limits);
+        (trace.find_violations(&limits), counts)
     }
 }
 
+/// How often each event was recorded in a run.
 #[derive(Debug, Default)]
 #[allow(dead_code, reason = "for the report of a run")]
 struct Counts {
-    taken: usize,
+    requests_sent: usize,
     answered: usize,
-    closed: usize,
-    gone: usize,
-    begun: usize,
-    cold: usize,
-    drained: usize,
-    killed: usize,
-    started: usize,
-    stall_ms: Micros,
+    connections_closed: usize,
+    clients_left: usize,
+    attempts_started: usize,
+    cold_engines: usize,
+    drains: usize,
+    kills: usize,
+    process_starts: usize,
+    longest_stall_ms: u64,
 }
 
 impl Counts {
-    fn of(trace: &Trace, terms: &RunLimits) -> Counts {
+    fn of(trace: &Trace, limits: &RunLimits) -> Counts {
         let mut counts = Counts {
-            cold: terms.cold_engines.len(),
-            stall_ms: terms.longest_stall / MILLISECOND,
+            cold_engines: limits.cold_engines.len(),
+            longest_stall_ms: limits.longest_stall / MILLISECOND,
             ..Counts::default()
         };
-        for (_, seen) in &trace.0 {
-            match seen {
-                Event::RequestSent { .. } => counts.taken += 1,
+        for (_, event) in &trace.0 {
+            match event {
+                Event::RequestSent { .. } => counts.requests_sent += 1,
                 Event::Answered { .. } => counts.answered += 1,
-                Event::ConnectionClosed { .. } => counts.closed += 1,
-                Event::ClientLeft { .. } => counts.gone += 1,
-                Event::AttemptStarted { .. } => counts.begun += 1,
-                Event::DrainAnnounced { .. } => counts.drained += 1,
-                Event::ProcessKilled { .. } => counts.killed += 1,
-                Event::ProcessStarted { .. } => counts.started += 1,
+                Event::ConnectionClosed { .. } => counts.connections_closed += 1,
+                Event::ClientLeft { .. } => counts.clients_left += 1,
+                Event::AttemptStarted { .. } => counts.attempts_started += 1,
+                Event::DrainAnnounced { .. } => counts.drains += 1,
+                Event::ProcessKilled { .. } => counts.kills += 1,
+                Event::ProcessStarted { .. } => counts.process_starts += 1,
                 _ => {}
             }
         }
@@ -482,38 +507,45 @@
 }
 
 fn seeds() -> Range<u64> {
-    let Ok(told) = std::env::var("SEDGEBEAM_SOAK_SEEDS") else {
+    let Ok(range) = std::env::var("SEDGEBEAM_SOAK_SEEDS") else {
         return SEEDS;
     };
-    let (from, to) = told.split_once("..").expect("FROM..TO");
-    let number = |text: &str| text.parse::<u64>().expect("a number");
+    let (from, to) = range
+        .split_once("..")
+        .expect("SEDGEBEAM_SOAK_SEEDS is FROM..TO");
+    let number = |text: &str| text.parse::<u64>().expect("a seed is a number");
     number(from)..number(to)
 }
 
-fn troubles() -> usize {
-    let told = std::env::var("SEDGEBEAM_SOAK_TROUBLES").ok();
-    told.map_or(TROUBLES, |told| told.parse().expect("a number"))
+fn fault_count() -> usize {
+    let count = std::env::var("SEDGEBEAM_SOAK_TROUBLES").ok();
+    count.map_or(FAULTS_PER_RUN, |count| {
+        count.parse().expect("SEDGEBEAM_SOAK_TROUBLES is a number")
+    })
 }
 
 #[test]
-fn a_soak_breaks_no_clause() {
+fn soak_violates_no_rule() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build();
-    let runtime = runtime.expect("a runtime");
-    let mut broken = Vec::new();
+    let runtime = runtime.expect("build the runtime");
+    let mut all_violations = Vec::new();
     for seed in seeds() {
         let (violations, counts) = runtime.block_on(async {
             let run = Run::new(seed).await;
-            run.play(troubles()).await
+            run.execute(fault_count()).await
         });
-        println!("seed {seed}: {counts:?}, {} broken", violations.len());
+        println!("seed {seed}: {counts:?}, {} violations", violations.len());
         for violation in &violations {
             println!("seed {seed}: {violation}");
         }
-        assert!(counts.taken > 100, "seed {seed} hardly asks anything");
-        broken.extend(violations.iter().map(|violation| (seed, violation.rule)));
+        assert!(
+            counts.requests_sent > 100,
+            "seed {seed} sends hardly any requests"
+        );
+        all_violations.extend(violations.iter().map(|violation| (seed, violation.rule)));
     }
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(all_violations.is_empty(), "{all_violations:?}");
 }
--- a/dispatcher/tests/under_load.rs
+++ b/dispatcher/tests/under_load.rs
@@ -303,9 +303,12 @@
         stream
             .write_all(format!("{command}\n").as_bytes())
             .await
-            .expect("write");
+            .expect("write the command");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.expect("read");
+        stream
+            .read_to_string(&mut answer)
+            .await
+            .expect("read the answer");
         answer
     }
 
