--- a/dispatcher/tests/scenarios/edge_cases.rs
+++ b/dispatcher/tests/scenarios/edge_cases.rs
@@ -1,6 +1,6 @@
 //! Edge cases: each request gets exactly one answer under injected system call failures, clock steps and shutdown.
 
-use crate::faults::{Call, Fault, Faults};
+use crate::faults::{Fault, FaultInjector, SystemCall};
 use crate::harness::{Harness, Options, SETTINGS};
 use crate::pg_client::{query, startup, statement};
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 }
 
 /// Starts the program with these engines and with injected faults in its system calls.
-fn with_faults(engines: &[&str], faults: &Faults) -> Harness {
+fn with_faults(engines: &[&str], faults: &FaultInjector) -> Harness {
     let options = Options {
         faults: Some(faults),
         ..Options::default()
@@ -45,10 +45,10 @@
 /// Every read returns one byte, and the rest stays in the socket buffer while no further data arrives.
 #[test]
 fn the_rest_after_a_short_read_is_read() {
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut harness = with_faults(&["e1", "log"], &faults);
     harness.run_script("log expect subscribed 1");
-    faults.always(Call::Recv, Fault::Short);
+    faults.inject_always(SystemCall::Recv, Fault::OneByte);
     harness.run_script(
         "log send 2 up e1 @e1
          c1 send lookup 1
@@ -61,7 +61,7 @@
          log send 3 draining e1 @e1
          app wait : draining",
     );
-    assert!(faults.injected(Call::Recv) > 100);
+    assert!(faults.injected_count(SystemCall::Recv) > 100);
 }
 
 /// A client pipelines more commands than a session buffers, and every read returns one byte: each command is answered
@@ -69,13 +69,13 @@
 #[test]
 fn each_of_too_many_pipelined_commands_is_answered_with_short_reads() {
     const COMMANDS: usize = 80;
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let harness = with_faults(&["e1"], &faults);
     let mut client_bytes = startup();
     for number in 1..=COMMANDS {
         client_bytes.extend(query(&statement(&format!("lookup {number}"))));
     }
-    faults.always(Call::Recv, Fault::Short);
+    faults.inject_always(SystemCall::Recv, Fault::OneByte);
     let mut client = TcpStream::connect(harness.listen_address("c")).expect("connects");
     client.write_all(&client_bytes).expect("writes");
     let mut received = Vec::new();
@@ -89,9 +89,9 @@
 
 #[test]
 fn a_failed_setsockopt_drops_no_connection() {
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut harness = with_faults(&["e1", "log"], &faults);
-    faults.always(Call::SetSockOpt, Fault::Error(ENOBUFS));
+    faults.inject_always(SystemCall::SetSockOpt, Fault::Error(ENOBUFS));
     harness.run_script(
         "c1 send lookup 1
          e1 expect fetch 1
@@ -101,16 +101,21 @@
          log close
          log expect subscribed 1",
     );
-    assert!(faults.injected(Call::SetSockOpt) > 0);
+    assert!(faults.injected_count(SystemCall::SetSockOpt) > 0);
 }
 
 #[test]
 fn listeners_that_fail_to_open_are_retried() {
-    for call in [Call::Socket, Call::SetSockOpt, Call::Bind, Call::Listen] {
-        let faults = Faults::none();
-        faults.times(6, call, Fault::Error(ENOBUFS));
+    for call in [
+        SystemCall::Socket,
+        SystemCall::SetSockOpt,
+        SystemCall::Bind,
+        SystemCall::Listen,
+    ] {
+        let faults = FaultInjector::new();
+        faults.inject_times(6, call, Fault::Error(ENOBUFS));
         let mut harness = with_faults(&["e1"], &faults);
-        assert_eq!(faults.injected(call), 6, "{call:?}");
+        assert_eq!(faults.injected_count(call), 6, "{call:?}");
         harness.run_script(
             "c1 send lookup 1
              e1 expect fetch 1
@@ -126,9 +131,9 @@
 /// A connection that can't be accepted before the listener closes, although its request was sent long before.
 #[test]
 fn a_connection_in_the_backlog_when_accepting_ends_gets_an_error() {
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut harness = with_faults(&["e1"], &faults);
-    faults.always(Call::Accept, Fault::Error(ENFILE));
+    faults.inject_always(SystemCall::Accept, Fault::Error(ENFILE));
     let mut client_bytes = startup();
     client_bytes.extend(query(&statement("lookup 1")));
     let client_bytes: String = client_bytes
@@ -139,7 +144,7 @@
     harness.run_script(&format!(
         "t1 send {client_bytes}\napp close\napp wait accepting is over"
     ));
-    faults.end(Call::Accept);
+    faults.clear(SystemCall::Accept);
     harness.run_script("t1 expect 45\nt1 expect closed\napp expect 0");
 }
 
@@ -148,11 +153,16 @@
 
 #[test]
 fn interrupted_calls_lose_no_request() {
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut harness = with_faults(&["e1", "log"], &faults);
     harness.run_script("log expect subscribed 1");
-    for call in [Call::Accept, Call::Connect, Call::Recv, Call::Send] {
-        faults.each(2, call, Fault::Error(EINTR));
+    for call in [
+        SystemCall::Accept,
+        SystemCall::Connect,
+        SystemCall::Recv,
+        SystemCall::Send,
+    ] {
+        faults.inject_every_nth(2, call, Fault::Error(EINTR));
     }
     for id in 1..=8 {
         harness.run_script(&format!(
@@ -165,8 +175,8 @@
     }
     harness
         .run_script("log send 2 draining e1 @e1\napp wait : draining\nop send PING\nop expect 200");
-    for call in [Call::Accept, Call::Recv, Call::Send] {
-        assert!(faults.injected(call) > 0, "{call:?}");
+    for call in [SystemCall::Accept, SystemCall::Recv, SystemCall::Send] {
+        assert!(faults.injected_count(call) > 0, "{call:?}");
     }
 }
 
@@ -175,16 +185,16 @@
     /// The connection was aborted before it was accepted.
     const ECONNABORTED: i32 = 103;
     for error in [ENFILE, ECONNABORTED, ENOBUFS] {
-        let faults = Faults::none();
+        let faults = FaultInjector::new();
         let mut harness = with_faults(&["e1"], &faults);
-        faults.times(5, Call::Accept, Fault::Error(error));
+        faults.inject_times(5, SystemCall::Accept, Fault::Error(error));
         harness.run_script(
             "c1 send lookup 1
              e1 expect fetch 1
              e1 send 1 OK 1 a|b|c
              c1 expect row a|b|c",
         );
-        assert_eq!(faults.injected(Call::Accept), 5);
+        assert_eq!(faults.injected_count(SystemCall::Accept), 5);
     }
 }
 
@@ -194,13 +204,13 @@
     const EADDRNOTAVAIL: i32 = 99;
     const ENETUNREACH: i32 = 101;
     for (call, error) in [
-        (Call::Connect, EADDRNOTAVAIL),
-        (Call::Connect, ENETUNREACH),
-        (Call::Socket, ENOBUFS),
+        (SystemCall::Connect, EADDRNOTAVAIL),
+        (SystemCall::Connect, ENETUNREACH),
+        (SystemCall::Socket, ENOBUFS),
     ] {
-        let faults = Faults::none();
+        let faults = FaultInjector::new();
         let mut harness = with_faults(&["e1"], &faults);
-        faults.times(2, call, Fault::Error(error));
+        faults.inject_times(2, call, Fault::Error(error));
         harness.run_script("c1 send journal-load 1");
         let (peer_name, event) = harness.next_event_of(&["c1", "e1"]);
         if peer_name == "e1" {
@@ -212,7 +222,7 @@
                 "{event}"
             );
         }
-        assert!(faults.injected(call) > 0, "{call:?} {error}");
+        assert!(faults.injected_count(call) > 0, "{call:?} {error}");
     }
 }
 
@@ -221,15 +231,15 @@
     const ETIMEDOUT: i32 = 110;
     const EHOSTUNREACH: i32 = 113;
     for error in [ETIMEDOUT, EHOSTUNREACH] {
-        let faults = Faults::none();
+        let faults = FaultInjector::new();
         let mut harness = with_faults(&["e1", "e2"], &faults);
         harness.run_script("c1 send journal-load 1");
         let (engine, event) = harness.next_event_of(&["e1", "e2"]);
         assert!(event.starts_with("fetch 1"), "{event}");
-        faults.times(1, Call::Recv, Fault::Error(error));
+        faults.inject_times(1, SystemCall::Recv, Fault::Error(error));
         // The next read is of the engine's reply, and it fails.
         harness.run_script(&format!("{engine} send 1 NOTE\nc1 expect error 58000"));
-        assert_eq!(faults.injected(Call::Recv), 1);
+        assert_eq!(faults.injected_count(SystemCall::Recv), 1);
         for engine in ["e1", "e2"] {
             let events = harness.take_pending_events(engine);
             let fetches = events.iter().filter(|event| event.starts_with("fetch"));
@@ -241,7 +251,7 @@
 #[test]
 fn a_step_of_the_wall_clock_moves_no_deadline() {
     const HOUR: i32 = 3600;
-    let faults = Faults::none();
+    let faults = FaultInjector::new();
     let mut harness = with_faults(&["e1"], &faults);
     let mut id = 0;
     for step in [HOUR, -HOUR, 0, 5, -5] {
--- a/dispatcher/tests/scenarios/harness.rs
+++ b/dispatcher/tests/scenarios/harness.rs
@@ -16,7 +16,7 @@
 //! - `app`: the program. `send reload LOG`, `send truncated` and `send replace TEXT => TEXT` rewrite the platform's file
 //!   and send SIGHUP; `close` sends SIGTERM; `expect STATUS` waits for the exit status
 
-use crate::faults::Faults;
+use crate::faults::FaultInjector;
 use crate::{engines, flight_client, flight_engine, pg_client};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -78,7 +78,7 @@
     pub settings: &'a str,
     /// The listen address for PostgreSQL clients.
     pub listen: &'a str,
-    pub faults: Option<&'a Faults>,
+    pub faults: Option<&'a FaultInjector>,
     /// `boot_ms` of every engine in the list: its start time by its own clock.
     pub boot_ms: u64,
 }
