--- a/src/fleet_scan.rs
+++ b/src/fleet_scan.rs
@@ -43,7 +43,7 @@
         if !self.is_scan_current() {
             self.scan_engines();
         }
-        let max_multiple = self.settings.max_share_multiple(self.fleet.thread_share);
+        let max_multiple = self.settings.max_share_multiple(self.fleet.share_threads);
         self.concurrency_limit.set_max(max_multiple);
     }
 
@@ -55,16 +55,17 @@
         for engine in self.engines.values().filter(|engine| engine.is_listed()) {
             ratios.push(engine.service_time_ratio);
             let share = self.usable_share(engine);
-            fleet.thread_share += share * self.thread_budget(engine);
-            fleet.memory_share_mb += share * engine.memory_mb / self.settings.gateway_count();
+            fleet.share_threads += share * self.thread_budget(engine);
+            fleet.share_memory_mb += share * engine.memory_mb / self.settings.gateway_count();
         }
         let middle = ratios.len() / 2;
         if !ratios.is_empty() {
-            fleet.median_ratio = *ratios.select_nth_unstable_by(middle, f64::total_cmp).1;
+            fleet.median_service_time_ratio =
+                *ratios.select_nth_unstable_by(middle, f64::total_cmp).1;
         }
         self.scan = FleetScan {
             // Thread budgets were computed with the median of the scan before.
-            is_outdated: fleet.median_ratio != self.fleet.median_ratio,
+            is_outdated: fleet.median_service_time_ratio != self.fleet.median_service_time_ratio,
             valid_until: self.next_change(),
             ejected: self.find_ejected(),
             warm_ring: self.warm_ring(),
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -14,11 +14,11 @@
 /// Limit of credit and debt, in releases, so that an idle period or many yielded turns have no long effect.
 pub const MAX_CREDIT: f64 = 4.0;
 /// A class is light if a request takes less than this share of the heaviest class's thread seconds.
-const LIGHT_RATIO: f64 = 0.25;
+const LIGHT_CLASS_RATIO: f64 = 0.25;
 /// An engine slower than usual by this factor is under pressure.
-const PRESSURE_SLOWDOWN: f64 = 1.5;
+const MIN_PRESSURE_SLOWDOWN: f64 = 1.5;
 /// Response time over service time (slowdown) from which an answer indicates congestion.
-pub(crate) const CONGESTED: f64 = 2.0;
+pub(crate) const CONGESTION_SLOWDOWN: f64 = 2.0;
 /// Share of memory that a gateway may have in flight, relative to its share of the threads.
 const MEMORY_PER_THREAD_SHARE: f64 = 0.5;
 /// Limit of the same, scaled by traffic, where engines page: a burst after calm answers must not fill them.
@@ -30,13 +30,13 @@
 /// Loads of one table group run on at most this share of the engines; further ones wait.
 const MAX_LOADING_SHARE: f64 = 0.4;
 /// An engine is skipped in the table group's order if its utilization exceeds the mean by this factor.
-const MAX_OVER_MEAN: f64 = 1.25;
+const MAX_UTILIZATION_OVER_MEAN: f64 = 1.25;
 /// Weight of a new sample in a service time ratio.
-const RATIO_GAIN: f64 = 0.1;
+const SERVICE_TIME_RATIO_GAIN: f64 = 0.1;
 /// Step by which the learned usual service time moves, as a log ratio.
-const USUAL_STEP: f64 = 0.03;
+const USUAL_RATIO_STEP: f64 = 0.03;
 /// Quantile of the samples taken as usual: below the median, so that congestion does not become usual.
-const USUAL_QUANTILE: f64 = 0.4;
+const USUAL_RATIO_QUANTILE: f64 = 0.4;
 /// Smallest share of its cores that an engine counts with, however slow it appears.
 const MIN_CORES_SHARE: f64 = 0.2;
 const LIST_RETRY_DELAY: Micros = Micros::from_millis(2000);
@@ -49,18 +49,18 @@
 /// Without notes, an attempt is overdue after this multiple of a new attempt's time.
 const OVERDUE_FACTOR: f64 = 5.0;
 /// The same for a query that may have waited for a load, as its time varies more.
-const OVERDUE_BEHIND_LOAD: f64 = 8.0;
+const OVERDUE_FACTOR_BEHIND_LOAD: f64 = 8.0;
 /// Memory grant relative to the estimate, before spills are learned.
 const GRANT_FACTOR: f64 = 1.25;
 /// Weight of a spill note in the margin added to the grant, the margin's limit, its decay per answer.
-const SPILL_GAIN: f64 = 0.1;
-const MAX_SPILL: f64 = 3.0;
-const SPILL_DECAY: f64 = 0.005;
+const SPILL_MARGIN_GAIN: f64 = 0.1;
+const MAX_SPILL_MARGIN: f64 = 3.0;
+const SPILL_MARGIN_DECAY: f64 = 0.005;
 const MAX_PRIORITY: usize = 3;
 /// Weight of a new sample in a moving mean.
 const MEAN_GAIN: f64 = 0.05;
 /// Limit of one answer's effect on the service time ratio: a heavy query is not a slow engine.
-const MAX_LOG_RATIO: f64 = 1.5;
+const MAX_LOG_RATIO_DEVIATION: f64 = 1.5;
 /// How long another gateway's load, noticed by a query that waits for it, is assumed to run.
 const FOREIGN_LOAD_DURATION: Micros = Micros::from_millis(800);
 const CHECK_INTERVAL: Micros = Micros::from_millis(10);
@@ -69,13 +69,13 @@
 /// A load report younger than this replaces a probe; a probe unanswered for this long has failed.
 const PROBE_TTL: Micros = Micros::from_millis(150);
 /// Reported threads per core from which an engine has no free slot; with all cores busy it counts as 2.
-const FULL_LOAD: f64 = 1.8;
+const FULL_REPORTED_LOAD: f64 = 1.8;
 /// The same for a light class where engines heed priorities: it runs ahead of the other queries.
-const FULL_LOAD_LIGHT: f64 = 2.0 * FULL_LOAD;
+const FULL_REPORTED_LOAD_LIGHT_CLASS: f64 = 2.0 * FULL_REPORTED_LOAD;
 
 /// Most Credit First among numbered parties (classes, or the tenants of one class).
 impl Credit {
-    fn by_credit(&self, mut waiting: Vec<usize>) -> Vec<usize> {
+    fn sorted_by_credit(&self, mut waiting: Vec<usize>) -> Vec<usize> {
         waiting.sort_by(|a, b| self.credit[*b].total_cmp(&self.credit[*a]));
         waiting
     }
@@ -94,8 +94,8 @@
 
 impl EngineView {
     /// Cores, less what slow hardware or a noisy neighbour takes as far as service times show it.
-    fn net_cores(&self, median_ratio: f64) -> f64 {
-        let share = (median_ratio - self.service_time_ratio).exp();
+    fn effective_cores(&self, median_service_time_ratio: f64) -> f64 {
+        let share = (median_service_time_ratio - self.service_time_ratio).exp();
         self.cores * share.clamp(MIN_CORES_SHARE, 1.0)
     }
 
@@ -126,20 +126,20 @@
     pub(crate) has_small_share: bool,
     /// Multiple of its share of the fleet that this gateway may have in flight.
     pub(crate) concurrency_limit: ConcurrencyLimit,
-    pub(crate) ejection: EjectionPolicy,
+    pub(crate) ejection_policy: EjectionPolicy,
     /// Mean over the received requests.
     mean_worth: MovingMean,
     /// Means over the answered attempts; their ratio is the mean number of threads of a query in flight.
-    mean_thread_time: MovingMean,
-    mean_attempt_time: MovingMean,
+    mean_thread_time_us: MovingMean,
+    mean_attempt_time_us: MovingMean,
     pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
     /// Requests accepted, and attempts after their first, within the attempt budget's window.
     pub(crate) accepted: SlidingWindow,
     pub(crate) extra_attempts: SlidingWindow,
     resubscribe_at: Option<Micros>,
-    timer_set: bool,
+    is_timer_set: bool,
     /// Requests that arrived in this call.
-    arrivals: Vec<RequestId>,
+    arrived_requests: Vec<RequestId>,
     actions: Vec<Action>,
 }
 
@@ -157,7 +157,7 @@
             resubscribe_at: on_request.then_some(Micros(0)),
             has_small_share: settings.has_small_share(),
             concurrency_limit: settings.concurrency_limit(),
-            ejection: settings.ejection_policy(),
+            ejection_policy: settings.ejection_policy(),
             settings,
             seed,
             ..Gateway::default()
@@ -170,22 +170,22 @@
         self.started_at.get_or_insert(now);
         for event in events {
             self.scan.is_outdated |= affects_engines(&event);
-            self.apply(event);
+            self.apply_event(event);
         }
         self.refresh_scan();
         self.grow_admission_tokens();
         self.check_requests();
-        while self.release().is_some() {}
+        while self.release_next().is_some() {}
         self.refuse_over_queue_bound();
         let needs_timer = !self.requests.is_empty() || self.resubscribe_at.is_some();
-        if needs_timer && !std::mem::replace(&mut self.timer_set, true) {
+        if needs_timer && !std::mem::replace(&mut self.is_timer_set, true) {
             let (timer, at) = (TimerId(0), self.now + CHECK_INTERVAL);
             self.actions.push(Action::Timer { timer, at });
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn apply(&mut self, event: Event) -> Option<()> {
+    fn apply_event(&mut self, event: Event) -> Option<()> {
         match event {
             Event::List { kind, engines } => self.update_engine_list(kind, engines),
             Event::ListFailed => self.resubscribe_at = Some(self.now + LIST_RETRY_DELAY),
@@ -195,7 +195,7 @@
             Event::Ended(end) => self.attempt_ended(end)?,
             Event::ClientLeft(id) => self.close_request(id)?,
             Event::Probed(id, found, load) => self.record_reply(id, found == Outcome::Ok, load)?,
-            Event::Timer(_) => self.timer_set = false,
+            Event::Timer(_) => self.is_timer_set = false,
             Event::Shutdown => self.shut_down(),
         }
         Some(())
@@ -212,7 +212,10 @@
             let kind = entry.kind.and_then(|kind| self.settings.kinds.get(kind.0));
             let kind = kind.cloned().unwrap_or_default();
             self.ring.add(entry.id);
-            self.engines.entry(entry.id).or_default().apply(entry, kind);
+            self.engines
+                .entry(entry.id)
+                .or_default()
+                .apply_entry(entry, kind);
         }
         let is_known = |engine: &EngineView| engine.is_listed() || engine.attempts_in_flight > 0;
         self.engines.retain(|_, engine| is_known(engine));
@@ -221,18 +224,20 @@
 
     /// Threads that this gateway may have in flight on an engine under pressure.
     pub(crate) fn thread_budget(&self, engine: &EngineView) -> f64 {
-        engine.net_cores(self.fleet.median_ratio) * THREADS_PER_CORE / self.settings.gateway_count()
+        engine.effective_cores(self.fleet.median_service_time_ratio) * THREADS_PER_CORE
+            / self.settings.gateway_count()
     }
 
     /// Reported threads per core of the engine, unless the report is outdated.
-    fn recent_load(&self, engine: &EngineView) -> Option<f64> {
-        let (load, at) = engine.report?;
+    fn recent_reported_load(&self, engine: &EngineView) -> Option<f64> {
+        let (load, at) = engine.reported_load?;
         (self.now < at + REPORT_TTL).then_some(load)
     }
 
     /// Own threads per core, plus the slowdown of answers if this gateway's share is too small to tell.
     fn utilization(&self, engine: &EngineView) -> f64 {
-        let own = engine.total_threads() / engine.net_cores(self.fleet.median_ratio);
+        let own =
+            engine.total_threads() / engine.effective_cores(self.fleet.median_service_time_ratio);
         let slowdown = engine.congestion.slowdown(self.now.0);
         own + if self.has_small_share { slowdown } else { 0.0 }
     }
@@ -241,18 +246,24 @@
     /// under pressure, and within this gateway's share of the memory, as spills multiply the work. Memory
     /// estimates that are far too high may hold queries back.
     fn has_slot(&self, engine: &EngineView, request: &Request) -> bool {
-        let pressure =
-            engine.service_time_ratio > PRESSURE_SLOWDOWN.ln() || self.now < engine.pressure_until;
+        let pressure = engine.service_time_ratio > MIN_PRESSURE_SLOWDOWN.ln()
+            || self.now < engine.pressure_until;
         let limit = self.thread_budget(engine) * if pressure { 1.0 } else { OWN_BUDGET_FACTOR };
-        let memory_mb = engine.total_memory_mb() + self.needed_mb(request);
+        let memory_mb = engine.total_memory_mb() + self.required_memory_mb(request);
         let memory_fits = memory_mb * self.settings.gateway_count() <= engine.memory_mb;
         if request.threads > self.thread_quota(engine) {
             return false;
         }
         if self.has_small_share {
-            let ahead = self.settings.takes_priorities && self.is_light(request.class);
-            let full_load = if ahead { FULL_LOAD_LIGHT } else { FULL_LOAD };
-            return self.recent_load(engine).is_none_or(|load| load < full_load);
+            let ahead = self.settings.takes_priorities && self.is_light_class(request.class);
+            let full_load = if ahead {
+                FULL_REPORTED_LOAD_LIGHT_CLASS
+            } else {
+                FULL_REPORTED_LOAD
+            };
+            return self
+                .recent_reported_load(engine)
+                .is_none_or(|load| load < full_load);
         }
         engine.total_threads() == 0.0
             || (engine.total_threads() + request.threads <= limit && memory_fits)
@@ -267,13 +278,14 @@
         if !self.has_small_share {
             return true;
         }
-        let light = self.is_light(request.class);
+        let light = self.is_light_class(request.class);
         let (mut threads, mut memory_mb) = (0.0, 0.0);
-        let sent = |other: &&Request| other.attempts_in_flight() > 0 && !self.on_cold_engine(other);
+        let sent =
+            |other: &&Request| other.attempts_in_flight() > 0 && !self.is_on_cold_engine(other);
         let own = self.requests.values().filter(sent);
         let own = own.map(|other| (other.class, other.threads, other.granted_memory_mb));
         for (class, class_threads, class_memory_mb) in own.chain(self.siblings.class_usage()) {
-            if !light || self.is_light(class) {
+            if !light || self.is_light_class(class) {
                 threads += class_threads;
                 memory_mb += class_memory_mb;
             }
@@ -281,17 +293,17 @@
         // Light queries take little and run first on engines: they may always use the full share.
         let multiple = self.concurrency_limit.limit(if light { 1.0 } else { 0.0 });
         let fraction = self.pseudo_random(request.query.id.0);
-        let max_memory_mb = self.fleet.memory_share_mb
+        let max_memory_mb = self.fleet.share_memory_mb
             * (MEMORY_PER_THREAD_SHARE * multiple)
                 .min(MAX_MEMORY_SHARE * self.concurrency_limit.traffic_ratio());
         request.threads <= self.siblings.quota.0
-            && threads + fraction * request.threads <= self.fleet.thread_share * multiple
+            && threads + fraction * request.threads <= self.fleet.share_threads * multiple
             && (self.settings.queues_for_memory
-                || memory_mb + fraction * self.needed_mb(request) <= max_memory_mb)
+                || memory_mb + fraction * self.required_memory_mb(request) <= max_memory_mb)
     }
 
     /// Memory that the query needs, by its estimate and the recent spills of its class.
-    fn needed_mb(&self, request: &Request) -> f64 {
+    fn required_memory_mb(&self, request: &Request) -> f64 {
         request.query.memory_mb * (GRANT_FACTOR + self.stats[request.class].spill_margin)
     }
 
@@ -318,10 +330,16 @@
         }
         let unknown = self.settings.tenants.len();
         let tenant = query.tenant.map_or(unknown, |tenant| tenant.0.min(unknown));
-        let max_tries = self.settings.attempts_allowed();
-        let request = Request::new(query, tenant, class_settings.threads, max_tries, self.now);
+        let max_attempts = self.settings.attempt_limit();
+        let request = Request::new(
+            query,
+            tenant,
+            class_settings.threads,
+            max_attempts,
+            self.now,
+        );
         self.requests.insert(id, request);
-        self.arrivals.push(id);
+        self.arrived_requests.push(id);
         self.probe_candidates(id);
         let queues_empty = self.queues.waiting_classes().is_empty();
         if let Some(engine) = self.choose_engine(id).filter(|_| queues_empty) {
@@ -336,7 +354,7 @@
         let enabled =
             self.settings.load_reports == LoadReportMode::InProbes && self.settings.may_probe;
         let request = self.requests.get(&id)?;
-        if !enabled || self.is_light(request.class) || !self.has_small_share {
+        if !enabled || self.is_light_class(request.class) || !self.has_small_share {
             return None;
         }
         let count = self.probe_count(request.class);
@@ -348,7 +366,9 @@
         let now = self.now;
         for to in candidates {
             let engine = self.engines.get_mut(&to)?;
-            let is_fresh = engine.report.is_some_and(|(_, at)| now < at + PROBE_TTL);
+            let is_fresh = engine
+                .reported_load
+                .is_some_and(|(_, at)| now < at + PROBE_TTL);
             if !is_fresh && now >= engine.probed_at + PROBE_TTL {
                 engine.probed_at = now;
                 self.actions.push(Action::Probe { engine: to });
@@ -368,25 +388,30 @@
     /// newest one of the tenant farthest over its share goes first: otherwise a tenant that floods the queue
     /// would get the requests of others refused.
     fn refuse_over_queue_bound(&mut self) {
-        for id in std::mem::take(&mut self.arrivals).into_iter().rev() {
+        for id in std::mem::take(&mut self.arrived_requests).into_iter().rev() {
             let request = self.requests.get(&id).filter(|request| request.is_queued);
             let class = request.map_or(0, |request| request.class);
             let max_wait_s = self.settings.classes[class].on_time.0 as f64 / 1e6;
             let bound = self.release_rate(class) * max_wait_s;
             if request.is_some() && self.queues.len(class) as f64 > bound.max(MIN_QUEUE_BOUND) {
-                let victim = self.queues.over_share(class, &self.tenant_credit[class]);
+                let victim = self
+                    .queues
+                    .newest_over_share(class, &self.tenant_credit[class]);
                 self.give_up(victim.unwrap_or(id));
             }
         }
     }
 
-    fn is_light(&self, class: usize) -> bool {
-        let costs = self.settings.active_classes().map(|c| self.thread_secs(c));
-        self.thread_secs(class) < LIGHT_RATIO * costs.fold(0.0, f64::max)
+    fn is_light_class(&self, class: usize) -> bool {
+        let costs = self
+            .settings
+            .active_classes()
+            .map(|c| self.mean_thread_seconds(c));
+        self.mean_thread_seconds(class) < LIGHT_CLASS_RATIO * costs.fold(0.0, f64::max)
     }
 
     /// Mean thread seconds of a request of the class; by its time limit before the first answer.
-    pub(crate) fn thread_secs(&self, class: usize) -> f64 {
+    pub(crate) fn mean_thread_seconds(&self, class: usize) -> f64 {
         let class_settings = &self.settings.classes[class];
         let limit = class_settings.on_time.0 as f64;
         let us = self.stats[class].attempt_us.0.unwrap_or(limit).max(1000.0);
@@ -396,11 +421,16 @@
     /// Credit that a release costs: 1, or for a light class its part of the heaviest waiting class's thread
     /// seconds. At equal prices one heavy query per light one would starve the light class, although all its
     /// queries together take little. No effect if classes are alike.
-    fn price(&self, class: usize) -> f64 {
+    fn release_price(&self, class: usize) -> f64 {
         let waiting = self.queues.waiting_classes();
-        let costs = waiting.iter().map(|&other| self.thread_secs(other));
-        let share = self.thread_secs(class) / costs.fold(self.thread_secs(class), f64::max);
-        if share < LIGHT_RATIO { share } else { 1.0 }
+        let costs = waiting.iter().map(|&other| self.mean_thread_seconds(other));
+        let share =
+            self.mean_thread_seconds(class) / costs.fold(self.mean_thread_seconds(class), f64::max);
+        if share < LIGHT_CLASS_RATIO {
+            share
+        } else {
+            1.0
+        }
     }
 
     /// Releases of the class per second while it and all classes that wait now keep waiting.
@@ -409,18 +439,22 @@
         waiting.retain(|other| *other != class);
         waiting.push(class);
         let worth = |class: usize| self.settings.classes[class].worth;
-        let weight = |class| (worth(class) / self.price(class)).max(1e-9);
+        let weight = |class| (worth(class) / self.release_price(class)).max(1e-9);
         let costs = waiting
             .iter()
-            .map(|&other| weight(other) * self.thread_secs(other));
+            .map(|&other| weight(other) * self.mean_thread_seconds(other));
         let cost: f64 = costs.sum();
-        self.fleet.thread_share * weight(class) / cost
+        self.fleet.share_threads * weight(class) / cost
     }
 
-    fn release(&mut self) -> Option<()> {
+    fn release_next(&mut self) -> Option<()> {
         let (id, engine) = self.next_release()?;
         let request = self.requests.get(&id)?;
-        let (class, tenant, price) = (request.class, request.tenant, self.price(request.class));
+        let (class, tenant, price) = (
+            request.class,
+            request.tenant,
+            self.release_price(request.class),
+        );
         let classes = self.queues.waiting_classes();
         self.class_credit.charge(&classes, class, price);
         let tenants = self.queues.waiting_tenants(class);
@@ -431,8 +465,13 @@
 
     /// The request to release next, and its engine. A class or tenant without a slot yields its turn.
     fn next_release(&self) -> Option<(RequestId, EngineId)> {
-        for class in self.class_credit.by_credit(self.queues.waiting_classes()) {
-            for tenant in self.tenant_credit[class].by_credit(self.queues.waiting_tenants(class)) {
+        for class in self
+            .class_credit
+            .sorted_by_credit(self.queues.waiting_classes())
+        {
+            for tenant in
+                self.tenant_credit[class].sorted_by_credit(self.queues.waiting_tenants(class))
+            {
                 let queue = self.queues.by_class[class][tenant].iter();
                 for request in queue.filter_map(|id| self.requests.get(id)) {
                     let id = request.query.id;
@@ -441,7 +480,7 @@
                     }
                     // Key order, tried engines and a loading table group may block one but not the next.
                     let is_load = self.settings.classes[class].holds_group;
-                    if !is_load && request.attempts.is_empty() && self.key_ready(request) {
+                    if !is_load && request.attempts.is_empty() && self.key_order_allows(request) {
                         break;
                     }
                 }
@@ -478,7 +517,10 @@
         let usage = |engine: &EngineView| self.utilization(engine);
         let mean = eligible.iter().map(|e| usage(e)).sum::<f64>() / eligible.len() as f64;
         if let Some(probed_at) = request.probed_at {
-            let fresh = |e: &EngineView| e.report.is_some_and(|(_, at)| at + PROBE_TTL > probed_at);
+            let fresh = |e: &EngineView| {
+                e.reported_load
+                    .is_some_and(|(_, at)| at + PROBE_TTL > probed_at)
+            };
             let awaited = |e: &&EngineView| e.probed_at + PROBE_TTL > probed_at && !fresh(e);
             if self.now < probed_at + PROBE_TTL && eligible.iter().any(awaited) {
                 return None;
@@ -496,7 +538,7 @@
             prefer(&mut eligible, |engine| self.is_cold(engine, self.now));
         }
         self.sort_by_preference(request, &mut eligible);
-        let near = |engine: &&&EngineView| usage(engine) <= MAX_OVER_MEAN * mean;
+        let near = |engine: &&&EngineView| usage(engine) <= MAX_UTILIZATION_OVER_MEAN * mean;
         let least = || eligible.iter().min_by(|a, b| usage(a).total_cmp(&usage(b)));
         let chosen = eligible.iter().find(near).or_else(least);
         chosen.map(|engine| engine.entry.id)
@@ -537,15 +579,17 @@
         if report.and_then(|report| report.queries_waiting_for_memory) >= Some(1.0) {
             engine.pressure_until = self.now + PRESSURE_DURATION;
         }
-        let (thread_time, time) = (self.mean_thread_time.0, self.mean_attempt_time.0);
+        let (thread_time, time) = (self.mean_thread_time_us.0, self.mean_attempt_time_us.0);
         let threads = thread_time.zip(time).map_or(1.0, |(sum, time)| sum / time);
         let report = report.unwrap_or_default();
         let active = report.active_queries.map(|n| n * threads / engine.cores);
         let busy = report.busy_cores_share.map(|busy| busy * THREADS_PER_CORE);
-        let granted = report.granted_memory_share.map(|share| share * FULL_LOAD);
+        let granted = report
+            .granted_memory_share
+            .map(|share| share * FULL_REPORTED_LOAD);
         let loads = [active, busy, granted].into_iter().flatten();
         if let Some(load) = loads.max_by(f64::total_cmp) {
-            engine.report = Some((load, self.now));
+            engine.reported_load = Some((load, self.now));
         }
         if ok {
             engine.last_seen_at = self.now;
@@ -568,7 +612,7 @@
         let engine = self.engines.get_mut(&id)?;
         if engine
             .health
-            .record_failures(failures, self.now.0, self.ejection)
+            .record_failures(failures, self.now.0, self.ejection_policy)
         {
             let log = format!("engine {} ejected: {reason}", id.0);
             self.actions.push(Action::Log(log));
@@ -592,7 +636,7 @@
         let engine = self.engines.get_mut(&id)?;
         if engine
             .health
-            .record_stall(self.now.0, self.ejection, fraction)
+            .record_stall(self.now.0, self.ejection_policy, fraction)
         {
             let log = format!("engine {} ejected: its queries hardly progress", id.0);
             self.actions.push(Action::Log(log));
@@ -643,14 +687,24 @@
     /// engine's capacity. Queries that wait for memory are no congestion, as they cost no work.
     fn indicates_congestion(&self, request: &Request, end: &AttemptEnded) -> bool {
         // Twice the threshold if the work is only estimated: a heavy query is no congestion.
-        let factor = if end.work.is_some() { 1.0 } else { CONGESTED };
+        let factor = if end.work.is_some() {
+            1.0
+        } else {
+            CONGESTION_SLOWDOWN
+        };
         let engine = self.engines.get(&end.engine);
-        self.slowdown(request, end) > CONGESTED * factor
-            || engine.and_then(|engine| self.recent_load(engine)) > Some(FULL_LOAD)
+        self.slowdown(request, end) > CONGESTION_SLOWDOWN * factor
+            || engine.and_then(|engine| self.recent_reported_load(engine))
+                > Some(FULL_REPORTED_LOAD)
     }
 
     /// Updates the statistics of the class and the engine from an answer.
-    fn learn(&mut self, request: RequestId, engine: EngineId, end: &AttemptEnded) -> Option<()> {
+    fn learn_from_answer(
+        &mut self,
+        request: RequestId,
+        engine: EngineId,
+        end: &AttemptEnded,
+    ) -> Option<()> {
         self.concurrency_limit
             .adjust(self.indicates_congestion(self.requests.get(&request)?, end));
         let request = self.requests.get(&request)?;
@@ -659,18 +713,21 @@
         let us = end.elapsed.0.max(1) as f64;
         let ratio = (us / request.estimated_duration_us().unwrap_or(1e6)).ln();
         let usual = stats.usual_ratio.get_or_insert(ratio);
-        let deviation = (ratio - *usual).clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
-        let step = USUAL_QUANTILE - f64::from(u8::from(deviation < 0.0));
-        *usual += USUAL_STEP * step;
-        stats.service_time_ratio += RATIO_GAIN * (deviation - stats.service_time_ratio);
+        let deviation = (ratio - *usual).clamp(-MAX_LOG_RATIO_DEVIATION, MAX_LOG_RATIO_DEVIATION);
+        let step = USUAL_RATIO_QUANTILE - f64::from(u8::from(deviation < 0.0));
+        *usual += USUAL_RATIO_STEP * step;
+        stats.service_time_ratio +=
+            SERVICE_TIME_RATIO_GAIN * (deviation - stats.service_time_ratio);
         stats.attempt_us.add(MEAN_GAIN, us);
-        self.mean_thread_time.add(MEAN_GAIN, us * request.threads);
-        self.mean_attempt_time.add(MEAN_GAIN, us);
-        stats.spill_margin *= 1.0 - SPILL_DECAY;
+        self.mean_thread_time_us
+            .add(MEAN_GAIN, us * request.threads);
+        self.mean_attempt_time_us.add(MEAN_GAIN, us);
+        stats.spill_margin *= 1.0 - SPILL_MARGIN_DECAY;
         if let Some(engine) = self.engines.get_mut(&engine) {
-            engine.service_time_ratio += RATIO_GAIN * (deviation - engine.service_time_ratio);
+            engine.service_time_ratio +=
+                SERVICE_TIME_RATIO_GAIN * (deviation - engine.service_time_ratio);
             engine.congestion.record(self.now.0, slowdown);
-            if slowdown < CONGESTED {
+            if slowdown < CONGESTION_SLOWDOWN {
                 engine.health.record_fast_response(self.now.0);
             }
         }
@@ -683,18 +740,18 @@
     }
 
     fn may_send_now(&self, request: &Request) -> bool {
-        !request.answered && self.key_ready(request) && self.attempt_limits_allow(request)
+        !request.answered && self.key_order_allows(request) && self.attempt_limits_allow(request)
     }
 
     /// Whether this engine may get the request, if it may be sent at all now.
     fn may_send_to(&self, request: &Request, engine: &EngineView) -> bool {
         engine.is_listed()
-            && self.placed(request, &engine.entry)
+            && self.placement_allows(request, &engine.entry)
             && self.effect_allows(request, &engine.entry)
             && self.slow_start_allows(request, engine)
     }
 
-    fn placed(&self, request: &Request, engine: &Engine) -> bool {
+    fn placement_allows(&self, request: &Request, engine: &Engine) -> bool {
         let class = &self.settings.classes[request.class];
         let kinds = class.only_kinds.as_ref();
         let zones = class.only_zones.as_ref();
@@ -703,7 +760,7 @@
     }
 
     /// First in its key's order, and the key is not quiet after an earlier request that may still run.
-    fn key_ready(&self, request: &Request) -> bool {
+    fn key_order_allows(&self, request: &Request) -> bool {
         let ordered = self.settings.classes[request.class].in_key_order;
         let key = request.query.key.filter(|_| ordered);
         let Some(order) = key.and_then(|key| self.key_queues.get(&key)) else {
@@ -719,8 +776,11 @@
         if !self.may_send(request, engine) {
             return None;
         }
-        let (work, memory_mb) = (self.core_secs(request.class), self.needed_mb(request));
-        let starts_by = self.latest_start(request);
+        let (work, memory_mb) = (
+            self.mean_core_seconds(request.class),
+            self.required_memory_mb(request),
+        );
+        let starts_by = self.latest_repeat_start(request);
         if self.settings.takes_grants || self.settings.takes_priorities {
             self.actions.push(self.attempt_resources(request, engine));
         }
@@ -754,12 +814,13 @@
     /// priority from 1 by the class's rank in worth per thread second.
     fn attempt_resources(&self, request: &Request, engine: &EngineView) -> Action {
         let classes = self.settings.active_classes();
-        let worth = |class: usize| self.settings.classes[class].worth / self.thread_secs(class);
+        let worth =
+            |class: usize| self.settings.classes[class].worth / self.mean_thread_seconds(class);
         let own_worth = worth(request.class);
         let lower_classes = classes.filter(|class| worth(*class) < own_worth).count();
         let grants_used = f64::from(u8::from(self.settings.takes_grants));
         let largest_grant = (self.settings.max_grant_share * engine.memory_mb).floor();
-        let memory_mb = grants_used * self.needed_mb(request).ceil().min(largest_grant);
+        let memory_mb = grants_used * self.required_memory_mb(request).ceil().min(largest_grant);
         let priority = (1 + lower_classes).min(MAX_PRIORITY) as u8;
         Action::attempt_resources(request.query.id, memory_mb, priority)
     }
@@ -791,7 +852,7 @@
         self.record_reply(to, healthy, end.load_report);
         match end.outcome {
             Outcome::Rejected | Outcome::TimedOut => self.concurrency_limit.adjust(true),
-            Outcome::Ok => self.learn(end.request, to, &end)?,
+            Outcome::Ok => self.learn_from_answer(end.request, to, &end)?,
             _ => {}
         }
         if end.request_finished {
@@ -901,7 +962,8 @@
             Note::Spills(missing) => {
                 let shortfall = missing / request.query.memory_mb.max(1.0);
                 let stats = &mut self.stats[request.class];
-                stats.spill_margin = (stats.spill_margin + SPILL_GAIN * shortfall).min(MAX_SPILL);
+                stats.spill_margin =
+                    (stats.spill_margin + SPILL_MARGIN_GAIN * shortfall).min(MAX_SPILL_MARGIN);
                 self.record_pressure(to)
             }
             Note::WaitsForMemory => self.record_pressure(to),
@@ -909,7 +971,7 @@
             Note::Progress(_) => None,
         };
         let request = self.requests.get_mut(&id)?;
-        request.attempts[number.0 as usize].noted_at = self.now;
+        request.attempts[number.0 as usize].last_note_at = self.now;
         self.record_reply(to, true, None)
     }
 
@@ -943,7 +1005,7 @@
     fn has_bad_plan(&self, request: &Request, attempt: &Attempt, done: Option<f64>) -> bool {
         let stats = &self.stats[request.class];
         let class = &self.settings.classes[request.class];
-        let has_note = done.is_some() || attempt.noted_at > Micros(0);
+        let has_note = done.is_some() || attempt.last_note_at > Micros(0);
         let skip = class.holds_group || (class.waits_for_load && has_note);
         let Some((ratio, us)) = stats.usual_ratio.zip(stats.attempt_us.0).filter(|_| !skip) else {
             return false;
@@ -960,9 +1022,10 @@
         let scale = 2f64.powi(request.attempts.len() as i32 - 1);
         let due_us = new_us * slowness.exp().max(1.0) * scale / self.capacity_share(attempt.engine);
         let age_us = (self.now - attempt.sent_at).0 as f64;
-        let noted = self.now < attempt.noted_at + self.settings.note_interval.times(MISSED_NOTES);
+        let noted =
+            self.now < attempt.last_note_at + self.settings.note_interval.times(MISSED_NOTES);
         let overdue = if class.waits_for_load {
-            OVERDUE_BEHIND_LOAD
+            OVERDUE_FACTOR_BEHIND_LOAD
         } else {
             OVERDUE_FACTOR
         };
@@ -991,7 +1054,7 @@
     /// Cancels an attempt so that another replaces it, if the class and the limits allow a retry.
     fn cancel_for_retry(&mut self, id: RequestId, number: AttemptNo) -> Option<()> {
         let request = self.requests.get(&id)?;
-        let may_retry = request.attempts.len() < request.attempts_allowed;
+        let may_retry = request.attempts.len() < request.max_attempts;
         let effect = self.settings.classes[request.class].effect;
         if may_retry && matches!(effect, Effect::Repeatable | Effect::Keyed(DedupScope::All)) {
             self.cancel_attempt(id, number);
@@ -1006,7 +1069,7 @@
         let mut to_probe = Vec::new();
         for (id, request) in &self.requests {
             // The wait for a slot is limited by the class; that for the key's turn only by the client.
-            let needs_slot = request.attempts.is_empty() && self.key_ready(request);
+            let needs_slot = request.attempts.is_empty() && self.key_order_allows(request);
             let max_wait = self.settings.classes[request.class].on_time;
             let max_wait = if needs_slot { max_wait } else { Micros::MAX };
             let latest = request.deadline.min(request.ready_at + max_wait);
@@ -1028,7 +1091,7 @@
                     silent.insert(to);
                 }
                 // A healthy engine sends a note of each attempt in every interval; else the attempt is lost.
-                let last_note = attempt.noted_at.max(attempt.sent_at);
+                let last_note = attempt.last_note_at.max(attempt.sent_at);
                 let no_note = silence > Micros(0) && now > last_note + silence;
                 if in_flight && (unseen || no_note || self.has_bad_plan(request, attempt, None)) {
                     lost.push((*id, AttemptNo(number as u32), to, attempt.sent_at, unseen));
--- a/src/reconfigure.rs
+++ b/src/reconfigure.rs
@@ -8,7 +8,7 @@
 use sedgebeam_fleet::slow_start::AdmissionTokens;
 
 impl Settings {
-    pub(crate) fn attempts_allowed(&self) -> usize {
+    pub(crate) fn attempt_limit(&self) -> usize {
         match self.max_attempts {
             0 => usize::MAX,
             max => max as usize,
@@ -64,9 +64,9 @@
             *credit = credit.with_weights(tenant_shares(&settings.tenants));
         }
         self.queues.resize(settings.classes.len(), unknown + 1);
-        let attempts_allowed = settings.attempts_allowed();
+        let max_attempts = settings.attempt_limit();
         for request in self.requests.values_mut() {
-            request.attempts_allowed = request.attempts_allowed.min(attempts_allowed);
+            request.max_attempts = request.max_attempts.min(max_attempts);
             if request.tenant == old_unknown {
                 request.tenant = unknown;
             }
@@ -88,7 +88,7 @@
         self.has_small_share = settings.has_small_share();
         self.concurrency_limit
             .reconfigure(settings.concurrency_limit());
-        self.ejection = settings.ejection_policy();
+        self.ejection_policy = settings.ejection_policy();
     }
 }
 
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -24,13 +24,13 @@
         };
         is_deduplicated
             && self
-                .latest_start(request)
+                .latest_repeat_start(request)
                 .is_some_and(|latest| self.now < latest)
     }
 
     /// When a repeat must begin at the latest: engines drop it within the window after the first attempt that may
     /// have run.
-    pub(crate) fn latest_start(&self, request: &Request) -> Option<Micros> {
+    pub(crate) fn latest_repeat_start(&self, request: &Request) -> Option<Micros> {
         let class = &self.settings.classes[request.class];
         let keyed = matches!(class.effect, Effect::Keyed(_));
         let earlier = request.first_that_may_have_run().filter(|_| keyed)?;
@@ -46,6 +46,6 @@
                 > budget.free_attempts
                     + budget.extra_per_request * self.accepted.count(self.now, budget.window)
         });
-        made < request.attempts_allowed && in_flight <= copies && (made == 0 || !over_budget)
+        made < request.max_attempts && in_flight <= copies && (made == 0 || !over_budget)
     }
 }
--- a/src/sizing.rs
+++ b/src/sizing.rs
@@ -36,7 +36,7 @@
     }
 
     /// Requests per second at each gateway by the tenants' settings; zero if unknown.
-    fn expected_rate(&self) -> f64 {
+    fn expected_requests_per_second(&self) -> f64 {
         let rates = self
             .tenants
             .iter()
@@ -52,7 +52,11 @@
         } else {
             (MIN_SHARE_MULTIPLE, OWN_BUDGET_FACTOR)
         };
-        ConcurrencyLimit::new(OWN_BUDGET_FACTOR, bounds, self.expected_rate())
+        ConcurrencyLimit::new(
+            OWN_BUDGET_FACTOR,
+            bounds,
+            self.expected_requests_per_second(),
+        )
     }
 
     /// Largest concurrency limit of a gateway whose share is `share_threads`: what the engines can take from all
@@ -94,9 +98,11 @@
 
     /// Ejection policy; ejected engines are tried with the lightest query.
     pub(crate) fn ejection_policy(&self) -> EjectionPolicy {
-        let thread_secs = |class: &Class| class.threads.max(1.0) * class.on_time.0 as f64 / 1e6;
+        let mean_thread_seconds =
+            |class: &Class| class.threads.max(1.0) * class.on_time.0 as f64 / 1e6;
         let classes = self.active_classes().map(|index| &self.classes[index]);
-        let lightest = classes.map(thread_secs).fold(f64::MAX, f64::min) * LIGHTEST_QUERY_SHARE;
+        let lightest =
+            classes.map(mean_thread_seconds).fold(f64::MAX, f64::min) * LIGHTEST_QUERY_SHARE;
         let (gateways, cores) = (self.gateway_count(), self.max_cores());
         EjectionPolicy::new(gateways, cores, lightest, self.has_small_share())
     }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -7,13 +7,13 @@
 use sedgebeam_fleet::slow_start;
 
 /// Share of its part of a cold engine's budget that a gateway uses, as estimates vary.
-const COLD_MARGIN: f64 = 0.5;
+const COLD_BUDGET_SHARE: f64 = 0.5;
 
 impl Gateway {
     /// Core seconds that a send counts on a cold engine: the mean work of its class.
-    pub(crate) fn core_secs(&self, class: usize) -> f64 {
+    pub(crate) fn mean_core_seconds(&self, class: usize) -> f64 {
         let work = self.stats[class].work_us.0;
-        work.map_or(self.thread_secs(class), |work| work / 1e6)
+        work.map_or(self.mean_thread_seconds(class), |work| work / 1e6)
     }
 
     /// Whether the engine is still in slow start.
@@ -43,7 +43,7 @@
     }
 
     /// Whether the request's attempt in flight is on a cold engine, allowed by an admission token.
-    pub(crate) fn on_cold_engine(&self, request: &Request) -> bool {
+    pub(crate) fn is_on_cold_engine(&self, request: &Request) -> bool {
         let in_flight = |attempt: &&Attempt| attempt.outcome.is_none();
         let attempt = request.attempts.iter().rfind(in_flight);
         let engine = attempt.and_then(|attempt| self.engines.get(&attempt.engine));
@@ -63,9 +63,10 @@
             return settled && engine.admission_tokens.is_available(request.class, now.0);
         }
         let capacity = engine.cores * settings.start_capacity * window.0 as f64 / 1e6;
-        let budget = settings.overload_multiple * capacity * COLD_MARGIN / settings.gateway_count();
+        let budget =
+            settings.overload_multiple * capacity * COLD_BUDGET_SHARE / settings.gateway_count();
         let sent = engine.cold_work_core_s(now, window);
-        settled && sent + self.core_secs(request.class) <= budget
+        settled && sent + self.mean_core_seconds(request.class) <= budget
     }
 
     /// Adds admission tokens for cold engines.
@@ -75,7 +76,7 @@
         }
         let (now, settings, gateway) = (self.now, &self.settings, self.gateway_index());
         let slow_start = settings.slow_start();
-        let works = (0..settings.classes.len()).map(|class| self.core_secs(class));
+        let works = (0..settings.classes.len()).map(|class| self.mean_core_seconds(class));
         let works: Vec<f64> = works.collect();
         // Each class counts one request in advance, as a gateway that has just started has seen none.
         let total_accepted: f64 = self
--- a/src/state.rs
+++ b/src/state.rs
@@ -11,7 +11,7 @@
     pub engine: EngineId,
     pub sent_at: Micros,
     /// Time of the engine's last note about it; zero before the first.
-    pub noted_at: Micros,
+    pub last_note_at: Micros,
     /// `None` while it is in flight.
     pub outcome: Option<Outcome>,
     /// Cancelled by the gateway; may still be in flight.
@@ -23,7 +23,7 @@
         Attempt {
             engine,
             sent_at,
-            noted_at: Micros(0),
+            last_note_at: Micros(0),
             outcome: None,
             cancelled: false,
         }
@@ -42,7 +42,7 @@
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
     /// Smallest limit configured since its arrival.
-    pub attempts_allowed: usize,
+    pub max_attempts: usize,
     pub is_queued: bool,
     /// It has its final answer, and is kept only while an attempt is in flight.
     pub answered: bool,
@@ -56,7 +56,7 @@
         query: Query,
         tenant: usize,
         threads: f64,
-        attempts_allowed: usize,
+        max_attempts: usize,
         now: Micros,
     ) -> Request {
         Request {
@@ -68,7 +68,7 @@
             deadline: now + query.remaining,
             query,
             attempts: Vec::new(),
-            attempts_allowed,
+            max_attempts,
             is_queued: false,
             answered: false,
             answer_started: false,
@@ -122,7 +122,7 @@
     pub service_time_ratio: f64,
     pub pressure_until: Micros,
     /// Last reported load in threads per core, and its time; and the time of the last probe.
-    pub report: Option<(f64, Micros)>,
+    pub reported_load: Option<(f64, Micros)>,
     pub probed_at: Micros,
     /// Table groups that loads of this gateway hold there, one entry per load.
     pub loading_groups: Vec<TableGroupId>,
@@ -180,10 +180,10 @@
     }
 
     /// Applies a new entry of the engine list; after a restart of the engine its statistics start anew.
-    pub fn apply(&mut self, entry: Engine, kind: Kind) {
+    pub fn apply_entry(&mut self, entry: Engine, kind: Kind) {
         (self.cores, self.memory_mb) = (kind.cores.max(1.0), kind.memory_mb);
         if entry.started_at > self.entry.started_at {
-            (self.report, self.service_time_ratio) = (None, 0.0);
+            (self.reported_load, self.service_time_ratio) = (None, 0.0);
             (self.health, self.admission_tokens) = (Health::default(), AdmissionTokens::default());
             self.congestion = Congestion::default();
         }
@@ -332,7 +332,7 @@
     /// The newest request of the tenant with the most queued requests after its first per weight; `None` if no
     /// tenant has two. The first is free, as in queues as short as those of one gateway among hundreds the only
     /// request of a tenant with a small weight would always be over its share.
-    pub fn over_share(&self, class: usize, tenants: &Credit) -> Option<RequestId> {
+    pub fn newest_over_share(&self, class: usize, tenants: &Credit) -> Option<RequestId> {
         let siblings = self.sibling_counts(class);
         let queues = self.by_class[class]
             .iter()
@@ -366,10 +366,10 @@
 #[derive(Default)]
 pub(crate) struct FleetTotals {
     /// Median of the engines' service time ratios.
-    pub median_ratio: f64,
+    pub median_service_time_ratio: f64,
     /// This gateway's share of the threads and of the memory of all engines.
-    pub thread_share: f64,
-    pub memory_share_mb: f64,
+    pub share_threads: f64,
+    pub share_memory_mb: f64,
 }
 
 /// A fixed mixing function: every gateway derives the same order and choices from the same value.
@@ -389,8 +389,8 @@
 
 impl KeyQueue {
     /// Removes a request; returns the next one if the removed one was first.
-    pub fn remove(&mut self, id: RequestId, rests_until: Micros) -> Option<RequestId> {
-        self.quiet_until = self.quiet_until.max(rests_until);
+    pub fn remove(&mut self, id: RequestId, quiet_until: Micros) -> Option<RequestId> {
+        self.quiet_until = self.quiet_until.max(quiet_until);
         let was_first = self.queue.front() == Some(&id);
         self.queue.retain(|other| *other != id);
         self.queue.front().copied().filter(|_| was_first)
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -1,7 +1,7 @@
 //! The subset of engines that one of many gateways sends to, and the slowdown by which answers indicate congestion.
 
 use crate::interface::{AttemptEnded, EngineId};
-use crate::policy::{CONGESTED, Gateway};
+use crate::policy::{CONGESTION_SLOWDOWN, Gateway};
 use crate::state::{EngineView, Request, prefer, splitmix64};
 use sedgebeam_fleet::subset;
 use std::collections::BTreeSet;
@@ -79,7 +79,7 @@
         }
         let ring = &self.scan.warm_ring;
         prefer(eligible, |engine| {
-            engine.congestion.slowdown(self.now.0) < CONGESTED
+            engine.congestion.slowdown(self.now.0) < CONGESTION_SLOWDOWN
         });
         let find = |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
         let (index, gateways) = (
