--- a/src/state.rs
+++ b/src/state.rs
@@ -15,7 +15,7 @@
     /// `None` while it is in flight.
     pub outcome: Option<Outcome>,
     /// Cancelled by the gateway; may still be in flight.
-    pub cancelled: bool,
+    pub is_cancelled: bool,
 }
 
 impl Attempt {
@@ -25,7 +25,7 @@
             sent_at,
             last_note_at: Micros(0),
             outcome: None,
-            cancelled: false,
+            is_cancelled: false,
         }
     }
 }
@@ -45,7 +45,7 @@
     pub max_attempts: usize,
     pub is_queued: bool,
     /// It has its final answer, and is kept only while an attempt is in flight.
-    pub answered: bool,
+    pub is_answered: bool,
     pub answer_started: bool,
     /// When engines were last probed for their load on its behalf.
     pub probed_at: Option<Micros>,
@@ -70,7 +70,7 @@
             attempts: Vec::new(),
             max_attempts,
             is_queued: false,
-            answered: false,
+            is_answered: false,
             answer_started: false,
             probed_at: None,
         }
@@ -329,9 +329,9 @@
         own + self.sibling_counts(class).iter().sum::<usize>()
     }
 
-    /// The newest request of the tenant with the most queued requests after its first per weight; `None` if no
-    /// tenant has two. The first is free, as in queues as short as those of one gateway among hundreds the only
-    /// request of a tenant with a small weight would always be over its share.
+    /// The newest request of the tenant with the most queued requests after its first per weight; `None` if
+    /// no tenant has two. The first is free, as in queues as short as those of one gateway among hundreds the
+    /// only request of a tenant with a small weight would always be over its share.
     pub fn newest_over_share(&self, class: usize, tenants: &Credit) -> Option<RequestId> {
         let siblings = self.sibling_counts(class);
         let queues = self.by_class[class]
