--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,6 +1,6 @@
 //! Handover between two processes of one dispatcher, whose gateways together act as one: exports usage and
-//! learned statistics, and applies those of the peer process. Contains no decisions; without a peer's state, a
-//! gateway acts alone.
+//! learned statistics, and applies those of the peer process. Contains no decisions; a gateway without a peer
+//! process acts alone.
 
 use crate::interface::*;
 use crate::policy::Gateway;
@@ -8,12 +8,12 @@
 use crate::state::{ClassStats, MovingMean, Request};
 use std::collections::BTreeMap;
 
-/// A gateway's usage of engines, and what it has learned.
+/// A gateway's usage of engines, and its learned statistics.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
     pub engines: Vec<EngineHandover>,
     pub classes: Vec<ClassHandover>,
-    /// Multiple of its share of the fleet that it may have in flight.
+    /// Multiple of its share of the fleet that the gateway may have in flight.
     pub concurrency_limit: f64,
 }
 
@@ -35,14 +35,17 @@
 pub struct ClassHandover {
     pub name: String,
     pub usage: ClassUsage,
-    /// Usual log ratio of an attempt's time to its estimated time, and the recent log ratio to that.
+    /// Usual log ratio of an attempt's time to its estimated time; `None` before the first answer.
     pub usual_ratio: Option<f64>,
+    /// Moving mean of the log ratio of an attempt's time to the usual one.
     pub service_time_ratio: f64,
-    /// Mean time of an attempt, and mean estimated work.
+    /// Mean time of an attempt; `None` before the first answer.
     pub mean_attempt_us: Option<f64>,
+    /// Mean estimated work of a request; `None` before the first estimate.
     pub mean_work_us: Option<f64>,
+    /// Number of requests accepted so far.
     pub accepted_requests: f64,
-    /// Learned addition to the memory grant, as a share of the estimate.
+    /// Learned addition to the memory grant, as a multiple of the estimate.
     pub spill_margin: f64,
 }
 
@@ -90,7 +93,8 @@
         }
     }
 
-    /// Adopts the statistics of another process of this gateway where this one has none.
+    /// Adopts the learned statistics of another process of this gateway. Those of a class are adopted only if
+    /// this process has accepted no request of it.
     pub fn restore(&mut self, state: &HandoverState) {
         self.scan.is_outdated = true;
         for (class, stats) in self.settings.classes.iter().zip(&mut self.stats) {
@@ -119,14 +123,15 @@
 
     /// Gives every request its final answer, as the process is about to end.
     pub(crate) fn shut_down(&mut self) {
-        let open: Vec<RequestId> = self.requests.keys().copied().collect();
-        for id in open {
+        let open_requests: Vec<RequestId> = self.requests.keys().copied().collect();
+        for id in open_requests {
             self.give_up(id);
         }
     }
 
-    /// Sets the combined usage of the peer processes; empty if there are none. While another process sends to cold
-    /// engines (`may_use_cold_engines` is false), this one does not, nor for one overload window after that.
+    /// Sets the combined usage of the peer processes, which is empty if there are none.
+    /// `may_use_cold_engines` is false while a peer process sends to cold engines: this gateway then sends
+    /// nothing to them, until one overload window has passed after that.
     pub fn set_peer_process_usage(
         &mut self,
         now: Micros,
@@ -186,7 +191,7 @@
         self
     }
 
-    /// Adds the usage of another process; statistics of the first one take precedence.
+    /// Adds the usage of another process. Where both have statistics, those of `self` are kept.
     pub fn merge(mut self, other: HandoverState) -> HandoverState {
         for engine in other.engines {
             match self
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -260,7 +260,7 @@
         }
         let is_kept = |engine: &EngineView| engine.is_listed() || engine.attempts_in_flight > 0;
         self.engines.retain(|_, engine| is_kept(engine));
-        self.ring.keep(|id| self.engines.contains_key(&id));
+        self.ring.retain(|id| self.engines.contains_key(&id));
     }
 
     /// Threads that this gateway may have in flight on an engine under pressure.
--- a/src/sharding.rs
+++ b/src/sharding.rs
@@ -1,9 +1,9 @@
-//! One gateway as several shards: each decides for its own requests, and together they keep the limits of one gateway.
+//! One gateway as several shards: each shard decides for its own requests, and together they keep the limits
+//! of one gateway. Contains no decisions; a gateway without siblings acts alone.
 //!
-//! A shard gets the usage of its siblings before it decides ([`Gateway::update_siblings`]) and publishes its own
-//! afterwards ([`Gateway::publish`]). In between it sends at most its thread quota, so that shards that decide at
-//! the same time can't exceed together what one gateway would send. Contains no decisions; a gateway without
-//! siblings acts alone.
+//! A shard gets the usage of its siblings before it decides ([`Gateway::update_siblings`]) and publishes its
+//! own afterwards ([`Gateway::publish`]). In between it sends at most its thread quota. Shards that decide at
+//! the same time therefore can't send more than one gateway would.
 
 use crate::interface::{EngineId, Event, Micros};
 use crate::policy::Gateway;
@@ -14,7 +14,7 @@
 use crate::state::{EngineView, Queues, Request};
 use std::collections::BTreeMap;
 
-/// Changes of credits between two lists; new parties start at zero.
+/// Change of each party's credit between two lists; parties that the first list lacks start at zero.
 fn credit_changes(before: &[f64], after: &[f64]) -> Vec<f64> {
     let before = before.iter().copied().chain(std::iter::repeat(0.0));
     after
@@ -32,7 +32,7 @@
 }
 
 impl Gateway {
-    /// What this shard could send once it has handled these events.
+    /// What this shard could send once it has handled `events`.
     pub fn demand(&self, now: Micros, events: &[Event]) -> Demand {
         let mut arriving_threads = 0.0;
         let mut ended_threads: BTreeMap<EngineId, f64> = BTreeMap::new();
@@ -61,7 +61,8 @@
                 engine: engine.entry.id,
                 max_threads: self.max_threads(engine),
                 is_cold: self.is_cold(engine, now),
-                // At most the threads in flight: cancelled attempts may have been counted as ended before.
+                // Limited to the threads in flight, as cancelled attempts may have been counted as ended
+                // before.
                 ended_threads: ended.min(engine.threads_in_flight),
             }
         });
@@ -77,17 +78,17 @@
         self.thread_budget(engine) * OWN_BUDGET_FACTOR
     }
 
-    /// Threads that may be sent to the engine now.
+    /// Threads that this shard may send to the engine now.
     pub(crate) fn thread_quota(&self, engine: &EngineView) -> f64 {
-        let unknown = self.siblings.is_sharded && !engine.siblings_known;
-        if unknown {
+        let is_usage_unknown = self.siblings.is_sharded && !engine.siblings_known;
+        if is_usage_unknown {
             0.0
         } else {
             engine.siblings.quota.0
         }
     }
 
-    /// Applies the usage of the siblings, and the quota until the next `publish`.
+    /// Applies the usage of the siblings, and the quota for this shard's sends until it publishes its usage.
     pub fn update_siblings(&mut self, siblings: SiblingUsage) {
         self.scan.is_outdated |= !self.siblings.is_sharded;
         for usage in siblings.engines {
@@ -115,7 +116,8 @@
         };
     }
 
-    /// Returns the current usage, and the work and credits since the last call.
+    /// Returns the current usage, the work sent since the last call, and the changes of credits since the
+    /// last update of the siblings' usage.
     pub fn publish(&mut self) -> ShardUsage {
         let mut classes = vec![ClassUsage::default(); self.settings.classes.len()];
         let mut last_deadline = Micros(0);
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,6 +7,7 @@
 use sedgebeam_fleet::subset::Congestion;
 use std::collections::VecDeque;
 
+/// One attempt of a request: one send to an engine.
 pub(crate) struct Attempt {
     pub engine: EngineId,
     pub sent_at: Micros,
@@ -14,7 +15,7 @@
     pub last_note_at: Micros,
     /// `None` while it is in flight.
     pub outcome: Option<Outcome>,
-    /// Cancelled by the gateway; may still be in flight.
+    /// Cancelled by the gateway. Its outcome may still be pending.
     pub is_cancelled: bool,
 }
 
@@ -30,22 +31,27 @@
     }
 }
 
+/// A request of a client, until it has its final answer and no attempt in flight.
 pub(crate) struct Request {
     pub query: Query,
+    /// Index of its class.
     pub class: usize,
+    /// Index of its tenant; the last index is for requests without a known tenant.
     pub tenant: usize,
     pub threads: f64,
-    /// Memory of its attempt in flight.
+    /// Memory counted for its last attempt while that is in flight.
     pub granted_memory_mb: f64,
-    /// Time of its arrival, or of its turn in its key's order.
+    /// Time of its arrival, or when it became the first of its key.
     pub ready_at: Micros,
+    /// When the client gives up.
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    /// Smallest limit configured since its arrival.
+    /// Smallest limit of attempts per request configured since its arrival.
     pub max_attempts: usize,
     pub is_queued: bool,
     /// It has its final answer, and is kept only while an attempt is in flight.
     pub is_answered: bool,
+    /// The answer of a streamed attempt has started.
     pub answer_started: bool,
     /// When engines were last probed for their load on its behalf.
     pub probed_at: Option<Micros>,
@@ -87,7 +93,7 @@
             .count()
     }
 
-    /// Whether an attempt ended without proof that the engine stopped it.
+    /// Whether an attempt ended without proof that the engine stopped its query.
     pub fn may_still_run(&self) -> bool {
         use Outcome::{Cancelled, Reset, TimedOut};
         let outcomes = self.attempts.iter().filter_map(|attempt| attempt.outcome);
@@ -96,7 +102,7 @@
             .any(|outcome| matches!(outcome, TimedOut | Reset | Cancelled))
     }
 
-    /// Time that the query takes on an idle engine, by its estimated work.
+    /// Time that the query takes on an idle engine, by its estimated work; `None` without an estimate.
     pub fn estimated_duration_us(&self) -> Option<f64> {
         let work_us = self.query.work.0 as f64;
         (work_us > 0.0).then_some(work_us / self.threads)
@@ -118,32 +124,37 @@
     pub threads_in_flight: f64,
     pub memory_in_flight_mb: f64,
     pub attempts_in_flight: u32,
-    /// Moving mean of the log ratio of its service times to the class's usual ones.
+    /// Moving mean of the log ratio of its service times to the usual ones of their classes.
     pub service_time_ratio: f64,
+    /// Until when it counts as under pressure.
     pub pressure_until: Micros,
-    /// Last reported load in threads per core, and its time; and the time of the last probe.
+    /// Last reported load in threads per core, and when it was reported.
     pub reported_load: Option<(f64, Micros)>,
+    /// When it was last probed.
     pub probed_at: Micros,
     /// Table groups that loads of this gateway hold there, one entry per load.
     pub loading_groups: Vec<TableGroupId>,
     /// Table groups that loads of other gateways are assumed to hold there, and until when.
     pub foreign_loading_groups: Vec<(TableGroupId, Micros)>,
+    /// When it last gave a sign of life, or was sent an attempt while it had none in flight.
     pub last_seen_at: Micros,
     pub health: Health,
     /// Recent slowdown of its answers.
     pub congestion: Congestion,
-    /// Allow sends while it is cold, where a gateway's share of it is under one query.
+    /// Tokens that allow sends while it is cold, if a gateway's share of it is under one query.
     pub admission_tokens: AdmissionTokens,
     /// Times and work, in core seconds, of the sends within the overload window.
     pub recent_sends: VecDeque<(Micros, f64)>,
     /// Work sent since this shard last published its usage.
     pub unpublished_work_core_s: f64,
-    /// Whether siblings have published their usage of it, and that usage.
+    /// Whether siblings have published their usage of it.
     pub siblings_known: bool,
+    /// Usage of the siblings, or of the peer process during an upgrade, and this shard's thread quota.
     pub siblings: SiblingEngineUsage,
 }
 
 impl EngineView {
+    /// Whether the engine list has it as ready.
     pub fn is_listed(&self) -> bool {
         self.entry.state == EngineState::Ready
     }
@@ -165,12 +176,12 @@
         self.memory_in_flight_mb + self.siblings.usage.memory_mb
     }
 
-    /// Whether a load of this shard or of a sibling holds the group here.
+    /// Whether a load of this shard or of a sibling holds the table group on it.
     pub fn is_loading(&self, group: TableGroupId) -> bool {
         self.loading_groups.contains(&group) || self.siblings.usage.table_groups.contains(&group)
     }
 
-    /// Work sent here by all shards within the window that ends now.
+    /// Work that all shards sent to it within the window that ends now.
     pub fn cold_work_core_s(&self, now: Micros, window: Micros) -> f64 {
         let recent = self
             .recent_sends
@@ -179,7 +190,7 @@
         recent.map(|(_, work)| work).sum::<f64>() + self.siblings.cold_work_core_s
     }
 
-    /// Applies a new entry of the engine list; after a restart of the engine its statistics start anew.
+    /// Applies a new entry of the engine list. If the engine was restarted, its statistics start anew.
     pub fn apply_entry(&mut self, entry: Engine, kind: Kind) {
         (self.cores, self.memory_mb) = (kind.cores.max(1.0), kind.memory_mb);
         if entry.started_at > self.entry.started_at {
@@ -201,39 +212,42 @@
         }
     }
 
+    /// Assumes that a load of another gateway holds the table group until the given time.
     pub fn mark_loading(&mut self, group: TableGroupId, now: Micros, until: Micros) {
         self.foreign_loading_groups
             .retain(|(loading, until)| *loading != group && *until > now);
         self.foreign_loading_groups.push((group, until));
     }
 
-    /// Records the work of a send, which counts against a cold engine during the window.
-    pub fn record_send(&mut self, now: Micros, window: Micros, work: f64) {
+    /// Records the work of a send, which counts towards the limit of a cold engine during the window.
+    pub fn record_send(&mut self, now: Micros, window: Micros, work_core_s: f64) {
         self.recent_sends.retain(|(at, _)| *at + window > now);
-        self.recent_sends.push_back((now, work));
-        self.unpublished_work_core_s += work;
+        self.recent_sends.push_back((now, work_core_s));
+        self.unpublished_work_core_s += work_core_s;
     }
 
+    /// Ends what `attempt_started` counted.
     pub fn attempt_ended(&mut self, request: &Request, is_load: bool) {
         self.threads_in_flight -= request.threads;
         self.memory_in_flight_mb -= request.granted_memory_mb;
         self.attempts_in_flight -= 1;
         let group = request.query.table_group;
-        let index = self
+        let load_index = self
             .loading_groups
             .iter()
             .position(|loading| *loading == group);
-        if let Some(index) = index.filter(|_| is_load) {
-            self.loading_groups.swap_remove(index);
+        if let Some(load_index) = load_index.filter(|_| is_load) {
+            self.loading_groups.swap_remove(load_index);
         }
     }
 }
 
-/// The times of events within a window that ends now.
+/// The times of events within a window that ends now. Older ones are removed when one is added.
 #[derive(Default)]
 pub(crate) struct SlidingWindow(VecDeque<Micros>);
 
 impl SlidingWindow {
+    /// Number of times kept, including those that have left the window since the last addition.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -269,21 +283,25 @@
 /// Learned statistics of a class.
 #[derive(Clone, Default)]
 pub(crate) struct ClassStats {
-    /// Usual log ratio of an attempt's time to its estimated time.
+    /// Usual log ratio of an attempt's time to its estimated time; `None` before the first answer.
     pub usual_ratio: Option<f64>,
-    /// Moving mean of the log ratio to that usual one: how slow the class is on all engines.
+    /// Moving mean of the log ratio of an attempt's time to the usual one: how slow the class is on all
+    /// engines.
     pub service_time_ratio: f64,
-    /// Mean time of an attempt, and mean estimated work.
+    /// Mean time of an attempt.
     pub attempt_us: MovingMean,
+    /// Mean estimated work of a request.
     pub work_us: MovingMean,
+    /// Number of requests accepted so far.
     pub accepted_requests: f64,
-    /// Learned addition to the memory grant, as a share of the estimate.
+    /// Learned addition to the memory grant, as a multiple of the estimate.
     pub spill_margin: f64,
 }
 
-/// A first-in, first-out queue for each class and tenant.
+/// A first-in, first-out queue for each class and tenant. A request that is retried goes to the front.
 #[derive(Default)]
 pub(crate) struct Queues {
+    /// The queues, by class and tenant.
     pub by_class: Vec<Vec<VecDeque<RequestId>>>,
     /// Number of requests queued at siblings, by class and tenant.
     pub sibling_counts: Vec<Vec<usize>>,
@@ -297,7 +315,7 @@
         }
     }
 
-    /// Changes the number of classes and tenants; the last tenant is always that of unknown ones.
+    /// Changes the number of classes and tenants. The last queue of a class is always for unknown tenants.
     pub fn resize(&mut self, classes: usize, tenants: usize) {
         self.by_class.resize_with(classes, Vec::new);
         for queues in &mut self.by_class {
@@ -324,14 +342,16 @@
         self.sibling_counts.get(class).map_or(&[], Vec::as_slice)
     }
 
+    /// Number of queued requests of the class, at this shard and its siblings.
     pub fn len(&self, class: usize) -> usize {
         let own: usize = self.by_class[class].iter().map(VecDeque::len).sum();
         own + self.sibling_counts(class).iter().sum::<usize>()
     }
 
-    /// The newest request of the tenant with the most queued requests after its first per weight; `None` if
-    /// no tenant has two. The first is free, as in queues as short as those of one gateway among hundreds the
-    /// only request of a tenant with a small weight would always be over its share.
+    /// The newest request of the tenant farthest over its share: the one with the most queued requests per
+    /// weight, not counting its first request. `None` if no tenant has two. The first is not counted because,
+    /// in queues as short as those of one gateway among hundreds, the only request of a tenant with a small
+    /// weight would always be over its share.
     pub fn newest_over_share(&self, class: usize, tenants: &Credit) -> Option<RequestId> {
         let siblings = self.sibling_counts(class);
         let queues = self.by_class[class]
@@ -347,11 +367,13 @@
         largest.filter(|largest| largest.0 > 0.0)?.1
     }
 
+    /// Classes with queued requests, at this shard or a sibling.
     pub fn waiting_classes(&self) -> Vec<usize> {
         let classes = 0..self.by_class.len();
         classes.filter(|&class| self.len(class) > 0).collect()
     }
 
+    /// Tenants with queued requests of the class, at this shard or a sibling.
     pub fn waiting_tenants(&self, class: usize) -> Vec<usize> {
         let (queues, siblings) = (&self.by_class[class], self.sibling_counts(class));
         let at_siblings = |tenant: usize| siblings.get(tenant).is_some_and(|&count| count > 0);
@@ -362,17 +384,19 @@
     }
 }
 
-/// Figures of the whole fleet, refreshed when engines change.
+/// Values computed from all engines, refreshed when engines change.
 #[derive(Default)]
 pub(crate) struct FleetTotals {
     /// Median of the engines' service time ratios.
     pub median_service_time_ratio: f64,
-    /// This gateway's share of the threads and of the memory of all engines.
+    /// This gateway's share of the threads of all engines.
     pub share_threads: f64,
+    /// This gateway's share of the memory of all engines.
     pub share_memory_mb: f64,
 }
 
-/// A fixed mixing function: every gateway derives the same order and choices from the same value.
+/// The SplitMix64 hash function. It is fixed, so that every gateway derives the same order and choices from
+/// the same value.
 pub fn splitmix64(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -380,15 +404,17 @@
     value ^ (value >> 31)
 }
 
-/// Requests of a key in order of arrival, and until when none is sent as an earlier one may still run.
+/// Requests of an order key, in order of arrival.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     pub queue: VecDeque<RequestId>,
+    /// Until when no further request is sent, as an earlier one may still run.
     pub quiet_until: Micros,
 }
 
 impl KeyQueue {
-    /// Removes a request; returns the next one if the removed one was first.
+    /// Removes a request and extends the quiet period to `quiet_until`. Returns the next request if the
+    /// removed one was first.
     pub fn remove(&mut self, id: RequestId, quiet_until: Micros) -> Option<RequestId> {
         self.quiet_until = self.quiet_until.max(quiet_until);
         let was_first = self.queue.front() == Some(&id);
@@ -397,7 +423,7 @@
     }
 }
 
-/// Weight and credit of each party (class, or tenant of a class), by its index.
+/// Weight and credit of each party (class, or tenant of a class), by its index. Credit is in releases.
 #[derive(Clone, Default)]
 pub(crate) struct Credit {
     pub weights: Vec<f64>,
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -1,4 +1,5 @@
-//! The subset of engines that one of many gateways sends to, and the slowdown by which answers indicate congestion.
+//! The subset of engines that one of many gateways sends to, and the slowdown by which an answer indicates
+//! congestion.
 
 use crate::interface::{AttemptEnded, EngineId};
 use crate::policy::{CONGESTION_SLOWDOWN, Gateway};
@@ -20,20 +21,20 @@
         }
     }
 
-    pub fn keep(&mut self, is_kept: impl Fn(EngineId) -> bool) {
+    pub fn retain(&mut self, is_kept: impl Fn(EngineId) -> bool) {
         self.0.retain(|id| is_kept(*id));
     }
 }
 
 impl Gateway {
-    /// Time of an answer over its time on an idle engine, by the reported work or else the estimate. The reduced
-    /// capacity of an engine in slow start does not count as congestion.
+    /// Ratio of an answer's time to the time that its work takes on an idle engine. The work is the reported
+    /// one, or else estimated. The reduced capacity of an engine in slow start does not count as a slowdown.
     pub(crate) fn slowdown(&self, request: &Request, end: &AttemptEnded) -> f64 {
-        let reported = end.work.map(|work| work.0 as f64 / request.threads);
+        let reported_us = end.work.map(|work| work.0 as f64 / request.threads);
         let usual_ratio = self.stats[request.class].usual_ratio;
-        let estimated = usual_ratio
+        let estimated_us = usual_ratio
             .map(|usual_ratio| request.estimated_duration_us().unwrap_or(1e6) * usual_ratio.exp());
-        let Some(idle_us) = reported.or(estimated) else {
+        let Some(idle_us) = reported_us.or(estimated_us) else {
             return 1.0;
         };
         let capacity_share = self.capacity_share(end.engine);
@@ -42,7 +43,7 @@
         end.elapsed.0 as f64 * capacity_share / (idle_us + tick_us).max(1.0)
     }
 
-    /// Share of its capacity that an engine has now: less than 1 during slow start.
+    /// Share of its full capacity that an engine has now: less than 1 during slow start.
     pub(crate) fn capacity_share(&self, id: EngineId) -> f64 {
         let engine = self.engines.get(&id);
         let age_us =
@@ -52,13 +53,13 @@
         })
     }
 
-    /// This gateway's index among all of them; pseudo-random if not configured.
+    /// This gateway's index among all gateways; pseudo-random if not configured.
     pub(crate) fn gateway_index(&self) -> u32 {
-        let random = splitmix64(self.seed) as u32 % self.settings.gateways.max(1);
-        self.settings.gateway_index.unwrap_or(random)
+        let random_index = splitmix64(self.seed) as u32 % self.settings.gateways.max(1);
+        self.settings.gateway_index.unwrap_or(random_index)
     }
 
-    /// The ring without the engines that are cold or no longer listed.
+    /// The ring without the engines that are cold or not listed as ready.
     pub(crate) fn warm_ring(&self) -> Vec<EngineId> {
         let is_excluded =
             |engine: &&EngineView| !engine.is_listed() || self.is_cold(engine, self.now);
@@ -71,8 +72,9 @@
         ring.filter(|id| !excluded.contains(id)).collect()
     }
 
-    /// Keeps the engines of this gateway's subset, and cold ones that admission tokens allow. A congested or
-    /// ejected engine is replaced by the next one of the walk. `eligible` is sorted by id.
+    /// Removes engines outside this gateway's subset from `eligible`, except cold ones, which admission
+    /// tokens allow. Congested engines are avoided if there are others, and an engine that is not eligible is
+    /// replaced by the next one in the gateway's selection order. `eligible` is sorted by id.
     pub(crate) fn narrow_to_subset(&self, eligible: &mut Vec<&EngineView>) {
         if !self.has_small_share {
             return;
@@ -81,15 +83,18 @@
         prefer(eligible, |engine| {
             engine.congestion.slowdown(self.now.0) < CONGESTION_SLOWDOWN
         });
-        let find = |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
-        let (index, gateways) = (
+        let find_eligible =
+            |id: &EngineId| eligible.binary_search_by_key(id, |engine| engine.entry.id);
+        let (gateway_index, gateway_count) = (
             self.gateway_index() as usize,
             self.settings.gateways as usize,
         );
-        let width = subset::subset_size(self.concurrency_limit.request_rate(), ring.len());
-        let walk =
-            subset::selection_order(index, gateways, ring.len()).map(|position| ring[position]);
-        let members = walk.filter(|id| find(id).is_ok()).take(width);
+        let subset_size = subset::subset_size(self.concurrency_limit.request_rate(), ring.len());
+        let selection_order = subset::selection_order(gateway_index, gateway_count, ring.len())
+            .map(|position| ring[position]);
+        let members = selection_order
+            .filter(|id| find_eligible(id).is_ok())
+            .take(subset_size);
         let subset: BTreeSet<EngineId> = members.collect();
         eligible
             .retain(|engine| subset.contains(&engine.entry.id) || self.is_cold(engine, self.now));
