--- a/src/fleet_scan.rs
+++ b/src/fleet_scan.rs
@@ -1,5 +1,5 @@
-//! Caches values that depend on all engines. They are recomputed only after a change that may affect them, as a scan
-//! of all engines in each call would be slow.
+//! Caches values that depend on all engines. They are computed again only after a change that may affect
+//! them, as a scan of all engines in each call would be slow.
 
 use crate::interface::{EngineId, Event, Micros};
 use crate::policy::Gateway;
@@ -8,19 +8,20 @@
 /// Result of the last scan of all engines, and how long it is valid.
 #[derive(Default)]
 pub(crate) struct FleetScan {
-    /// An event that may affect the result has happened since.
+    /// Something that may affect the result has happened since the scan.
     pub is_outdated: bool,
     /// Time of the next change without an event: the end of an ejection or of a slow start.
     valid_until: Micros,
-    /// Listed engines that are ejected, and until when unless they reply before.
+    /// Listed engines that are ejected, and when their ejection ends unless they reply before.
     ejected: Vec<(EngineId, Micros)>,
     /// Engines that are listed and warm, in ring order.
     pub warm_ring: Vec<EngineId>,
+    /// Whether any engine is in slow start.
     pub any_cold: bool,
 }
 
-/// Whether an event may change the state of an engine. Sends and the checks of requests set `is_outdated`
-/// themselves.
+/// Whether an event may change the state of an engine. Sends and the checks of requests are no events; they
+/// set `is_outdated` themselves.
 pub(crate) fn affects_engines(event: &Event) -> bool {
     !matches!(
         event,
@@ -37,8 +38,7 @@
         !self.scan.is_outdated && self.now < self.scan.valid_until
     }
 
-    /// Scans the engines if the last result may be outdated. The fleet's service time ratio is the median of the
-    /// engines', so that trouble common to all engines makes none of them appear slow.
+    /// Scans the engines if the last result may be outdated.
     pub(crate) fn refresh_scan(&mut self) {
         if !self.is_scan_current() {
             self.scan_engines();
@@ -47,6 +47,8 @@
         self.concurrency_limit.set_max(max_multiple);
     }
 
+    /// Computes all cached values. The fleet's service time ratio is the median of the engines', so that
+    /// trouble common to all engines makes none of them appear slow.
     fn scan_engines(&mut self) {
         let (mut fleet, mut ratios) = (
             FleetTotals::default(),
@@ -54,17 +56,19 @@
         );
         for engine in self.engines.values().filter(|engine| engine.is_listed()) {
             ratios.push(engine.service_time_ratio);
-            let share = self.usable_share(engine);
-            fleet.share_threads += share * self.thread_budget(engine);
-            fleet.share_memory_mb += share * engine.memory_mb / self.settings.gateway_count();
+            let engine_share = self.usable_share(engine);
+            fleet.share_threads += engine_share * self.thread_budget(engine);
+            fleet.share_memory_mb +=
+                engine_share * engine.memory_mb / self.settings.gateway_count();
         }
-        let middle = ratios.len() / 2;
+        let median_index = ratios.len() / 2;
         if !ratios.is_empty() {
-            fleet.median_service_time_ratio =
-                *ratios.select_nth_unstable_by(middle, f64::total_cmp).1;
+            fleet.median_service_time_ratio = *ratios
+                .select_nth_unstable_by(median_index, f64::total_cmp)
+                .1;
         }
         self.scan = FleetScan {
-            // Thread budgets were computed with the median of the scan before.
+            // Thread budgets were computed with the median of the previous scan.
             is_outdated: fleet.median_service_time_ratio != self.fleet.median_service_time_ratio,
             valid_until: self.next_change(),
             ejected: self.find_ejected(),
@@ -93,7 +97,7 @@
         until.filter(|(_, until)| *until > self.now).collect()
     }
 
-    /// Listed engines that are ejected, and until when unless they reply before.
+    /// Listed engines that are ejected, and when their ejection ends unless they reply before.
     pub fn ejected_engines(&self) -> Vec<(EngineId, Micros)> {
         if self.is_scan_current() {
             self.scan.ejected.clone()
--- a/src/reconfigure.rs
+++ b/src/reconfigure.rs
@@ -1,5 +1,5 @@
-//! Applies new settings to a running gateway. Classes and tenants keep their indices; statistics are matched by
-//! class name. Contains no decisions.
+//! Applies new settings to a running gateway. Classes and tenants keep their indices; statistics follow the
+//! name of the class. Contains no decisions.
 
 use crate::interface::{Class, Settings};
 use crate::policy::Gateway;
@@ -8,6 +8,7 @@
 use sedgebeam_fleet::slow_start::AdmissionTokens;
 
 impl Settings {
+    /// `max_attempts`, where zero means no limit.
     pub(crate) fn attempt_limit(&self) -> usize {
         match self.max_attempts {
             0 => usize::MAX,
@@ -23,16 +24,18 @@
     }
 }
 
-/// The index of the earlier class of this name: the same index, or else the last one.
+/// Index of the class of this name in the earlier settings: the same index if its name is the same, else that
+/// of the last class of this name.
 fn earlier_index(classes: &[Class], index: usize, name: &str) -> Option<usize> {
     let is_named = |class: &Class| class.name == name;
-    let same = classes.get(index).filter(|class| is_named(class));
-    same.map(|_| index)
+    let same_index = classes.get(index).filter(|class| is_named(class));
+    same_index
+        .map(|_| index)
         .or_else(|| classes.iter().rposition(is_named))
 }
 
 impl Credit {
-    /// The same credits under other weights, with zero credit for additional parties.
+    /// The same credits with other weights; additional parties start with zero credit.
     fn with_weights(&self, weights: Vec<f64>) -> Credit {
         let mut credit = self.credit.clone();
         credit.resize(weights.len(), 0.0);
@@ -42,44 +45,47 @@
 
 impl Gateway {
     /// Applies new settings. Classes and tenants must keep their earlier indices. A request that was accepted
-    /// before keeps its class's index, and the smallest limit of attempts since its arrival.
+    /// before keeps the index of its class, and its limit of attempts is the smallest one since its arrival.
     pub fn reconfigure(&mut self, settings: Settings) {
-        let old = std::mem::replace(&mut self.settings, settings);
+        let old_settings = std::mem::replace(&mut self.settings, settings);
         let (settings, classes) = (&self.settings, self.settings.classes.iter());
-        let stats = |(index, class): (usize, &Class)| {
-            let earlier = earlier_index(&old.classes, index, &class.name);
-            earlier.map_or_else(ClassStats::default, |index| self.stats[index].clone())
+        let class_stats = |(index, class): (usize, &Class)| {
+            let old_index = earlier_index(&old_settings.classes, index, &class.name);
+            old_index.map_or_else(ClassStats::default, |index| self.stats[index].clone())
         };
-        self.stats = classes.clone().enumerate().map(stats).collect();
+        self.stats = classes.clone().enumerate().map(class_stats).collect();
         let worths = classes.map(|class| class.worth.max(0.0)).collect();
         self.class_credit = self.class_credit.with_weights(worths);
-        let (old_unknown, unknown) = (old.tenants.len(), settings.tenants.len());
+        let (old_unknown_tenant, unknown_tenant) =
+            (old_settings.tenants.len(), settings.tenants.len());
         self.tenant_credit
             .resize(settings.classes.len(), Credit::default());
         for credit in &mut self.tenant_credit {
-            // The last index, for requests without a known tenant, stays the last.
-            let last = credit.credit.pop().unwrap_or_default();
-            credit.credit.resize(unknown, 0.0);
-            credit.credit.push(last);
+            // The entry for requests without a known tenant stays the last one.
+            let unknown_credit = credit.credit.pop().unwrap_or_default();
+            credit.credit.resize(unknown_tenant, 0.0);
+            credit.credit.push(unknown_credit);
             *credit = credit.with_weights(tenant_shares(&settings.tenants));
         }
-        self.queues.resize(settings.classes.len(), unknown + 1);
+        self.queues
+            .resize(settings.classes.len(), unknown_tenant + 1);
         let max_attempts = settings.attempt_limit();
         for request in self.requests.values_mut() {
             request.max_attempts = request.max_attempts.min(max_attempts);
-            if request.tenant == old_unknown {
-                request.tenant = unknown;
+            if request.tenant == old_unknown_tenant {
+                request.tenant = unknown_tenant;
             }
         }
-        // With fewer other gateways its share grows from now on, but not that of tokens granted before. Its phase between
-        // two tokens changes as at a start, as the earlier phases of the gateways lie close together.
+        // If there are fewer gateways, this gateway's share grows from now on, but not for tokens granted
+        // before. A change of its index or of the slow start resets its tokens, and with them its phase
+        // between two tokens, as at a start: the earlier phases of the gateways are close together.
         let (gateway_index, slow_start_changed) = (
             settings.gateway_index,
-            old.slow_start() != settings.slow_start(),
+            old_settings.slow_start() != settings.slow_start(),
         );
         for engine in self.engines.values_mut() {
             engine.admission_tokens.reset_baseline();
-            if slow_start_changed || old.gateway_index != gateway_index {
+            if slow_start_changed || old_settings.gateway_index != gateway_index {
                 engine.admission_tokens = AdmissionTokens::default();
                 self.started_at = Some(self.now);
             }
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -1,26 +1,34 @@
-//! Whether a request may be sent again, and by when: at most once or within the deduplication window, as its class
-//! demands, and within the limits on attempts.
+//! Whether a request may be sent again, and by when. A class may forbid repeats, or allow them only within
+//! the deduplication window; the number of attempts is limited too.
 
 use crate::interface::*;
 use crate::policy::Gateway;
 use crate::state::Request;
 
-/// A keyed repeat begins this long before its window ends, as a send takes time to arrive.
+/// A repeat must begin this long before the deduplication window ends, as a send takes time to arrive.
 const DEDUP_WINDOW_MARGIN: Micros = Micros::from_millis(50);
 
 impl Gateway {
+    /// Whether the effect of the request's class allows another attempt on the engine.
     pub(crate) fn effect_allows(&self, request: &Request, engine: &Engine) -> bool {
         let class = &self.settings.classes[request.class];
-        let Some(earlier) = request.first_that_may_have_run() else {
+        let Some(first_attempt) = request.first_that_may_have_run() else {
             return true;
         };
-        let first = self.engines.get(&earlier.engine).map(|first| &first.entry);
+        let first_entry = self
+            .engines
+            .get(&first_attempt.engine)
+            .map(|engine| &engine.entry);
         let is_deduplicated = match class.effect {
             Effect::Repeatable => return true,
             Effect::Once => false,
             Effect::Keyed(DedupScope::All) => true,
-            Effect::Keyed(DedupScope::Zone) => first.is_some_and(|first| first.zone == engine.zone),
-            Effect::Keyed(DedupScope::Cell) => first.is_some_and(|first| first.cell == engine.cell),
+            Effect::Keyed(DedupScope::Zone) => {
+                first_entry.is_some_and(|first| first.zone == engine.zone)
+            }
+            Effect::Keyed(DedupScope::Cell) => {
+                first_entry.is_some_and(|first| first.cell == engine.cell)
+            }
         };
         is_deduplicated
             && self
@@ -28,24 +36,28 @@
                 .is_some_and(|latest| self.now < latest)
     }
 
-    /// When a repeat must begin at the latest: engines drop it within the window after the first attempt that may
-    /// have run.
+    /// Until when a repeat may begin, if the class is keyed: engines drop duplicates within the window after
+    /// the first attempt that may have run. `None` if there is no such attempt.
     pub(crate) fn latest_repeat_start(&self, request: &Request) -> Option<Micros> {
         let class = &self.settings.classes[request.class];
-        let keyed = matches!(class.effect, Effect::Keyed(_));
-        let earlier = request.first_that_may_have_run().filter(|_| keyed)?;
-        Some(earlier.sent_at + (class.dedup_window - DEDUP_WINDOW_MARGIN))
+        let is_keyed = matches!(class.effect, Effect::Keyed(_));
+        let first_attempt = request.first_that_may_have_run().filter(|_| is_keyed)?;
+        Some(first_attempt.sent_at + (class.dedup_window - DEDUP_WINDOW_MARGIN))
     }
 
+    /// Whether the limits on attempts, on attempts in flight and on extra attempts allow another attempt.
     pub(crate) fn attempt_limits_allow(&self, request: &Request) -> bool {
-        let (made, in_flight) = (request.attempts.len(), request.attempts_in_flight());
-        let copies = usize::from(self.settings.second_copies);
-        let over_budget = self.settings.attempt_budget.is_some_and(|budget| {
-            let extra = self.extra_attempts.count(self.now, budget.window) + 1.0;
-            extra
+        let (attempts_made, attempts_in_flight) =
+            (request.attempts.len(), request.attempts_in_flight());
+        let max_other_attempts = usize::from(self.settings.second_copies);
+        let is_over_budget = self.settings.attempt_budget.is_some_and(|budget| {
+            let extra_attempts = self.extra_attempts.count(self.now, budget.window) + 1.0;
+            extra_attempts
                 > budget.free_attempts
                     + budget.extra_per_request * self.accepted.count(self.now, budget.window)
         });
-        made < request.max_attempts && in_flight <= copies && (made == 0 || !over_budget)
+        attempts_made < request.max_attempts
+            && attempts_in_flight <= max_other_attempts
+            && (attempts_made == 0 || !is_over_budget)
     }
 }
--- a/src/state_sizes.rs
+++ b/src/state_sizes.rs
@@ -3,20 +3,22 @@
 use crate::policy::Gateway;
 use std::collections::VecDeque;
 
-/// Number of entries in everything that grows with events.
+/// Numbers of entries in the collections that grow with events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateSizes {
     pub engines: usize,
     /// Requests without a final answer, or with an attempt in flight.
     pub requests: usize,
-    /// Those of them in a queue.
+    /// Requests in a queue; `requests` includes them.
     pub queued_requests: usize,
+    /// Order keys with open requests, or with a quiet period.
     pub keys: usize,
-    /// Sends and table groups kept with engines, and times within the attempt budget's window.
+    /// Sends and table groups kept with engines, and times kept for the attempt budget.
     pub recent_entries: usize,
 }
 
 impl Gateway {
+    /// The current sizes.
     pub fn state_sizes(&self) -> StateSizes {
         let queues = self.queues.by_class.iter().flatten();
         let engines = self.engines.values();
