--- a/src/handover.rs
+++ b/src/handover.rs
@@ -167,7 +167,7 @@
     }
 }
 
-/// Converts a time between two clocks, given what both show now; zero, which stands for no time, stays zero.
+/// Converts a time between two clocks, given what both show now; zero means no time and stays zero.
 fn translate_time(at: Micros, from: Micros, to: Micros) -> Micros {
     if at == Micros(0) {
         return at;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -230,7 +230,7 @@
     pub max_grant_share: f64,
     /// Interval of an engine's notes about the progress of each attempt; zero if it sends none.
     pub note_interval: Micros,
-    /// Upper bound of the retry delay that a refusal advises; zero if clients get no advice.
+    /// Longest retry delay that clients heed, and so that a refusal advises; zero if clients get no advice.
     pub max_retry_after: Micros,
     /// A final answer may arrive this long after the client's deadline.
     pub answer_slack: Micros,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions of a gateway that keeps short and long queries apart on shared engines.
 //!
 //! [`Gateway`] is a state machine without I/O: it takes the time and events, and returns actions in
-//! the order of their execution. `src/policy.rs` contains the mechanism.
+//! the order of their execution. `src/policy.rs` makes the decisions.
 //!
 //! ```
 //! use sedgebeam_core::*;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,6 +1,8 @@
-//! All decisions of a gateway. Its types, events and actions are defined in `src/interface.rs`.
-//! A request is sent to an engine at once if no request is queued and an engine has a free slot. Otherwise
-//! it waits in the queue of its class and tenant until Most Credit First selects it for release.
+//! Decisions of a gateway: which request is sent to which engine and when, and which requests are given up.
+//! Its inputs and outputs are defined in `src/interface.rs`.
+//!
+//! A request is sent to an engine at once if no request is queued and an engine has a free slot. Otherwise it
+//! waits in the queue of its class and tenant until Most Credit First selects it for release.
 
 use crate::fleet_scan::{FleetScan, affects_engines};
 use crate::interface::*;
@@ -222,6 +224,7 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Updates the state by one event. Returns `None` if the event does not apply, as for an unknown request.
     fn apply_event(&mut self, event: Event) -> Option<()> {
         match event {
             Event::List { kind, engines } => self.update_engine_list(kind, engines),
@@ -404,10 +407,10 @@
     /// Probes the preferred engines for their load before a query that is not light is sent. Probes are used
     /// only if the gateway's share of an engine is small.
     fn probe_candidates(&mut self, id: RequestId) -> Option<()> {
-        let enabled =
+        let is_enabled =
             self.settings.load_reports == LoadReportMode::InProbes && self.settings.may_probe;
         let request = self.requests.get(&id)?;
-        if !enabled || self.is_light_class(request.class) || !self.has_small_share {
+        if !is_enabled || self.is_light_class(request.class) || !self.has_small_share {
             return None;
         }
         let probe_count = self.probe_count(request.class);
@@ -514,7 +517,7 @@
 
     /// Sends the next queued request, if one can be sent, and charges its class and tenant.
     fn release_next(&mut self) -> Option<()> {
-        let (id, engine) = self.next_release()?;
+        let (id, engine) = self.choose_release()?;
         let request = self.requests.get(&id)?;
         let (class, tenant, price) = (
             request.class,
@@ -531,7 +534,7 @@
 
     /// The request to release next, and its engine. A class or tenant yields its turn if no engine has a slot
     /// for it.
-    fn next_release(&self) -> Option<(RequestId, EngineId)> {
+    fn choose_release(&self) -> Option<(RequestId, EngineId)> {
         for class in self
             .class_credit
             .sorted_by_credit(self.queues.waiting_classes())
@@ -573,7 +576,7 @@
             eligible.retain(|engine| self.is_cold(engine, self.now));
         }
         // A query that waits for a load of its table group holds memory and threads meanwhile. Loads run on
-        // few engines so that most engines stay usable for such queries.
+        // few engines so that most engines stay usable for these queries.
         let is_loading = |engine: &EngineView| self.is_loading(engine, group);
         if class.holds_group || class.waits_for_load {
             let loading_count = eligible.iter().filter(|engine| is_loading(engine)).count();
@@ -724,7 +727,7 @@
 
     /// Handles an attempt that hardly progresses, by its note or the lack of notes, as its engine is stalled.
     /// The reported load of a stalled engine may be low, as queries that wait for disks use no cores. Returns
-    /// `None` and does nothing if the gateway's share of an engine is not small: such a gateway sees the
+    /// `None` and does nothing if the gateway's share of an engine is not small: that gateway sees the
     /// engine often enough to go by its service times, and one slow attempt is as likely its own fault.
     fn record_stall(&mut self, id: EngineId, sent_at: Micros) -> Option<()> {
         if !self.has_small_share {
@@ -1147,9 +1150,10 @@
     }
 
     /// Whether an attempt needs far longer than a new one would, which is a sign of a bad plan or a lost
-    /// attempt. `done` is the share of its work that a new note reports. A query that waits for a load notes
-    /// that at once and is exempt; one without a note is lost. The limit allows for slow classes and engines.
-    /// It doubles with each attempt: a query that exceeds it again is large, or the engines are congested.
+    /// attempt. `done` is the share of its work that a new note reports, if there is one. A query that waits
+    /// for a load notes that at once and is exempt; one without a note is lost. The limit allows for slow
+    /// classes and engines. It doubles with each attempt: a query that exceeds it again is large, or the
+    /// engines are congested.
     fn has_bad_plan(&self, request: &Request, attempt: &Attempt, done: Option<f64>) -> bool {
         let stats = &self.stats[request.class];
         let class = &self.settings.classes[request.class];
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -37,7 +37,7 @@
     }
 
     /// Until when a repeat may begin, if the class is keyed: engines drop duplicates within the window after
-    /// the first attempt that may have run. `None` if there is no such attempt.
+    /// the first attempt that may have run. `None` without one.
     pub(crate) fn latest_repeat_start(&self, request: &Request) -> Option<Micros> {
         let class = &self.settings.classes[request.class];
         let is_keyed = matches!(class.effect, Effect::Keyed(_));
--- a/src/state.rs
+++ b/src/state.rs
@@ -389,9 +389,9 @@
 pub(crate) struct FleetTotals {
     /// Median of the engines' service time ratios.
     pub median_service_time_ratio: f64,
-    /// This gateway's share of the threads of all engines.
+    /// Number of threads that are this gateway's share of all engines.
     pub share_threads: f64,
-    /// This gateway's share of the memory of all engines.
+    /// Memory that is this gateway's share of all engines.
     pub share_memory_mb: f64,
 }
 
