--- a/fleet/src/concurrency_limit.rs
+++ b/fleet/src/concurrency_limit.rs
@@ -1,9 +1,9 @@
 //! Limits how much one gateway may have in flight in the whole fleet, by the congestion that
 //! responses report.
 
-/// Step of the limit per response, as a log ratio: this much down for a sign of congestion, and
-/// `INCREASE_RATIO` of it up otherwise, so that the limit settles where a fifth of the responses
-/// report congestion.
+/// Decrease of the limit's logarithm for a response that reports congestion. Any other response
+/// increases it by `INCREASE_RATIO` times as much, so that the limit settles where a fifth of the
+/// responses report congestion.
 const DECREASE_STEP: f64 = 0.1;
 const INCREASE_RATIO: f64 = 0.25;
 /// Time over which a gateway's traffic is averaged, in seconds: longer than a burst, which all
@@ -23,9 +23,9 @@
 
 impl ConcurrencyLimit {
     /// Starts at `start` and stays between `min` and `max`. `usual_rate` is the configured number
-    /// of requests per second for each gateway, zero if unknown. After a quiet period all gateways
-    /// can use the limit that they have reached at once when a burst comes, and responses report
-    /// the congestion only when engines are full: `max` must be what engines can bear from all
+    /// of requests per second for each gateway, zero if unknown. When a burst follows a quiet
+    /// period, all gateways may use their limits at the same time, and responses report the
+    /// congestion only once engines are full: `max` must be a load that engines can bear from all
     /// gateways together.
     pub fn new(start: f64, (min, max): (f64, f64), usual_rate: f64) -> ConcurrencyLimit {
         let traffic = Traffic {
@@ -54,6 +54,7 @@
         self.current = self.current.min(self.max);
     }
 
+    /// Updates the limit by one response, which reports congestion or not.
     pub fn adjust(&mut self, is_congested: bool) {
         let step = DECREASE_STEP * if is_congested { -1.0 } else { INCREASE_RATIO };
         self.current = (self.current * step.exp()).clamp(self.min, self.max);
@@ -64,7 +65,7 @@
         self.current
     }
 
-    /// Takes the limit that an earlier process had learned; ignores values that are not finite.
+    /// Sets the limit that an earlier process had learned; ignores values that are not finite.
     pub fn restore(&mut self, learned_limit: f64) {
         if learned_limit.is_finite() {
             self.current = learned_limit.clamp(self.min, self.max);
@@ -94,7 +95,7 @@
     }
 }
 
-/// A gateway's traffic against an equal share of the fleet's.
+/// A gateway's traffic, to be compared with an equal share of the fleet's traffic.
 #[derive(Clone, Copy, Debug, Default)]
 struct Traffic {
     /// Configured requests per second for each gateway; zero if unknown.
--- a/fleet/src/health.rs
+++ b/fleet/src/health.rs
@@ -2,8 +2,8 @@
 //!
 //! Where many gateways share an engine, each sends to it only every few seconds. A gateway has to
 //! remember what it learned of a failing engine for longer than that, because the trials of all
-//! gateways together are load: a stalled engine does not recover while each of many gateways tries
-//! it as often as a gateway among three may.
+//! gateways together load the engine: a stalled engine does not recover if each of many gateways
+//! tries it as often as each of three gateways may.
 
 /// Consecutive refused connects that eject an engine; a timeout counts as this many.
 pub const FAILURES_TO_EJECT: u32 = 2;
@@ -27,8 +27,8 @@
 /// How long engines are ejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EjectionPolicy {
-    first_us: u64,
-    stall_us: u64,
+    first_ejection_us: u64,
+    stall_ejection_us: u64,
 }
 
 impl EjectionPolicy {
@@ -42,17 +42,20 @@
     ) -> EjectionPolicy {
         let trial_interval_s =
             gateway_count.max(1.0) * trial_work.max(0.0) / (cores.max(1.0) * MAX_TRIAL_LOAD);
-        let first_us = BASE_EJECTION_US
+        let first_ejection_us = BASE_EJECTION_US
             << if has_rare_contact {
                 RARE_CONTACT_DOUBLINGS
             } else {
                 0
             };
-        let stall_us = ((trial_interval_s * 1e6) as u64).clamp(
+        let stall_ejection_us = ((trial_interval_s * 1e6) as u64).clamp(
             BASE_EJECTION_US,
             BASE_EJECTION_US << (2 * RARE_CONTACT_DOUBLINGS + 1),
         );
-        EjectionPolicy { first_us, stall_us }
+        EjectionPolicy {
+            first_ejection_us,
+            stall_ejection_us,
+        }
     }
 }
 
@@ -77,15 +80,15 @@
 }
 
 impl Health {
-    /// Whether the engine is ejected, or on trial with the trial in flight.
-    pub fn is_ejected(&self, now: u64, on_trial: bool) -> bool {
-        now < self.ejected_until(on_trial)
+    /// Whether the engine is ejected: until the ejection ends, and then while a trial is in flight.
+    pub fn is_ejected(&self, now: u64, has_trial_in_flight: bool) -> bool {
+        now < self.ejected_until(has_trial_in_flight)
     }
 
     /// When the ejection ends without further responses; never while a trial is in flight.
-    pub fn ejected_until(&self, on_trial: bool) -> u64 {
+    pub fn ejected_until(&self, has_trial_in_flight: bool) -> u64 {
         let ejected_until = match self.ejected_until {
-            Some(_) if on_trial => u64::MAX,
+            Some(_) if has_trial_in_flight => u64::MAX,
             until => until.unwrap_or(0),
         };
         ejected_until.max(self.stalled_until)
@@ -97,7 +100,7 @@
         (self.ejected_until.unwrap_or(0), self.stalled_until)
     }
 
-    /// Takes the ejections that an earlier process of this gateway had recorded.
+    /// Sets the ejections that an earlier process of this gateway had recorded.
     pub fn restore(&mut self, (ejected_until, stalled_until): (u64, u64)) {
         self.ejected_until = Some(ejected_until).filter(|until| *until > 0);
         self.stalled_until = stalled_until;
@@ -118,7 +121,8 @@
             return false;
         }
         let is_new = self.ejected_until.is_none();
-        let duration_us = policy.first_us << self.failed_trials.min(MAX_EJECTION_DOUBLINGS);
+        let duration_us =
+            policy.first_ejection_us << self.failed_trials.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = Some(now + duration_us);
         self.failed_trials += 1;
         is_new
@@ -149,12 +153,14 @@
     }
 
     /// Ejects an engine on which attempts hardly progress, for longer each consecutive time;
-    /// returns whether it was not ejected for a stall already.
+    /// returns whether this is a new ejection. `draw` is a random number from 0 to 1 for the
+    /// jitter.
     pub fn record_stall(&mut self, now: u64, policy: EjectionPolicy, draw: f64) -> bool {
         if now < self.stalled_until {
             return false;
         }
-        let duration_us = policy.stall_us << self.consecutive_stalls.min(MAX_EJECTION_DOUBLINGS);
+        let duration_us =
+            policy.stall_ejection_us << self.consecutive_stalls.min(MAX_EJECTION_DOUBLINGS);
         self.consecutive_stalls += 1;
         self.stalled_until = now + with_jitter(duration_us, draw);
         true
@@ -171,7 +177,7 @@
     fn trials_of_all_gateways_together_use_a_small_share_of_an_engine() {
         for (gateway_count, cores) in [(3.0, 12.0), (30.0, 12.0), (100.0, 12.0), (100.0, 4.0)] {
             let policy = EjectionPolicy::new(gateway_count, cores, 0.1, true);
-            let trial_load = gateway_count * 0.1 / (policy.stall_us as f64 / 1e6);
+            let trial_load = gateway_count * 0.1 / (policy.stall_ejection_us as f64 / 1e6);
             assert!(
                 trial_load <= cores * MAX_TRIAL_LOAD * 1.01,
                 "{gateway_count} {cores}"
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decisions that depend on the size of a fleet of gateways: behaviour that is harmless in one
-//! gateway and harmful when all of them do it. No I/O, no clock, no dependencies; times are in
-//! microseconds.
+//! gateway and harmful when all of them do it. Does no I/O, reads no clock and has no dependencies;
+//! times are in microseconds.
 
 mod concurrency_limit;
 mod health;
--- a/fleet/src/probing.rs
+++ b/fleet/src/probing.rs
@@ -1,7 +1,6 @@
 //! How many engines a request may probe for their load, given what a probe costs.
 
-/// Expected benefit of probing one more engine, as a share of the request's worth. An estimate; no
-/// other value was tried.
+/// Expected benefit of probing one more engine, as a share of the request's worth.
 const PROBE_BENEFIT: f64 = 0.02;
 const MAX_CONCURRENT_PROBES: usize = 3;
 
--- a/fleet/src/reconnect.rs
+++ b/fleet/src/reconnect.rs
@@ -9,19 +9,19 @@
 //! has been up for `BackoffConfig::rejection_window_us`.
 //!
 //! An engine that rejects all connections sees at most `MAX_IN_FLIGHT` connects of one dispatcher
-//! in any window `w`, plus one for each pause that fits into `w`, where the pauses are at least
+//! in any window, plus one for each pause that fits into the window, where the pauses are at least
 //! half of `BackoffConfig::initial_us`, twice that, and so on up to half of
-//! `BackoffConfig::max_us`. With several dispatchers, or several shards of one, it sees the sum;
+//! `BackoffConfig::max_us`. With several dispatchers, or several shards of one, it sees their sum;
 //! the pauses are random, so that they do not connect at the same time. An engine that neither
 //! responds nor closes early sees at most `MAX_IN_FLIGHT` connects of each in
 //! `BackoffConfig::rejection_window_us`.
 
 /// Connects to one engine that may be in flight at once while none has failed; further attempts
-/// share connections. Few enough that a burst at an engine that rejects all connections is
-/// harmless, and enough that a burst is spread over several connections.
+/// share connections. The limit is low enough that a burst at an engine that rejects all
+/// connections is harmless, and high enough that a burst is spread over several connections.
 pub const MAX_IN_FLIGHT: usize = 8;
 
-/// Upper bound of a pause: no longer than the longest ejection of an engine by `Health` among few
+/// Upper bound of a pause: the longest ejection of an engine by `Health` where there are few
 /// gateways. Otherwise a trial after such an ejection could find connects still in backoff, and
 /// count as another failure although the engine was not contacted.
 pub const MAX_BACKOFF_US: u64 = 4_000_000;
@@ -87,13 +87,13 @@
 
 /// A connect or connection that has neither received a response nor ended.
 #[derive(Clone, Copy, Debug)]
-struct InFlight {
+struct InFlightConnection {
     sequence: u64,
     /// When the connection counts as proven without a response; `None` until it is established.
     proven_at: Option<u64>,
 }
 
-impl InFlight {
+impl InFlightConnection {
     fn is_proven(&self, now: u64) -> bool {
         self.proven_at.is_some_and(|at| now >= at)
     }
@@ -111,7 +111,7 @@
     /// Sequence number of the first connect after the last failure: results of earlier connects are
     /// no new information.
     first_after_failure: u64,
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<InFlightConnection>,
     random_state: u64,
 }
 
@@ -160,7 +160,7 @@
             .retain(|connection| !connection.is_proven(now));
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.in_flight.push(InFlight {
+        self.in_flight.push(InFlightConnection {
             sequence,
             proven_at: None,
         });
--- a/fleet/src/slow_start.rs
+++ b/fleet/src/slow_start.rs
@@ -8,8 +8,8 @@
 //! period all gateways together issue tokens for no more than the work granted in that period plus
 //! one query of each class. The work sent in any window is therefore at most what was issued in the
 //! window and in one token lifetime before it. A gateway that restarts begins at its phase again,
-//! with no granted work: since phases are evenly spread, among any number of gateways that restart
-//! together the proportion that gets a token soon is the same as among the others.
+//! with no granted work: since phases are evenly spread, the proportion that gets a token soon is
+//! the same among gateways that restart together as among the others.
 
 /// Bounds of a token's lifetime, in windows: a token that lives for less than the minimum mostly
 /// expires before it is used.
@@ -81,7 +81,7 @@
 struct ClassTokens {
     /// Fraction of the next token that has been granted.
     credit: f64,
-    /// When the current token expires; zero without a token.
+    /// When the current token expires; zero if there is none.
     available_until: u64,
 }
 
@@ -89,15 +89,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionTokens {
     classes: Vec<ClassTokens>,
-    /// Work granted up to the last refill, and when that was; `None` before the first refill and
-    /// after a change of the parameters.
+    /// Work granted up to the last refill, and the time of that refill; `None` before the first
+    /// refill and after a change of the parameters.
     last_refill: Option<(f64, u64)>,
 }
 
 impl AdmissionTokens {
     /// Adds credit for the work granted since the last refill, and issues tokens. `classes` has
-    /// each class's share of the requested work and the work of one of its queries. `phase`, from 0
-    /// to 1, is the initial credit of this gateway for a class.
+    /// each class's share of the requested work and the work of one of its queries in core seconds.
+    /// `phase`, from 0 to 1, is the initial credit of this gateway for a class.
     pub fn refill(
         &mut self,
         now: u64,
@@ -142,11 +142,13 @@
         self.last_refill = None;
     }
 
+    /// Whether the gateway has a token for a query of this class.
     pub fn is_available(&self, class: usize, now: u64) -> bool {
         let tokens = self.classes.get(class);
         tokens.is_some_and(|tokens| now < tokens.available_until)
     }
 
+    /// Uses up the token for a query of this class.
     pub fn consume(&mut self, class: usize) {
         if let Some(tokens) = self.classes.get_mut(class) {
             tokens.available_until = 0;
--- a/fleet/src/subset.rs
+++ b/fleet/src/subset.rs
@@ -2,18 +2,19 @@
 //! each engine is.
 //!
 //! A gateway among hundreds that spreads its requests over all engines gets a response from each
-//! only about every ten seconds: it can't tell an engine that pages from an idle one, and random
-//! placement leaves some engines with three times the mean load. Each gateway therefore sends to a
-//! subset, small enough that it gets a response from each engine about once a second, and replaces
-//! engines that respond slowly. The subsets of all gateways together cover the engines evenly.
+//! only about every ten seconds: it can't tell an engine that swaps memory from an idle one, and
+//! random placement leaves some engines with three times the mean load. Each gateway therefore
+//! sends to a subset, small enough that it gets a response from each engine about once a second,
+//! and replaces engines that respond slowly. The subsets of all gateways together cover the engines
+//! evenly.
 
 /// Target time between responses of each engine of the subset, in seconds: well under the time that
 /// a heavy query takes, since by then what is known of an engine is out of date.
 const TARGET_RESPONSE_INTERVAL_S: f64 = 1.0;
 /// With fewer engines than this, two congested ones would leave no choice.
 const MIN_SUBSET_SIZE: usize = 4;
-/// Number of different strides over the ring of engines. The load that leaves one engine is spread
-/// over as many others.
+/// Maximum number of different strides over the ring of engines. When gateways replace an engine,
+/// its load is spread over as many others.
 const MAX_STRIDES: usize = 5;
 /// Half-life of the logarithm of an observed slowdown, in seconds.
 const CONGESTION_HALF_LIFE_S: f64 = 2.0;
@@ -61,8 +62,8 @@
 
 /// Number of engines in the subset of a gateway that receives `request_rate` requests per second.
 pub fn subset_size(request_rate: f64, engine_count: usize) -> usize {
-    let observable = (request_rate * TARGET_RESPONSE_INTERVAL_S).ceil() as usize;
-    observable.max(MIN_SUBSET_SIZE).min(engine_count)
+    let observable_engines = (request_rate * TARGET_RESPONSE_INTERVAL_S).ceil() as usize;
+    observable_engines.max(MIN_SUBSET_SIZE).min(engine_count)
 }
 
 fn greatest_common_divisor(a: usize, b: usize) -> usize {
@@ -109,8 +110,9 @@
             }
             let mean = (gateway_count * subset_size) as f64 / engine_count as f64;
             let (min, max) = (covered.iter().min(), covered.iter().max());
-            let is_near_mean =
-                |count: Option<&usize>| count.is_some_and(|c| (*c as f64 - mean).abs() <= 6.0);
+            let is_near_mean = |count: Option<&usize>| {
+                count.is_some_and(|count| (*count as f64 - mean).abs() <= 6.0)
+            };
             assert!(
                 is_near_mean(min) && is_near_mean(max),
                 "{gateway_count} {engine_count}: {covered:?}"
--- a/fleet/tests/cold.rs
+++ b/fleet/tests/cold.rs
@@ -16,9 +16,9 @@
     }
 }
 
-/// Sends of all gateways, as time and work. Gateways hold their tokens back and use them together at
-/// multiples of `hold_back_us`, which is the worst coincidence that chance can bring about; a token
-/// that expires before that is lost.
+/// Sends of all gateways, as time and work. In the worst case, which is simulated, gateways hold
+/// their tokens back and use them together at multiples of `hold_back_us`; a token that expires
+/// before that is lost.
 fn sends(
     gateway_count: u32,
     cores: f64,
@@ -28,7 +28,8 @@
     sends_with_restarts(gateway_count, cores, classes, hold_back_us, (0, 0.0, 0))
 }
 
-/// Like `sends`, where a share of the gateways restarts at a given time, spread over `steps` steps.
+/// Like `sends`, where some gateways restart. `restarts` has the time of the first restart, the
+/// share of the gateways that restart, and the number of steps over which the restarts are spread.
 fn sends_with_restarts(
     gateway_count: u32,
     cores: f64,
@@ -36,7 +37,7 @@
     hold_back_us: u64,
     restarts: (u64, f64, u64),
 ) -> Vec<(u64, f64)> {
-    sends_under(
+    sends_with_params(
         slow_start(gateway_count),
         cores,
         classes,
@@ -46,20 +47,20 @@
 }
 
 /// Like `sends_with_restarts`, with other parameters of the slow start.
-fn sends_under(
+fn sends_with_params(
     slow_start: SlowStart,
     cores: f64,
     classes: &[(f64, f64)],
     hold_back_us: u64,
-    (restarts_at, share, steps): (u64, f64, u64),
+    (first_restart_at, restart_share, restart_steps): (u64, f64, u64),
 ) -> Vec<(u64, f64)> {
     let gateway_count = slow_start.gateway_count as u32;
     let mut sends = Vec::new();
     for gateway_index in 0..gateway_count {
         let mut tokens = AdmissionTokens::default();
-        let restart_at = (f64::from(gateway_index * 7 % 10) < share * 10.0).then(|| {
-            let step = u64::from(gateway_index) * steps.max(1) / u64::from(gateway_count);
-            restarts_at + step * 1500 * MS
+        let restart_at = (f64::from(gateway_index * 7 % 10) < restart_share * 10.0).then(|| {
+            let step = u64::from(gateway_index) * restart_steps.max(1) / u64::from(gateway_count);
+            first_restart_at + step * 1500 * MS
         });
         for now in (0..slow_start.warm_up_us).step_by(20_000) {
             if restart_at.is_some_and(|at| now >= at && now < at + 20_000) {
@@ -89,14 +90,14 @@
     sends
 }
 
-/// The greatest work within a window, relative to its limit.
-fn worst(sends: &[(u64, f64)], cores: f64) -> f64 {
-    worst_under(slow_start(1), sends, cores)
+/// The maximum work within a window, relative to its limit.
+fn max_load_ratio(sends: &[(u64, f64)], cores: f64) -> f64 {
+    max_load_ratio_with_params(slow_start(1), sends, cores)
 }
 
-/// Like `worst`, with other parameters of the slow start.
-fn worst_under(slow_start: SlowStart, sends: &[(u64, f64)], cores: f64) -> f64 {
-    let load_of_window = |at: u64| {
+/// Like `max_load_ratio`, with other parameters of the slow start.
+fn max_load_ratio_with_params(slow_start: SlowStart, sends: &[(u64, f64)], cores: f64) -> f64 {
+    let load_ratio_of_window = |at: u64| {
         let within_window = sends
             .iter()
             .filter(|(sent_at, _)| *sent_at <= at && sent_at + slow_start.window_us > at);
@@ -109,7 +110,7 @@
     };
     sends
         .iter()
-        .map(|(at, _)| load_of_window(*at))
+        .map(|(at, _)| load_ratio_of_window(*at))
         .fold(0.0, f64::max)
 }
 
@@ -128,12 +129,13 @@
         let classes = [(part, 0.08), (1.0 - part, heavy)];
         let restarts = (at * MS, share, steps);
         let sends = sends_with_restarts(gateways, 12.0, &classes, hoard * MS, restarts);
-        prop_assert!(worst(&sends, 12.0) <= 1.0, "{}", worst(&sends, 12.0));
+        prop_assert!(max_load_ratio(&sends, 12.0) <= 1.0, "{}", max_load_ratio(&sends, 12.0));
     }
 }
 
 /// Sends of gateways that refill their tokens only when `is_refill_time` is true, all at the same
-/// moments. Their number is configured as `count_factor` times the real one until `reconfigured_at`.
+/// moments. Until `reconfigured_at` the configured number of gateways is `count_factor` times the
+/// real one.
 fn sends_after_rare_refills(
     gateway_count: u32,
     classes: &[(f64, f64)],
@@ -180,8 +182,9 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
-    /// A gateway without requests does not refill its tokens. When all gateways get requests at once,
-    /// tokens that were due long ago must have expired.
+    /// Guards against old tokens that all gateways use together: a gateway without requests does
+    /// not refill its tokens, and when all get requests at once, tokens that were due long ago must
+    /// have expired.
     #[test]
     fn no_window_exceeds_the_limit_with_rare_refills_or_changed_parameters(
         gateway_count in prop::sample::select(vec![8u32, 20, 30, 100, 300, 900]),
@@ -200,7 +203,7 @@
             is_refill_time,
             (reconfigured_at_ms * MS, count_factor),
         );
-        prop_assert!(worst(&sends, 12.0) <= 1.0, "{}", worst(&sends, 12.0));
+        prop_assert!(max_load_ratio(&sends, 12.0) <= 1.0, "{}", max_load_ratio(&sends, 12.0));
     }
 }
 
@@ -215,42 +218,44 @@
     ) {
         let classes = [(light_share, 0.08), (1.0 - light_share, heavy_work)];
         let sends = sends(gateway_count, 12.0, &classes, hold_back_ms * MS);
-        prop_assert!(worst(&sends, 12.0) <= 1.0, "{}", worst(&sends, 12.0));
+        prop_assert!(max_load_ratio(&sends, 12.0) <= 1.0, "{}", max_load_ratio(&sends, 12.0));
         // A cold engine still gets queries of both classes.
         let heavy_count = sends.iter().filter(|(_, work)| *work >= 1.0).count();
         prop_assert!(
             hold_back_ms > 100 || (sends.len() > 50 && heavy_count > 0),
-            "{} {heavy_count}", sends.len()
+            "{} {heavy_count}",
+            sends.len()
         );
     }
 }
 
-/// Proves that the check can fail: here each gateway sends one query whatever its share is.
+/// Checks that a violation is detected: here each gateway sends one query whatever its share is.
 #[test]
 fn one_query_from_each_gateway_exceeds_the_limit() {
     let sends: Vec<(u64, f64)> = (0..100).map(|_| (20 * MS, 2.4)).collect();
-    assert!(worst(&sends, 12.0) > 1.0);
+    assert!(max_load_ratio(&sends, 12.0) > 1.0);
 }
 
-/// The granted work follows the engine's capacity, up to the margin, and stops growing when the engine
-/// is warm.
+/// The granted work follows the engine's capacity, up to the margin, and stops growing when the
+/// engine is warm.
 #[test]
 fn granted_work_grows_with_the_capacity_of_the_engine() {
     let slow_start = slow_start(100);
     let granted_work = |age_ms: u64| slow_start.granted_work(age_ms * MS, 12.0);
-    let (first, last) = (
+    let (initial_work, final_work) = (
         granted_work(100),
         granted_work(14_000) - granted_work(13_900),
     );
-    let ratio = first / last;
+    let ratio = initial_work / final_work;
     assert!(
-        (ratio - 0.3).abs() < 0.01 && last <= 0.1 * 12.0 / 100.0,
-        "{first} {last}"
+        (ratio - 0.3).abs() < 0.01 && final_work <= 0.1 * 12.0 / 100.0,
+        "{initial_work} {final_work}"
     );
     assert_eq!(granted_work(60_000), granted_work(14_000));
 }
 
-/// An unused token is lost, so a class counts by how likely one of its requests arrives in time.
+/// An unused token is lost, so a class is weighted by the probability that one of its requests
+/// arrives in time.
 #[test]
 fn use_probability_grows_with_the_request_rate() {
     let slow_start = slow_start(100);
@@ -274,9 +279,9 @@
     ) {
         let classes = [(light_share, 0.08), (1.0 - light_share, heavy_work)];
         let params = SlowStart { overload_factor, ..slow_start(gateway_count) };
-        let sends = sends_under(params, 12.0, &classes, hold_back_ms * MS, (0, 0.0, 0));
-        let worst = worst_under(params, &sends, 12.0);
-        prop_assert!(worst <= 1.0, "{worst}");
+        let sends = sends_with_params(params, 12.0, &classes, hold_back_ms * MS, (0, 0.0, 0));
+        let max_ratio = max_load_ratio_with_params(params, &sends, 12.0);
+        prop_assert!(max_ratio <= 1.0, "{max_ratio}");
     }
 }
 
--- a/fleet/tests/reconnect.rs
+++ b/fleet/tests/reconnect.rs
@@ -33,36 +33,40 @@
     close_in_us: u64,
 }
 
-/// Times of the connects of one dispatcher that needs a connection in each step.
+/// Times of the connects of one dispatcher that needs a connection in each step of `step_us`.
 fn connects(seed: u64, rejection: Rejection, step_us: u64, until_us: u64) -> Vec<u64> {
     let config = BackoffConfig::new(CONNECT_TIMEOUT);
     let mut backoff = Backoff::new(seed);
     let mut connect_times = Vec::new();
-    let mut open: Vec<(u64, bool, TrackedConnection)> = Vec::new();
+    let mut open_connections: Vec<(u64, bool, TrackedConnection)> = Vec::new();
     for now in (0..until_us).step_by(step_us as usize) {
-        let (ended, still_open): (Vec<_>, Vec<_>) = open
-            .into_iter()
-            .partition(|(start, ..)| now >= start + rejection.accept_in_us + rejection.close_in_us);
-        open = still_open;
+        let (ended, still_open): (Vec<_>, Vec<_>) =
+            open_connections.into_iter().partition(|(started_at, ..)| {
+                now >= started_at + rejection.accept_in_us + rejection.close_in_us
+            });
+        open_connections = still_open;
         for (_, _, connection) in ended {
             assert_ne!(
                 backoff.record_end(connection, now, &config),
                 ConnectionEnd::Proven
             );
         }
-        for (start, is_up, connection) in &mut open {
-            if !*is_up && now >= *start + rejection.accept_in_us {
+        for (started_at, is_up, connection) in &mut open_connections {
+            if !*is_up && now >= *started_at + rejection.accept_in_us {
                 *is_up = true;
                 backoff.record_connected(connection, now, &config);
             }
         }
         let was_failing = backoff.is_failing();
         if backoff.permit(now) == Permit::Granted {
-            assert!(!was_failing || open.is_empty(), "one in flight at a time");
-            open.push((now, false, backoff.begin(now)));
+            assert!(
+                !was_failing || open_connections.is_empty(),
+                "one in flight at a time"
+            );
+            open_connections.push((now, false, backoff.begin(now)));
             connect_times.push(now);
         }
-        assert!(open.len() <= MAX_IN_FLIGHT);
+        assert!(open_connections.len() <= MAX_IN_FLIGHT);
     }
     connect_times
 }
@@ -115,21 +119,23 @@
     ) {
         let config = BackoffConfig::new(CONNECT_TIMEOUT);
         let mut backoff = Backoff::new(seed);
-        let mut open: Vec<(u64, bool, TrackedConnection)> = Vec::new();
+        let mut open_connections: Vec<(u64, bool, TrackedConnection)> = Vec::new();
         let mut connect_times = Vec::new();
         for now in (0..5 * SECOND).step_by(step_us as usize) {
-            for (start, is_up, connection) in &mut open {
-                if !*is_up && now >= *start + accept_in_us {
+            for (started_at, is_up, connection) in &mut open_connections {
+                if !*is_up && now >= *started_at + accept_in_us {
                     *is_up = true;
                     backoff.record_connected(connection, now, &config);
                 }
             }
             while backoff.permit(now) == Permit::Granted {
-                open.push((now, false, backoff.begin(now)));
+                open_connections.push((now, false, backoff.begin(now)));
                 connect_times.push(now);
             }
         }
-        prop_assert!(max_within(&connect_times, config.rejection_window_us - 1) <= MAX_IN_FLIGHT as u64);
+        prop_assert!(
+            max_within(&connect_times, config.rejection_window_us - 1) <= MAX_IN_FLIGHT as u64
+        );
     }
 }
 
@@ -157,16 +163,18 @@
                     "{dispatcher_count}: {count} in {window_us} us"
                 );
             }
-            // Once pauses have reached their maximum, no dispatcher connects twice within half of it.
-            let late_start = connect_times.partition_point(|at| *at < 8 * SECOND);
-            let count = max_within(&connect_times[late_start..], config.max_us / 2 - 20 * MS);
+            // Once pauses have reached their maximum, no dispatcher connects twice within half of
+            // it.
+            let first_late_index = connect_times.partition_point(|at| *at < 8 * SECOND);
+            let count = max_within(&connect_times[first_late_index..], config.max_us / 2 - 20 * MS);
             prop_assert!(
                 count <= dispatcher_count,
                 "{dispatcher_count}: {count} in half of the longest pause"
             );
-            // Dispatchers do not connect together: at most twice the mean, plus a margin for chance.
+            // Dispatchers do not connect together: at most twice the mean, plus a statistical
+            // margin.
             let mean = dispatcher_count as f64 * 100.0 * MS as f64 / (0.75 * config.max_us as f64);
-            let count = max_within(&connect_times[late_start..], 100 * MS) as f64;
+            let count = max_within(&connect_times[first_late_index..], 100 * MS) as f64;
             prop_assert!(
                 count <= 2.0 * mean + 8.0 * mean.sqrt() + 6.0,
                 "{dispatcher_count}: {count}, mean {mean}"
@@ -192,7 +200,7 @@
     assert_eq!(
         fail_connect(&mut backoff, CONNECT_TIMEOUT),
         ConnectionEnd::RepeatedFailure,
-        "in the same series"
+        "no success since the first failure"
     );
     let mut trial = backoff.begin(SECOND);
     assert_eq!(backoff.permit(SECOND), Permit::BackingOff, "one in flight");
