--- a/leases/src/engine_leases.rs
+++ b/leases/src/engine_leases.rs
@@ -11,8 +11,9 @@
     pub redistribution_interval: Micros,
     /// The shard's share of the free threads, from 0 to 1.
     pub share: f64,
-    /// Threads of all waiting requests, and of the heaviest query.
+    /// Maximum number of threads that the shard can use.
     pub max_threads: f64,
+    /// Threads of the heaviest query.
     pub heaviest_threads: f64,
 }
 
@@ -20,7 +21,7 @@
 #[derive(Clone, Debug, Default)]
 struct ShardEntry {
     usage: EngineUsage,
-    /// Threads leased and not yet committed.
+    /// Threads of the lease that is not committed yet.
     leased_threads: f64,
     /// Threads of attempts that had ended when the shard acquired its lease; `usage` contains them
     /// until the commit.
@@ -31,10 +32,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct EngineLeases {
     entries: Vec<ShardEntry>,
-    /// Recently sent work: time, shard, and core seconds. Kept when the shard that sent it crashes.
+    /// Recently sent work: time, shard, and core seconds. It is kept when its shard crashes.
     sent_work: VecDeque<(Micros, usize, f64)>,
-    /// Threads that were free at the last redistribution, less those used since, and the time of
-    /// that redistribution.
+    /// Threads that were free at the last redistribution, minus those that were sent since then.
     redistributable_threads: f64,
     redistributed_at: Option<Micros>,
 }
@@ -52,10 +52,12 @@
         entries.filter_map(move |(index, entry)| (index != shard).then_some(entry))
     }
 
-    pub fn threads(&self) -> f64 {
+    /// Threads that all shards have in flight.
+    pub fn threads_in_flight(&self) -> f64 {
         self.entries.iter().map(|entry| entry.usage.threads).sum()
     }
 
+    /// Threads of all leases that are not committed yet.
     pub fn leased_threads(&self) -> f64 {
         self.entries.iter().map(|entry| entry.leased_threads).sum()
     }
@@ -72,40 +74,41 @@
             heaviest_threads,
         } = *request;
         let own_threads = self.entry(shard).usage.threads;
-        let used_threads =
-            self.threads() + self.leased_threads() - demand.ended_threads.min(own_threads);
+        let used_threads = self.threads_in_flight() + self.leased_threads()
+            - demand.ended_threads.min(own_threads);
         let (limit, is_cold) = (demand.max_threads, demand.is_cold);
         let has_sibling_lease = self.siblings(shard).any(|entry| entry.leased_threads > 0.0);
-        let free = if used_threads == 0.0 {
+        let free_threads = if used_threads == 0.0 {
             limit.max(heaviest_threads)
         } else {
             limit - used_threads
         };
         // Fractions of the free threads of a nearly full engine would fit light queries only, and
         // keep heavy ones out permanently.
-        let is_nearly_full = free < 2.0 * heaviest_threads;
+        let is_nearly_full = free_threads < 2.0 * heaviest_threads;
         if self
             .redistributed_at
             .is_none_or(|at| now >= at + redistribution_interval)
         {
-            (self.redistributable_threads, self.redistributed_at) = (free, Some(now));
+            (self.redistributable_threads, self.redistributed_at) = (free_threads, Some(now));
         }
-        // As in a single gateway, threads that become free are collected for an interval: shards
-        // that decide at different moments would each find one slot, and use it for a light query.
-        let free = if is_nearly_full {
-            free.min(self.redistributable_threads)
+        // As in a single gateway, threads that become free are collected for an interval. Otherwise
+        // shards that decide at different moments would each find one thread, and use it for a
+        // light query.
+        let free_threads = if is_nearly_full {
+            free_threads.min(self.redistributable_threads)
         } else {
-            free
+            free_threads
         };
         self.entry(shard).ended_threads = demand.ended_threads.min(own_threads);
-        let quota = if free <= 0.0 || (has_sibling_lease && (is_cold || is_nearly_full)) {
+        let quota = if free_threads <= 0.0 || (has_sibling_lease && (is_cold || is_nearly_full)) {
             0.0
         } else if is_nearly_full {
-            free.min(max_threads)
+            free_threads.min(max_threads)
         } else {
-            (free * share)
+            (free_threads * share)
                 .max(heaviest_threads)
-                .min(free)
+                .min(free_threads)
                 .min(max_threads)
         };
         self.entry(shard).leased_threads = quota;
@@ -126,11 +129,11 @@
 
     /// Core seconds that other shards, including crashed ones, sent within the window.
     pub fn sibling_work(&self, shard: usize, now: Micros, window: Micros) -> f64 {
-        let recent = self
+        let recent_work = self
             .sent_work
             .iter()
             .filter(|(at, _, _)| *at + window > now);
-        let by_siblings = recent.filter(|(_, sender, _)| *sender != shard);
+        let by_siblings = recent_work.filter(|(_, sender, _)| *sender != shard);
         by_siblings.map(|(_, _, work)| work).sum()
     }
 
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -4,15 +4,15 @@
 //! a lease from the [`LeaseTable`]; after it, it commits the lease, which publishes its usage and
 //! returns what it did not use. Leased resources count for all other shards as if they were in
 //! flight, so whatever shards decide at the same moment, the sum never exceeds what one gateway
-//! would have sent. There is no clock and no I/O here; the caller passes the time in microseconds,
-//! of one clock for all shards.
+//! would have sent. Does no I/O and reads no clock; callers pass the time in microseconds, by one
+//! clock for all shards.
 //!
 //! | shared resource | how it is divided |
 //! | --- | --- |
 //! | threads of an engine, and of the fleet | leased for one decision, and counted while in flight |
 //! | memory of an engine, table groups held by loads | counted while in flight |
 //! | work that a cold engine may be sent | leased by only one shard at a time; sent work counts for a window |
-//! | credit of classes and tenants | one balance for all shards, to which each adds its changes |
+//! | credit of classes and tenants | one balance for all shards; each shard adds its changes to it |
 //! | open requests | a quota, renewed with each lease ([`quota`]) |
 //!
 //! Another process of the same dispatcher, during an upgrade, counts as one more shard that never
@@ -63,6 +63,7 @@
 #[derive(Debug)]
 pub struct Lease {
     pub id: LeaseId,
+    /// What the other shards use, and what this shard may add.
     pub siblings: SiblingUsage,
     /// Maximum number of open requests of the shard until its next lease.
     pub max_open_requests: usize,
@@ -78,13 +79,13 @@
     pub shards_to_wake: Vec<ShardId>,
 }
 
-/// A lease that is not committed yet.
+/// A lease that is neither committed nor expired.
 #[derive(Clone, Copy, Debug)]
 struct ActiveLease {
     id: LeaseId,
     acquired_at: Micros,
     /// Threads that the shard may send to the fleet under the lease.
-    threads: f64,
+    max_threads: f64,
 }
 
 /// What is known of a shard.
@@ -92,16 +93,21 @@
 struct ShardState {
     lease: Option<ActiveLease>,
     demanded_threads: f64,
+    /// Usage by class.
     classes: Vec<ClassUsage>,
-    waiting: Vec<Vec<usize>>,
-    /// By when all of its attempts in flight must have ended.
+    /// Number of waiting requests by class and tenant.
+    waiting_requests: Vec<Vec<usize>>,
+    /// Deadline by which all of its attempts in flight must have ended.
     attempts_end_by: Micros,
-    threads: f64,
+    threads_in_flight: f64,
 }
 
 impl ShardState {
     fn has_waiting_requests(&self) -> bool {
-        self.waiting.iter().flatten().any(|count| *count > 0)
+        self.waiting_requests
+            .iter()
+            .flatten()
+            .any(|count| *count > 0)
     }
 }
 
@@ -116,7 +122,7 @@
     open_requests: SharedQuota,
     last_lease_id: u64,
     /// Leases that expired before they were committed.
-    expired_leases: u64,
+    expired_lease_count: u64,
 }
 
 impl LeaseTable {
@@ -130,7 +136,7 @@
             tenant_credit: Vec::new(),
             open_requests: SharedQuota::new(terms.shard_count, terms.max_open_requests),
             last_lease_id: 0,
-            expired_leases: 0,
+            expired_lease_count: 0,
         }
     }
 
@@ -148,7 +154,7 @@
 
     /// Number of leases that expired before they were committed.
     pub fn expired_lease_count(&self) -> u64 {
-        self.expired_leases
+        self.expired_lease_count
     }
 
     /// Leases resources for one decision of a shard that has `open_requests`.
@@ -170,7 +176,7 @@
             .siblings(shard)
             .map(|sibling| sibling.demanded_threads)
             .sum();
-        // The shard's share of what is free, by its part of the total demand.
+        // The shard's share of what is free is its share of the total demand.
         let share = if demanded_threads > 0.0 {
             demanded_threads / (demanded_threads + sibling_demand)
         } else {
@@ -199,7 +205,7 @@
         self.shards[index].lease = Some(ActiveLease {
             id,
             acquired_at: now,
-            threads: max_threads,
+            max_threads,
         });
         Lease {
             id,
@@ -231,9 +237,9 @@
             return CommitResult::default();
         }
         self.release(shard);
-        let threads_before = self.shards[index].threads;
+        let threads_before = self.shards[index].threads_in_flight;
         self.set_usage(index, now, usage);
-        let has_freed_threads = self.shards[index].threads < threads_before;
+        let has_freed_threads = self.shards[index].threads_in_flight < threads_before;
         let shards_to_wake = if has_freed_threads {
             self.waiting_siblings(shard)
         } else {
@@ -260,13 +266,15 @@
             let shard = &self.shards[index];
             let is_late = |lease: ActiveLease| now > lease.acquired_at + self.terms.lease_duration;
             if shard.lease.is_some_and(is_late) {
-                self.expired_leases += 1;
+                self.expired_lease_count += 1;
                 self.release(ShardId(index));
                 self.shards[index].demanded_threads = 0.0;
             }
             // A live shard publishes its usage again long before this.
             let shard = &self.shards[index];
-            if shard.threads > 0.0 && now > shard.attempts_end_by + self.terms.lease_duration {
+            if shard.threads_in_flight > 0.0
+                && now > shard.attempts_end_by + self.terms.lease_duration
+            {
                 self.remove_usage(ShardId(index));
             }
         }
@@ -274,8 +282,13 @@
 
     /// Threads in flight on an engine, and threads leased there, over all shards.
     pub fn engine_threads(&self, engine: EngineId) -> (f64, f64) {
-        let row = self.engines.get(&engine);
-        row.map_or((0.0, 0.0), |row| (row.threads(), row.leased_threads()))
+        let engine_leases = self.engines.get(&engine);
+        engine_leases.map_or((0.0, 0.0), |engine_leases| {
+            (
+                engine_leases.threads_in_flight(),
+                engine_leases.leased_threads(),
+            )
+        })
     }
 
     fn siblings(&self, shard: ShardId) -> impl Iterator<Item = &ShardState> {
@@ -333,16 +346,16 @@
             engine_leases.record_sent_work(index, now, window, work);
         }
         let shard = &mut self.shards[index];
-        (shard.classes, shard.waiting) = (usage.classes, usage.waiting_requests);
+        (shard.classes, shard.waiting_requests) = (usage.classes, usage.waiting_requests);
         shard.attempts_end_by = usage.all_ended_by;
-        // Demand that the shard could not send remains.
-        let sent_threads = (threads - shard.threads).max(0.0);
+        // The part of the demand that the shard could not send remains.
+        let sent_threads = (threads - shard.threads_in_flight).max(0.0);
         shard.demanded_threads = if shard.has_waiting_requests() {
             (shard.demanded_threads - sent_threads).max(0.0)
         } else {
             0.0
         };
-        shard.threads = threads;
+        shard.threads_in_flight = threads;
         let max_credit = self.terms.max_credit;
         add_credit(&mut self.class_credit, &usage.class_credit, max_credit);
         let class_count = usage.tenant_credit.len().max(self.tenant_credit.len());
@@ -352,7 +365,7 @@
         }
     }
 
-    /// By class, what the other shards have in flight or may be sending.
+    /// What the other shards have in flight or may be sending, by class.
     fn sibling_classes(&self, shard: ShardId) -> Vec<ClassUsage> {
         let mut sum: Vec<ClassUsage> = Vec::new();
         for sibling in self.siblings(shard) {
@@ -364,18 +377,18 @@
         }
         // Queries sent under active leases may be of any class.
         let leases = self.siblings(shard).filter_map(|sibling| sibling.lease);
-        let leased_threads: f64 = leases.map(|lease| lease.threads).sum();
+        let leased_threads: f64 = leases.map(|lease| lease.max_threads).sum();
         sum.iter_mut()
             .for_each(|class_usage| class_usage.threads += leased_threads);
         sum
     }
 
-    /// By class and tenant, how many requests wait at the other shards.
+    /// Number of requests that wait at the other shards, by class and tenant.
     fn waiting_at_siblings(&self, shard: ShardId) -> Vec<Vec<usize>> {
         let mut sum: Vec<Vec<usize>> = Vec::new();
         for sibling in self.siblings(shard) {
-            sum.resize(sum.len().max(sibling.waiting.len()), Vec::new());
-            for (sum, class) in sum.iter_mut().zip(&sibling.waiting) {
+            sum.resize(sum.len().max(sibling.waiting_requests.len()), Vec::new());
+            for (sum, class) in sum.iter_mut().zip(&sibling.waiting_requests) {
                 sum.resize(sum.len().max(class.len()), 0);
                 sum.iter_mut()
                     .zip(class)
--- a/leases/src/placement.rs
+++ b/leases/src/placement.rs
@@ -8,13 +8,13 @@
     pub is_alive: bool,
 }
 
-/// Chooses the live worker with the fewest connections, or any worker if none is alive; `turn`
-/// breaks ties round-robin. A client that opens all its connections at once is thus spread over the
-/// workers, and a stalled worker gets no more connections.
+/// Chooses the live worker with the fewest connections, or any worker if none is alive. `turn`, the
+/// number of the connection, breaks ties round-robin. A client that opens all its connections at
+/// once is thus spread over the workers, and a stalled worker gets no more connections.
 pub fn choose_worker(loads: &[WorkerLoad], turn: usize) -> usize {
     let count = loads.len().max(1);
     let distance_from_turn = |worker: usize| (worker + count - turn % count) % count;
-    let order = |worker: &usize| {
+    let sort_key = |worker: &usize| {
         let load = loads[*worker];
         (
             !load.is_alive,
@@ -22,7 +22,7 @@
             distance_from_turn(*worker),
         )
     };
-    (0..loads.len()).min_by_key(order).unwrap_or(0)
+    (0..loads.len()).min_by_key(sort_key).unwrap_or(0)
 }
 
 #[cfg(test)]
--- a/leases/src/quota.rs
+++ b/leases/src/quota.rs
@@ -1,7 +1,7 @@
 //! A quota that is divided among shards: each shard leases a part of it, and renews the lease with
 //! each decision.
 
-/// Leases of a whole number, such as the number of open requests. The sum of what is granted never
+/// Leases of a number of equal units, for example open requests. The sum of what is granted never
 /// exceeds the limit; what a shard does not use moves to shards that need it at their next renewal.
 #[derive(Debug)]
 pub struct SharedQuota {
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Changes the limit; a shard that has more than its part returns the excess when it renews.
+    /// Changes the limit. After a decrease, shards return what exceeds it when they renew their
+    /// leases.
     pub fn reconfigure(&mut self, limit: usize) {
         self.limit = limit;
     }
@@ -29,7 +30,8 @@
     pub fn renew(&mut self, shard: usize, used: usize) -> usize {
         let granted_to_siblings = self.granted.iter().sum::<usize>() - self.granted[shard];
         let available = self.limit.saturating_sub(granted_to_siblings);
-        // Half of what is free stays for the next renewals, so that it moves to where it is needed.
+        // Half of what is free is kept for the next renewals, so that it reaches the shards that
+        // need it.
         let free = available.saturating_sub(used);
         let is_only_shard = self.granted.len() == 1;
         let spare = if is_only_shard {
--- a/leases/tests/interleavings.rs
+++ b/leases/tests/interleavings.rs
@@ -24,11 +24,11 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Ends up to `ended` queries on each engine, and acquires a lease.
+    /// Ends up to `ended_queries` queries on each engine, and acquires a lease.
     Acquire {
         shard: usize,
         demanded_threads: u8,
-        ended: u8,
+        ended_queries: u8,
     },
     /// Sends up to `queries` queries of `threads` threads to each engine within its quota, and
     /// commits.
@@ -44,8 +44,8 @@
 fn step() -> impl Strategy<Value = Step> {
     let shard = 0..SHARD_COUNT;
     prop_oneof![
-        4 => (shard.clone(), 0..30u8, 0..3u8).prop_map(|(shard, demanded_threads, ended)| {
-            Step::Acquire { shard, demanded_threads, ended }
+        4 => (shard.clone(), 0..30u8, 0..3u8).prop_map(|(shard, demanded_threads, ended_queries)| {
+            Step::Acquire { shard, demanded_threads, ended_queries }
         }),
         5 => (shard.clone(), 0..6u8, 1..=4u8).prop_map(|(shard, queries, threads)| {
             Step::Commit { shard, queries, threads }
@@ -119,13 +119,13 @@
         }
     }
 
-    fn acquire(&mut self, index: usize, demanded_threads: u8, ended: u8) {
+    fn acquire(&mut self, index: usize, demanded_threads: u8, ended_queries: u8) {
         let shard = &mut self.shards[index];
         let mut engines = Vec::new();
         for id in (0..ENGINE_COUNT).map(EngineId) {
             let threads_before = shard.threads(id);
             if let Some(queries) = shard.in_flight.get_mut(&id) {
-                queries.truncate(queries.len().saturating_sub(usize::from(ended)));
+                queries.truncate(queries.len().saturating_sub(usize::from(ended_queries)));
             }
             engines.push(engine_demand(
                 id,
@@ -133,7 +133,9 @@
                 threads_before - shard.threads(id),
             ));
         }
-        shard.open_requests = shard.open_requests.saturating_sub(usize::from(ended));
+        shard.open_requests = shard
+            .open_requests
+            .saturating_sub(usize::from(ended_queries));
         let demand = Demand {
             threads: f64::from(demanded_threads),
             heaviest_class_threads: HEAVIEST_THREADS,
@@ -148,7 +150,7 @@
         shard.lease = Some((lease, self.now));
     }
 
-    /// Decides as a gateway does: within its thread quota and the limit, by the usage of its
+    /// Decides like a gateway: within its thread quota, and within the limit minus the usage of its
     /// siblings.
     fn commit(&mut self, index: usize, queries: u8, threads: u8) {
         let shard = &mut self.shards[index];
@@ -188,7 +190,7 @@
         let in_flight_before = shard.in_flight.clone();
         sends
             .iter()
-            .for_each(|to| shard.in_flight.entry(*to).or_default().push(threads));
+            .for_each(|engine| shard.in_flight.entry(*engine).or_default().push(threads));
         let usage = shard.usage(cold_work);
         if self
             .lease_table
@@ -212,8 +214,8 @@
             Step::Acquire {
                 shard,
                 demanded_threads,
-                ended,
-            } => self.acquire(shard, demanded_threads, ended),
+                ended_queries,
+            } => self.acquire(shard, demanded_threads, ended_queries),
             Step::Commit {
                 shard,
                 queries,
@@ -253,7 +255,11 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 1500,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
     fn shards_together_never_exceed_the_limits_of_one_gateway(steps in vec(step(), 1..120)) {
@@ -264,7 +270,7 @@
         }
     }
 
-    /// Whatever was leased and has expired before, in the end only the committed usage counts.
+    /// Whichever leases have expired before, in the end only the committed usage counts.
     #[test]
     fn expired_leases_are_returned(steps in vec(step(), 1..60)) {
         let mut model = Model::new();
@@ -275,21 +281,24 @@
         model.lease_table.expire_leases(model.now);
         for engine in (0..ENGINE_COUNT).map(EngineId) {
             let in_flight: f64 = model.shards.iter().map(|shard| shard.threads(engine)).sum();
-            let (known, leased) = model.lease_table.engine_threads(engine);
+            let (committed, leased) = model.lease_table.engine_threads(engine);
             prop_assert_eq!(leased, 0.0);
             // Ended queries reported under an expired lease are reported again under the next valid
             // one.
-            prop_assert!(in_flight <= known, "{} in flight, {} known", in_flight, known);
+            prop_assert!(
+                in_flight <= committed,
+                "{} in flight, {} committed", in_flight, committed
+            );
         }
     }
 }
 
-fn engine_demand(engine: EngineId, is_cold: bool, ended: f64) -> EngineDemand {
+fn engine_demand(engine: EngineId, is_cold: bool, ended_threads: f64) -> EngineDemand {
     EngineDemand {
         engine,
         max_threads: ENGINE_LIMIT,
         is_cold,
-        ended_threads: ended,
+        ended_threads,
     }
 }
 
@@ -312,7 +321,7 @@
     }
 }
 
-fn usage(threads: f64, until: Micros) -> ShardUsage {
+fn usage(threads: f64, all_ended_by: Micros) -> ShardUsage {
     let engine_usage = EngineUsage {
         threads,
         table_groups: vec![TableGroupId(7)],
@@ -325,7 +334,7 @@
             memory_mb: 0.0,
         }],
         waiting_requests: vec![vec![0, 2]],
-        all_ended_by: until,
+        all_ended_by,
         ..ShardUsage::default()
     }
 }
@@ -366,7 +375,7 @@
 fn an_expired_lease_is_invalid_and_its_threads_are_leased_again() {
     let mut lease_table = LeaseTable::new(terms(2));
     let (first, second) = (ShardId(0), ShardId(1));
-    let stalled = lease_table.acquire(first, Micros(0), &demand(30.0, false), 0);
+    let stalled_lease = lease_table.acquire(first, Micros(0), &demand(30.0, false), 0);
     let lease = lease_table.acquire(second, Micros(10), &demand(30.0, false), 0);
     assert_eq!(quota(&lease), 0.0);
     assert!(
@@ -376,8 +385,9 @@
     );
     let lease = lease_table.acquire(second, Micros(60), &demand(30.0, false), 0);
     assert_eq!(quota(&lease), ENGINE_LIMIT);
-    let late = lease_table.commit(first, stalled.id, Micros(61), usage(8.0, Micros(900)));
-    assert!(!late.is_valid, "its decisions must not be sent");
+    let late_commit =
+        lease_table.commit(first, stalled_lease.id, Micros(61), usage(8.0, Micros(900)));
+    assert!(!late_commit.is_valid, "its decisions must not be sent");
     assert_eq!(lease_table.expired_lease_count(), 1);
     assert!(
         lease_table
@@ -413,11 +423,11 @@
     let mut lease_table = LeaseTable::new(terms(2));
     let (crashed, other) = (ShardId(0), ShardId(1));
     let lease = lease_table.acquire(crashed, Micros(0), &demand(8.0, true), 0);
-    let mut published = usage(8.0, Micros(500));
-    published.work_sent_core_s = vec![(EngineId(1), 2.5)];
+    let mut published_usage = usage(8.0, Micros(500));
+    published_usage.work_sent_core_s = vec![(EngineId(1), 2.5)];
     assert!(
         lease_table
-            .commit(crashed, lease.id, Micros(1), published)
+            .commit(crashed, lease.id, Micros(1), published_usage)
             .is_valid
     );
     lease_table.remove_crashed_shard(crashed);
@@ -456,14 +466,14 @@
     let mut lease_table = LeaseTable::new(terms(2));
     for (shard, change) in [(0, 0.5), (1, 0.75)] {
         let lease = lease_table.acquire(ShardId(shard), Micros(0), &demand(0.0, false), 0);
-        let published = ShardUsage {
+        let published_usage = ShardUsage {
             class_credit: vec![change, -change],
             tenant_credit: vec![vec![], vec![change]],
             ..ShardUsage::default()
         };
         assert!(
             lease_table
-                .commit(ShardId(shard), lease.id, Micros(1), published)
+                .commit(ShardId(shard), lease.id, Micros(1), published_usage)
                 .is_valid
         );
     }
@@ -475,9 +485,9 @@
 #[test]
 fn usage_of_a_peer_process_counts_for_every_shard_until_it_must_have_ended() {
     let mut lease_table = LeaseTable::new(terms(2));
-    let peer_usage = |threads, until| ShardUsage {
+    let peer_usage = |threads, all_ended_by| ShardUsage {
         waiting_requests: Vec::new(),
-        ..usage(threads, until)
+        ..usage(threads, all_ended_by)
     };
     lease_table.set_peer_process_usage(Micros(0), peer_usage(8.0, Micros(900)));
     for shard in [ShardId(0), ShardId(1)] {
--- a/leases/tests/sharded_gateways.rs
+++ b/leases/tests/sharded_gateways.rs
@@ -1,5 +1,5 @@
-//! Simulation of gateways as shards of one dispatcher, in virtual time and with simple engines,
-//! compared with a single gateway under the same traffic.
+//! Simulates gateways as shards of one dispatcher, in virtual time and with simple engines, and
+//! compares them with a single gateway under the same traffic.
 
 use sedgebeam_core::{
     Action, AttemptEnded, AttemptNo, Class, ClassId, Effect, Engine, EngineId, Event, Gateway,
@@ -91,7 +91,7 @@
 struct RunningAttempt {
     shard: usize,
     engine: EngineId,
-    attempt: AttemptNo,
+    attempt_no: AttemptNo,
     class: usize,
     tenant: usize,
 }
@@ -159,7 +159,9 @@
             request_rate,
             group_count,
         };
-        let engines: Vec<Engine> = (1..=ENGINE_COUNT).map(|id| listed(id, Micros(0))).collect();
+        let engines: Vec<Engine> = (1..=ENGINE_COUNT)
+            .map(|id| listed_engine(id, Micros(0)))
+            .collect();
         simulation.send_list(ListKind::Complete, engines);
         simulation
     }
@@ -215,18 +217,18 @@
                 let id = next_end.remove();
                 self.end(id);
             }
-            // Shards decide at different ticks, but some at the same time: what one of them has
-            // leased is not available to the others.
+            // Shards decide at different times, except for pairs that decide at the same time: what
+            // one of a pair has leased is not available to the other.
             let mut deciding = Vec::new();
             for index in 0..self.shards.len() {
-                let is_its_turn = self.now / 1000 % 5 == index as u64 / 2 % 5;
+                let is_decision_time = self.now / 1000 % 5 == index as u64 / 2 % 5;
                 let shard = &mut self.shards[index];
                 if shard.timer.is_some_and(|at| at <= self.now) {
                     shard.timer = None;
                     shard.events.push(Event::Timer(TimerId(0)));
                 }
                 let has_events = shard.is_woken || !shard.events.is_empty();
-                if is_its_turn && has_events && self.now >= shard.stalled_until {
+                if is_decision_time && has_events && self.now >= shard.stalled_until {
                     deciding.push(self.acquire(index));
                 }
             }
@@ -258,7 +260,7 @@
             .events
             .push(Event::Ended(AttemptEnded {
                 request: id,
-                attempt: attempt.attempt,
+                attempt: attempt.attempt_no,
                 engine: attempt.engine,
                 outcome: Outcome::Ok,
                 elapsed: duration,
@@ -294,26 +296,26 @@
             let usage = shard.gateway.publish();
             let result = lease_table.commit(ShardId(index), lease_id, now, usage);
             assert!(result.is_valid);
-            for waiter in result.shards_to_wake {
-                self.shards[waiter.0].is_woken = true;
+            for waiting_shard in result.shards_to_wake {
+                self.shards[waiting_shard.0].is_woken = true;
             }
         }
         for action in actions {
-            self.act(index, action);
+            self.perform(index, action);
         }
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn perform(&mut self, index: usize, action: Action) {
         match action {
             Action::Send {
                 request, engine, ..
             } => {
                 let (class, tenant) = self.class_and_tenant[&request];
-                let attempt = AttemptNo(0);
+                let attempt_no = AttemptNo(0);
                 let running = RunningAttempt {
                     shard: index,
                     engine,
-                    attempt,
+                    attempt_no,
                     class,
                     tenant,
                 };
@@ -331,8 +333,8 @@
                         .push((self.now, threads * duration_us as f64 / 1e6));
                 }
                 self.next_id += 1;
-                // Random, so that slots become free one by one and not in the groups in which they
-                // were taken.
+                // Random, so that threads become free one by one and not in the groups in which
+                // they were used.
                 let duration_us = (duration_us as f64 * (0.5 + self.random.next())) as u64;
                 self.ends
                     .insert((self.now + duration_us, self.next_id), request);
@@ -371,7 +373,7 @@
     }
 }
 
-fn listed(id: u64, started_at: Micros) -> Engine {
+fn listed_engine(id: u64, started_at: Micros) -> Engine {
     Engine {
         kind: Some(KindId(0)),
         started_at,
@@ -380,7 +382,7 @@
 }
 
 /// Runs at three times the capacity of the engines; counts twenty seconds after a warm-up.
-fn overload(shard_count: usize) -> Simulation {
+fn run_overloaded(shard_count: usize) -> Simulation {
     let mut simulation = Simulation::new(shard_count, 6000.0, 40);
     simulation.run(5_000);
     simulation.counts.served = Default::default();
@@ -398,7 +400,7 @@
 
 #[test]
 fn shares_of_classes_and_tenants_over_shards_match_a_single_gateway() {
-    let single = overload(1);
+    let single = run_overloaded(1);
     println!(
         "1: {:?} {:?} {}",
         single.tenant_shares(),
@@ -407,7 +409,7 @@
     );
     for shard_count in [2, 4, 8] {
         {
-            let simulation = overload(shard_count);
+            let simulation = run_overloaded(shard_count);
             let (tenants, classes) = (simulation.tenant_shares(), simulation.class_shares());
             println!(
                 "{shard_count}: {tenants:?} {classes:?} {}",
@@ -443,7 +445,7 @@
         simulation.run(3_000);
         let new_engine = ENGINE_COUNT + 1;
         simulation.cold_engine = Some(EngineId(new_engine));
-        let engine = listed(new_engine, Micros(simulation.now));
+        let engine = listed_engine(new_engine, Micros(simulation.now));
         simulation.send_list(ListKind::Changes, vec![engine]);
         simulation.run(12_000);
         let max_work = simulation.counts.max_cold_work;
