--- a/handover/src/lib.rs
+++ b/handover/src/lib.rs
@@ -1,6 +1,6 @@
-//! State that the processes of one dispatcher exchange, as during an upgrade, and what each process
-//! may do meanwhile. No I/O and no clock: files are bytes here, and the caller passes the time in
-//! microseconds.
+//! State that the processes of one dispatcher exchange, for example during an upgrade, and what
+//! each process may do meanwhile. Does no I/O and reads no clock: messages are encoded to bytes,
+//! and callers pass the time in microseconds.
 
 mod freshness;
 mod message;
--- a/handover/src/message.rs
+++ b/handover/src/message.rs
@@ -1,4 +1,4 @@
-//! The message that a process leaves for the other processes of its dispatcher in a file: a header
+//! The message that a process writes to a file for the other processes of its dispatcher: a header
 //! line with format, version, length and checksum, followed by JSON.
 
 use crate::process_pair::{Incarnation, Phase};
@@ -14,8 +14,8 @@
 const FORMAT_NAME: &str = "sedgebeam-share";
 /// Maximum length of a message: enough for several thousand engines.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
-/// Maximum difference in wall-clock time of a message from a version that does not list the
-/// processes it is addressed to.
+/// Maximum difference between the wall-clock times of writer and reader, for messages of versions
+/// that do not list the processes that the writer had found.
 const MAX_CLOCK_SKEW: Micros = Micros::from_millis(2000);
 
 /// The state that a process hands over to the other processes of its dispatcher.
@@ -61,7 +61,8 @@
     OtherDispatcher,
 }
 
-/// The JSON form of a message. The names of the fields are part of the format.
+/// The JSON form of a message. The field names of this and the following records are part of the
+/// format.
 #[derive(Serialize, Deserialize)]
 struct MessageRecord {
     name: String,
@@ -157,7 +158,7 @@
 
 impl From<EngineRecord> for EngineHandover {
     fn from(record: EngineRecord) -> EngineHandover {
-        let sent = record.sent.into_iter();
+        let recent_sends = record.sent.into_iter();
         EngineHandover {
             engine: EngineId(record.engine),
             usage: EngineUsage {
@@ -165,7 +166,7 @@
                 memory_mb: record.memory_mb,
                 table_groups: record.groups.into_iter().map(TableGroupId).collect(),
             },
-            recent_sends: sent.map(|(at, work)| (Micros(at), work)).collect(),
+            recent_sends: recent_sends.map(|(at, work)| (Micros(at), work)).collect(),
             service_time_ratio: record.pace,
             ejected_until: (Micros(record.rests_until.0), Micros(record.rests_until.1)),
         }
@@ -318,8 +319,8 @@
         })
     }
 
-    /// Whether the message was written after `reader` started, at the Unix time `unix_now`: a file
-    /// that was left over from an earlier upgrade was not.
+    /// Whether the message was written after `reader` started; a file that was left over from an
+    /// earlier upgrade was not. `unix_now` is the current Unix time.
     pub fn is_addressed_to(&self, reader: Incarnation, unix_now: Micros) -> bool {
         match &self.status.known_processes {
             Some(processes) => processes.contains(&reader),
@@ -327,7 +328,7 @@
         }
     }
 
-    /// The handover state, with its times converted to the clock of the reader, which shows `now`.
+    /// The handover state, with its times converted to the reader's clock, whose time is `now`.
     pub fn handover_state_at(&self, now: Micros) -> HandoverState {
         match self.status.writer_clock {
             Some(writer_now) => self.handover_state.clone().translate_clock(writer_now, now),
--- a/handover/src/process_pair.rs
+++ b/handover/src/process_pair.rs
@@ -1,5 +1,5 @@
-//! What a process may do next to other processes of its dispatcher, by which of them run and in
-//! which phase.
+//! Decides which of several concurrent processes of a dispatcher may use cold engines, and from
+//! which one a new process takes over state, by their start order and phases.
 
 use miniserde::{Deserialize, Serialize};
 
@@ -8,7 +8,7 @@
 pub enum Phase {
     Starting,
     Serving,
-    /// The process was told to end: it accepts no new work, and sends nothing to cold engines.
+    /// The process was told to exit: it accepts no new work, and sends nothing to cold engines.
     Ending,
 }
 
@@ -22,8 +22,8 @@
 }
 
 impl Incarnation {
-    /// An incarnation that starts now, after all `known` ones. Earlier versions use their Unix time
-    /// in microseconds as generation.
+    /// The incarnation of a process that starts now, after all `known` ones. Earlier versions use
+    /// their Unix time in microseconds as generation.
     pub fn after(known: impl Iterator<Item = Incarnation>, nonce: u32) -> Incarnation {
         let newest = known.map(|incarnation| incarnation.generation).max();
         Incarnation {
@@ -49,22 +49,22 @@
 /// A process and the other live processes of its dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProcessPair {
-    own: Incarnation,
+    own_incarnation: Incarnation,
     phase: Phase,
-    /// The phase is `None` for a process whose message could not be read.
+    /// The other live processes. The phase is `None` for a process whose message could not be read.
     peers: Vec<(Incarnation, Option<Phase>)>,
 }
 
 impl ProcessPair {
-    pub fn new(own: Incarnation) -> ProcessPair {
+    pub fn new(own_incarnation: Incarnation) -> ProcessPair {
         ProcessPair {
-            own,
+            own_incarnation,
             phase: Phase::Starting,
             peers: Vec::new(),
         }
     }
 
-    /// Sets the own phase and the peers that are seen now.
+    /// Sets the phase of this process, and the peers that it sees now.
     pub fn update(&mut self, phase: Phase, peers: Vec<(Incarnation, Option<Phase>)>) {
         (self.phase, self.peers) = (phase, peers);
     }
@@ -79,7 +79,7 @@
     /// ending. An ending process may not, even if it sees no peer: a successor may have started
     /// since it looked.
     pub fn may_use_cold_engines(&self) -> bool {
-        let is_older = |(peer, _): &&(Incarnation, Option<Phase>)| *peer < self.own;
+        let is_older = |(peer, _): &&(Incarnation, Option<Phase>)| *peer < self.own_incarnation;
         let mut older_peers = self.peers.iter().filter(is_older);
         let is_ending = self.phase == Phase::Ending;
         !is_ending && older_peers.all(|(_, phase)| *phase == Some(Phase::Ending))
@@ -88,7 +88,10 @@
     /// The process from which this one takes over state: the youngest older one that serves or has
     /// served.
     pub fn predecessor(&self) -> Option<Incarnation> {
-        let older_peers = self.peers.iter().filter(|(peer, _)| *peer < self.own);
+        let older_peers = self
+            .peers
+            .iter()
+            .filter(|(peer, _)| *peer < self.own_incarnation);
         let older_peers = older_peers.filter(|(_, phase)| *phase != Some(Phase::Starting));
         older_peers.map(|(peer, _)| *peer).max()
     }
--- a/handover/tests/message.rs
+++ b/handover/tests/message.rs
@@ -99,25 +99,24 @@
     }
 }
 
-/// Whatever the wall clock shows, a message is addressed to the processes that its writer had
-/// found.
+/// The wall clock makes no difference for messages that list the processes that were found.
 #[test]
 fn a_message_is_addressed_to_the_processes_that_its_writer_had_found() {
-    let later = Incarnation {
+    let later_process = Incarnation {
         generation: 8,
         ..READER
     };
     for now in [NOW_US - HOUR_US, NOW_US, NOW_US + HOUR_US] {
         assert!(message().is_addressed_to(READER, Micros(now)));
         assert!(
-            !message().is_addressed_to(later, Micros(now)),
+            !message().is_addressed_to(later_process, Micros(now)),
             "left over from an earlier upgrade"
         );
     }
     // A message of a version that compares the wall clock.
-    let mut earlier = message();
-    earlier.status.known_processes = None;
-    let is_addressed_at = |at| earlier.is_addressed_to(READER, Micros(at));
+    let mut earlier_format = message();
+    earlier_format.status.known_processes = None;
+    let is_addressed_at = |unix_now| earlier_format.is_addressed_to(READER, Micros(unix_now));
     assert!(is_addressed_at(NOW_US + 1_000_000) && is_addressed_at(NOW_US - 1_000_000));
     assert!(!is_addressed_at(NOW_US + 3_000_000) && !is_addressed_at(NOW_US - 3_000_000));
 }
--- a/handover/tests/process_pair.rs
+++ b/handover/tests/process_pair.rs
@@ -11,7 +11,7 @@
     Serve(usize),
     End(usize),
     Crash(usize),
-    /// A process looks at the others; the flag is whether it can read their messages.
+    /// A process updates its view of the others; the flag is whether it can read their messages.
     Look(usize, bool),
 }
 
@@ -44,12 +44,16 @@
 
 impl Dispatcher {
     fn look(&mut self, index: usize, can_read: bool) {
-        let own = self.processes[index].incarnation;
-        let peers = self.processes.iter().filter(|peer| peer.incarnation != own);
-        let seen = peers.map(|peer| (peer.incarnation, peer.published_phase.filter(|_| can_read)));
-        let seen = seen.collect();
+        let own_incarnation = self.processes[index].incarnation;
+        let peers = self
+            .processes
+            .iter()
+            .filter(|peer| peer.incarnation != own_incarnation);
+        let visible_peers =
+            peers.map(|peer| (peer.incarnation, peer.published_phase.filter(|_| can_read)));
+        let visible_peers = visible_peers.collect();
         let process = &mut self.processes[index];
-        process.pair.update(process.phase, seen);
+        process.pair.update(process.phase, visible_peers);
         process.published_phase = Some(process.phase);
     }
 
@@ -80,7 +84,7 @@
                     published_phase: None,
                     pair: ProcessPair::new(incarnation),
                 });
-                // A process looks before it does anything.
+                // A process looks at the others before it does anything.
                 dispatcher.look(dispatcher.processes.len() - 1, true);
             }
             Step::Serve(index) => {
@@ -108,7 +112,8 @@
             return Err(format!("after {step:?}, {users:?} send to cold engines"));
         }
     }
-    // All processes look: then the oldest one that is not ending may.
+    // Once all processes have looked at each other, the oldest one that is not ending may send to
+    // cold engines.
     for index in (0..dispatcher.processes.len()).chain(0..dispatcher.processes.len()) {
         dispatcher.look(index, true);
     }
