--- a/discovery/src/follower.rs
+++ b/discovery/src/follower.rs
@@ -1,8 +1,8 @@
-//! Follows a change log: handles its events, decides from which sequence number to resume and after which delay.
+//! Follows a change log: handles its events, and decides from which event to resume and after which delay.
 //!
-//! The delays are randomized and grow with the number of followers, as hundreds of them react to the same event: when
-//! the log disconnects, moves or omits an event, all would retry at once, repeatedly, and request the complete list.
-//! Does no I/O and reads no clock.
+//! The delays are randomized and grow with the number of followers, because hundreds of them may react to the same
+//! event: when the log disconnects, moves or omits an event, all would otherwise retry at the same time, repeatedly,
+//! and request the complete list. Does no I/O and reads no clock.
 
 use crate::{ListUpdate, Target, apply_update};
 use rand::rngs::StdRng;
@@ -13,7 +13,7 @@
 const FIRST_DELAY_PER_FOLLOWER: Duration = Duration::from_millis(1);
 /// Longest delay, per follower: all followers together make 200 to 300 tries per second while the log is down.
 const LONGEST_DELAY_PER_FOLLOWER: Duration = Duration::from_millis(5);
-/// The delays where there are few followers.
+/// Lower bounds of both delays, which apply where there are few followers.
 const MIN_FIRST_DELAY: Duration = Duration::from_millis(50);
 const MIN_LONGEST_DELAY: Duration = Duration::from_millis(250);
 /// Upper bound of all delays. A change counts as known to each follower 7 s after the log publishes it, received or
@@ -34,10 +34,10 @@
 
 impl RetryBackoff {
     pub fn new(followers: u32, seed: u64) -> RetryBackoff {
-        let for_all = |delay: Duration| delay.saturating_mul(followers);
+        let scaled = |delay: Duration| delay.saturating_mul(followers);
         RetryBackoff {
-            first_delay: for_all(FIRST_DELAY_PER_FOLLOWER).clamp(MIN_FIRST_DELAY, MAX_DELAY),
-            longest_delay: for_all(LONGEST_DELAY_PER_FOLLOWER).clamp(MIN_LONGEST_DELAY, MAX_DELAY),
+            first_delay: scaled(FIRST_DELAY_PER_FOLLOWER).clamp(MIN_FIRST_DELAY, MAX_DELAY),
+            longest_delay: scaled(LONGEST_DELAY_PER_FOLLOWER).clamp(MIN_LONGEST_DELAY, MAX_DELAY),
             tries: 0,
             rng: StdRng::seed_from_u64(seed),
         }
@@ -66,7 +66,7 @@
     list: Vec<Target>,
     /// The last event that the list includes; `None` before the complete list arrives.
     last_seq: Option<u64>,
-    /// The latest event that is known to exist: the list is published once it includes this one.
+    /// The latest event that is known to exist: the list is published once it includes this event.
     required_seq: u64,
 }
 
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
     published_seq: u64,
-    /// After a gap the log was already requested once more from the published event.
+    /// Whether the events after the published one were already requested again because of a gap.
     has_retried_gap: bool,
     rebuild: Option<Rebuild>,
 }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Handles an event. After a gap the log is requested once more from the published event, which is cheap and
+    /// Handles an event. After a gap, the events after the published one are requested once more, which is cheap and
     /// recovers events lost in transit. If the gap remains, the complete list is requested. It is published only once
     /// it includes all events that are known to exist, so that no engine is lost meanwhile.
     pub fn handle_event(
@@ -137,7 +137,7 @@
                 FollowerAction::Publish(seq, ListUpdate::Complete, list)
             });
         }
-        // A repeated event is an old state, also where it has the complete list.
+        // A repeated event has an old state, even if it is a complete list.
         if seq <= self.published_seq {
             return FollowerAction::Ignore;
         }
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -11,10 +11,12 @@
 pub struct Target {
     pub uid: String,
     pub endpoint: String,
+    /// The availability zone.
     pub az: Option<String>,
     pub model: Option<String>,
     pub pod_group: Option<u64>,
     pub state: String,
+    /// Start time by the engine's own clock, in milliseconds.
     pub boot_ms: Option<f64>,
 }
 
--- a/discovery/tests/follower.rs
+++ b/discovery/tests/follower.rs
@@ -53,7 +53,7 @@
     Repeated,
     /// The connection ends before the event.
     Disconnected,
-    /// Nothing arrives for a while before the event: the log is slow, or has sent all that it had.
+    /// Nothing arrives for a while before the event, because the log is slow or has sent everything.
     Delayed,
 }
 
@@ -83,7 +83,7 @@
         }
         let mut list = self.list.clone();
         list.sort_by(|one, other| one.uid.cmp(&other.uid));
-        // At any time it equals the list after one event: no entry is lost, and no older state returns.
+        // It always equals the list after some event: no entry is lost, and no older state returns.
         assert_eq!(list, log.list(self.seq));
     }
 }
@@ -170,7 +170,7 @@
     let action = deliver(&mut follower, 4);
     published.execute(&mut follower, action, &log);
     assert_eq!((published.seq, follower.resume_after()), (4, 4));
-    // A log that pauses within its complete list is not taken to have lost events that it sent before.
+    // A pause of the log while it sends the complete list does not count as a loss of earlier events.
     assert_eq!(
         deliver(&mut follower, 5),
         FollowerAction::Publish(5, ListUpdate::Changes, event(5).1)
