--- a/operation/src/control_command.rs
+++ b/operation/src/control_command.rs
@@ -1,6 +1,6 @@
 //! Commands that operators send on the control socket, one line per connection.
 
-/// Longest line that is read. Commands are single words, so a longer line is none of them.
+/// Maximum length of a line that is read. Commands are short words, so a longer line is not a command.
 pub const MAX_LINE_BYTES: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +16,7 @@
 }
 
 impl ControlCommand {
-    /// Parses a line with or without its line ending; `None` where it is not a command.
+    /// Parses a line with or without its line ending; `None` if it is not a command.
     pub fn parse(line: &[u8]) -> Option<ControlCommand> {
         match line.trim_ascii() {
             b"PING" => Some(ControlCommand::Ping),
--- a/operation/src/drain.rs
+++ b/operation/src/drain.rs
@@ -1,4 +1,4 @@
-//! Drain of a dispatcher: whether it is ready, and what happens to new and to existing client connections.
+//! Drain of a dispatcher: whether it is ready, and how new and existing client connections are treated.
 //!
 //! The platform's front polls readiness every 0.1 s and goes on connecting for 0.2 s after the first negative
 //! answer. From 4 s after LAMEDUCK no connection may be idle or hold a request that began in the last 2 s.
@@ -6,14 +6,16 @@
 
 use std::time::Duration;
 
-/// New connections are expected for this time after LAMEDUCK: 0.1 s until the front polls, 0.2 s more, and one
-/// sixth as margin for connections in transit. A client whose connection closes earlier would reconnect here.
+/// New connections are expected for this time after LAMEDUCK: 0.1 s until the front polls, 0.2 s in which it goes on
+/// connecting, and a margin of one sixth for connections in transit. A client whose connection is closed earlier would
+/// reconnect to this dispatcher.
 const FRONT_REACTION_TIME: Duration = Duration::from_millis(350);
-/// End of the staggered closing: by then each idle connection has been closed at its own random time.
+/// End of the staggered closing, after LAMEDUCK: by then each idle connection has been closed at its own random time.
 const STAGGERED_CLOSE_END: Duration = Duration::from_millis(1600);
-/// From this time on a new connection is rejected, as no time would be left for a request.
+/// From this time after LAMEDUCK on, new connections are rejected, because no time would remain for a request.
 const REJECT_NEW_AFTER: Duration = Duration::from_millis(1200);
-/// From this time on no idle connection is kept: a request that begins 2 s or less before the limit of 4 s violates it.
+/// From this time after LAMEDUCK on, no idle connection is kept: a request that begins 2 s or less before the limit of
+/// 4 s violates it.
 const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(1700);
 /// Time that a new connection has for its first request while others are being closed.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(250);
@@ -40,26 +42,26 @@
     CloseWhenIdle,
 }
 
-/// All that follows from the drain at one time.
+/// Readiness, and the treatment of connections and requests, at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainState {
     pub is_ready: bool,
     pub new_connections: NewConnections,
     pub existing_connections: ExistingConnections,
-    /// The engine list and the engines are available.
+    /// Whether the engine list and the engines are available.
     pub is_prepared: bool,
-    /// SIGTERM was received.
+    /// Whether SIGTERM was received.
     pub is_shutting_down: bool,
-    /// No more requests are accepted: the process exits once all accepted ones are answered.
+    /// Whether requests are no longer accepted: the process exits once all accepted ones are answered.
     pub is_shutdown_grace_over: bool,
 }
 
 /// The events that decide how a dispatcher treats its clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Drain {
-    /// The engine list and the engines are available.
+    /// Whether the engine list and the engines are available.
     is_prepared: bool,
-    /// Another process accepts from the same socket, or will.
+    /// Whether another process accepts from the same socket, or will.
     has_inherited_listener: bool,
     lame_duck_since: Option<Duration>,
     shutdown_since: Option<Duration>,
@@ -84,7 +86,7 @@
         self.lame_duck_since.get_or_insert(now);
     }
 
-    /// Handles REJOIN; false during a shutdown, which can't be undone.
+    /// Handles REJOIN; returns false during a shutdown, which can't be undone.
     pub fn rejoin(&mut self) -> bool {
         if self.shutdown_since.is_none() {
             self.lame_duck_since = None;
@@ -138,10 +140,14 @@
 
     /// When [`Drain::state`] next changes if no event occurs.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        let shutdown = self.shutdown_since.map(|since| since + SHUTDOWN_GRACE);
+        let shutdown_change = self.shutdown_since.map(|since| since + SHUTDOWN_GRACE);
         let offsets = [FRONT_REACTION_TIME, REJECT_NEW_AFTER, CLOSE_ALL_IDLE_AFTER];
-        let lame_duck = offsets.map(|offset| self.lame_duck_since.map(|since| since + offset));
-        let changes = lame_duck.into_iter().chain([shutdown]).flatten();
+        let lame_duck_changes =
+            offsets.map(|offset| self.lame_duck_since.map(|since| since + offset));
+        let changes = lame_duck_changes
+            .into_iter()
+            .chain([shutdown_change])
+            .flatten();
         changes.filter(|change| *change > now).min()
     }
 }
--- a/operation/src/metrics.rs
+++ b/operation/src/metrics.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShardEngines {
     pub discovered: usize,
-    /// The numbers of ejected engines, each with the Unix microsecond at which its ejection ends.
+    /// The IDs of ejected engines, each with the Unix time in microseconds at which its ejection ends.
     pub ejected: Vec<(u64, u64)>,
 }
 
@@ -98,10 +98,10 @@
         self.state().forwards += attempts as u64;
     }
 
-    /// Counts a configuration file that was read on SIGHUP and applied or rejected.
-    pub fn count_reload(&self, applied: bool) {
+    /// Counts a configuration file that was read on SIGHUP and either applied or rejected.
+    pub fn count_reload(&self, is_applied: bool) {
         let mut state = self.state();
-        if applied {
+        if is_applied {
             state.reloads_applied += 1;
         } else {
             state.reloads_rejected += 1;
@@ -121,7 +121,7 @@
         self.state().forwards
     }
 
-    /// The metrics in the OpenMetrics text format at the Unix microsecond `now`; the last line is `EOF`.
+    /// The metrics in the OpenMetrics text format; `now` is the Unix time in microseconds. The last line is `EOF`.
     pub fn encode(&self, now: u64) -> Result<String, fmt::Error> {
         let snapshot = Snapshot::new(&self.state(), now);
         let mut registry = Registry::default();
@@ -133,7 +133,8 @@
     }
 }
 
-/// A request in flight. Dropping it without [`RunningRequest::finish`] counts a client that disconnected.
+/// An accepted request that has not ended. If it is dropped without [`RunningRequest::finish`], its client counts as
+/// disconnected.
 pub struct RunningRequest {
     metrics: Metrics,
     class: Arc<str>,
@@ -260,7 +261,7 @@
         let requests: Vec<RunningRequest> =
             (0..6).map(|_| metrics.start_request("lookup")).collect();
         let mut requests = requests.into_iter();
-        let mut next_request = || requests.next().expect("there are six");
+        let mut next_request = || requests.next().expect("six requests were started");
         next_request().finish(Disposition::Succeeded);
         next_request().finish(Disposition::Succeeded);
         next_request().finish(Disposition::Declined);
@@ -277,7 +278,7 @@
         };
         metrics.set_engines(0, engines(&[(1, 900), (2, 400)]));
         metrics.set_engines(1, engines(&[(1, 800)]));
-        let text = metrics.encode(500).expect("is written");
+        let text = metrics.encode(500).expect("the metrics are encoded");
         for line in [
             r#"dispatcher_results_total{service="lookup",disposition="succeeded"} 2"#,
             r#"dispatcher_results_total{service="lookup",disposition="declined"} 1"#,
@@ -291,7 +292,10 @@
             "dispatcher_sighup_applied_total 1",
             "dispatcher_sighup_rejected_total 2",
         ] {
-            assert!(text.lines().any(|found| found == line), "{line} in\n{text}");
+            assert!(
+                text.lines().any(|text_line| text_line == line),
+                "{line} in\n{text}"
+            );
         }
         assert_eq!(text.lines().last(), Some("EOF"));
     }
--- a/operation/tests/drain.rs
+++ b/operation/tests/drain.rs
@@ -5,14 +5,15 @@
 use sedgebeam_operation::{Drain, DrainState, ExistingConnections, NewConnections};
 use std::time::Duration;
 
-/// From this time after LAMEDUCK on no connection may be idle, or hold a request that began within [`RECENT`].
+/// From this time after LAMEDUCK on, no connection may be idle, or have a request that began within
+/// [`MAX_RECENT_AGE`].
 const DRAIN_LIMIT: Duration = Duration::from_secs(4);
-const RECENT: Duration = Duration::from_secs(2);
+const MAX_RECENT_AGE: Duration = Duration::from_secs(2);
 /// The front may connect for this time after LAMEDUCK: it polls every 0.1 s, and goes on connecting for 0.2 s.
 const FRONT_CONNECTS_FOR: Duration = Duration::from_millis(300);
 /// Requests on kept connections may arrive for this time after SIGTERM, and new connections no longer than that.
 const ARRIVALS_AFTER_SIGTERM: Duration = Duration::from_millis(600);
-/// By this time after SIGTERM idle connections are closed in any case.
+/// By this time after SIGTERM, all idle connections are closed.
 const SHUTDOWN_LIMIT: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +36,7 @@
         2 => Just(Step::LameDuck),
         1 => Just(Step::Rejoin),
         1 => Just(Step::Prepared),
-        1 => prop::bool::weighted(0.2).prop_map(|shutdown| if shutdown { Step::Shutdown } else { Step::Rejoin }),
+        1 => prop::bool::weighted(0.2).prop_map(|is_shutdown| if is_shutdown { Step::Shutdown } else { Step::Rejoin }),
         4 => (0.0..1.0).prop_map(Step::Connect),
         6 => (0usize..8).prop_map(Step::Begin),
         5 => (0usize..8).prop_map(Step::Answer),
@@ -46,7 +47,7 @@
 struct Session {
     accepted_at: Duration,
     draw: f64,
-    /// When its request began, while one is open.
+    /// The start of its request, if one is open.
     request_since: Option<Duration>,
 }
 
@@ -70,33 +71,33 @@
         (self.distortion)(self.drain.state(self.now), self.now)
     }
 
-    /// Closes the sessions that the drain closes by now, and checks the rules that hold at this moment.
+    /// Closes the sessions whose closing time has come, and checks the rules that apply at this time.
     fn close_and_check(&mut self) -> Result<(), String> {
         let (now, existing_connections) = (self.now, self.state().existing_connections);
         self.sessions.retain(|session| {
-            let closes = match existing_connections {
+            let must_close = match existing_connections {
                 ExistingConnections::Keep => false,
                 ExistingConnections::CloseGradually(since) => {
                     now >= idle_close_at(session.accepted_at, since, session.draw)
                 }
                 ExistingConnections::CloseWhenIdle => true,
             };
-            session.request_since.is_some() || !closes
+            session.request_since.is_some() || !must_close
         });
         let is_ready =
             self.is_prepared && self.lame_duck_since.is_none() && self.shutdown_since.is_none();
         if self.state().is_ready != is_ready {
             return Err(format!("is_ready is {} at {now:?}", self.state().is_ready));
         }
-        let overdue = self
+        let overdue_drain_since = self
             .lame_duck_since
             .filter(|since| now >= *since + DRAIN_LIMIT);
         let open_session = self.sessions.iter().find(|session| {
             session
                 .request_since
-                .is_none_or(|began| began + RECENT > now)
+                .is_none_or(|began_at| began_at + MAX_RECENT_AGE > now)
         });
-        if let (Some(since), Some(session)) = (overdue, open_session) {
+        if let (Some(since), Some(session)) = (overdue_drain_since, open_session) {
             return Err(format!(
                 "a session with a request since {:?} is open at {now:?}, draining since {since:?}",
                 session.request_since
@@ -137,7 +138,7 @@
         Ok(())
     }
 
-    /// Advances the time in steps: to each change that the drain announces, and to each closing of a session.
+    /// Advances the time in steps: to each change that the drain announces, and to each time at which a session closes.
     fn advance(&mut self, until: Duration) -> Result<(), String> {
         while self.now < until {
             let existing_connections = self.state().existing_connections;
@@ -150,13 +151,13 @@
                     }
                     _ => None,
                 });
-            // The drain limit is checked also where the drain announces no change for it.
-            let checks = [
+            // The drain limit is checked even though the drain announces no change at this time.
+            let check_times = [
                 self.lame_duck_since.map(|since| since + DRAIN_LIMIT),
                 self.drain.next_change(self.now),
             ];
             let next = closings
-                .chain(checks.into_iter().flatten())
+                .chain(check_times.into_iter().flatten())
                 .filter(|at| *at > self.now);
             let next = next.min().unwrap_or(until).min(until);
             let state = self.drain.state(self.now);
@@ -173,8 +174,8 @@
     }
 }
 
-/// Plays the steps; returns the first violation of a rule.
-fn play(
+/// Applies the steps; returns the first violation of a rule.
+fn run_steps(
     steps: &[Step],
     has_inherited_listener: bool,
     distortion: Distortion,
@@ -201,11 +202,11 @@
                 dispatcher.lame_duck_since.get_or_insert(now);
             }
             Step::Rejoin => {
-                let rejoined = dispatcher.drain.rejoin();
-                if rejoined != dispatcher.shutdown_since.is_none() {
-                    return Err(format!("rejoined: {rejoined}"));
+                let has_rejoined = dispatcher.drain.rejoin();
+                if has_rejoined != dispatcher.shutdown_since.is_none() {
+                    return Err(format!("has_rejoined: {has_rejoined}"));
                 }
-                if rejoined {
+                if has_rejoined {
                     dispatcher.lame_duck_since = None;
                 }
             }
@@ -215,21 +216,21 @@
             }
             Step::Connect(draw) => dispatcher.connect(draw)?,
             Step::Begin(index) => {
-                let sessions = dispatcher.sessions.len().max(1);
-                if let Some(session) = dispatcher.sessions.get_mut(index % sessions) {
+                let session_count = dispatcher.sessions.len().max(1);
+                if let Some(session) = dispatcher.sessions.get_mut(index % session_count) {
                     session.request_since.get_or_insert(now);
                 }
             }
             Step::Answer(index) => {
-                let (sessions, existing_connections) = (
+                let (session_count, existing_connections) = (
                     dispatcher.sessions.len().max(1),
                     dispatcher.state().existing_connections,
                 );
-                if let Some(session) = dispatcher.sessions.get_mut(index % sessions)
+                if let Some(session) = dispatcher.sessions.get_mut(index % session_count)
                     && session.request_since.take().is_some()
                     && existing_connections != ExistingConnections::Keep
                 {
-                    dispatcher.sessions.remove(index % sessions);
+                    dispatcher.sessions.remove(index % session_count);
                 }
             }
             Step::Advance(millis) => dispatcher.advance(now + Duration::from_millis(millis))?,
@@ -260,7 +261,7 @@
         steps in prop::collection::vec(step(), 1..60),
         has_inherited_listener in any::<bool>(),
     ) {
-        prop_assert_eq!(play(&steps, has_inherited_listener, |state, _| state), Ok(()));
+        prop_assert_eq!(run_steps(&steps, has_inherited_listener, |state, _| state), Ok(()));
     }
 }
 
@@ -295,7 +296,7 @@
         advance,
     ];
     for steps in [&lame_duck[..], &connect_in_drain, &shutdown] {
-        assert_eq!(play(steps, true, |state, _| state), Ok(()));
+        assert_eq!(run_steps(steps, true, |state, _| state), Ok(()));
     }
     let variants: [(&str, &[Step], Distortion); 6] = [
         ("stays ready", &lame_duck, |state, _| DrainState {
@@ -321,7 +322,7 @@
                 ExistingConnections::Keep => state,
                 _ => DrainState {
                     existing_connections: ExistingConnections::CloseGradually(
-                        RECENT + SHUTDOWN_LIMIT,
+                        MAX_RECENT_AGE + SHUTDOWN_LIMIT,
                     ),
                     ..state
                 },
@@ -344,6 +345,6 @@
         }),
     ];
     for (fault, steps, distortion) in variants {
-        assert!(play(steps, true, distortion).is_err(), "{fault}");
+        assert!(run_steps(steps, true, distortion).is_err(), "{fault}");
     }
 }
--- a/operation/tests/metrics.rs
+++ b/operation/tests/metrics.rs
@@ -10,6 +10,7 @@
     Finish(usize, Disposition),
     Disconnect(usize),
     Forward(usize),
+    /// A reload; the flag is whether the file is applied.
     Reload(bool),
 }
 
@@ -69,13 +70,13 @@
                     forwards += count as u64;
                     metrics.count_forwards(count);
                 }
-                Step::Reload(applied) => {
-                    reloads[usize::from(applied)] += 1;
-                    metrics.count_reload(applied);
+                Step::Reload(is_applied) => {
+                    reloads[usize::from(is_applied)] += 1;
+                    metrics.count_reload(is_applied);
                 }
                 Step::Finish(..) | Step::Disconnect(_) => {}
             }
-            let text = metrics.encode(0).expect("is written");
+            let text = metrics.encode(0).expect("the metrics are encoded");
             let results = sum(&text, "dispatcher_results_total");
             prop_assert_eq!(results, ended.values().sum::<u64>());
             prop_assert_eq!(sum(&text, "dispatcher_left_total"), disconnected);
@@ -87,7 +88,7 @@
             for ((class, label), count) in &ended {
                 let class = CLASSES[*class].replace('"', "\\\"");
                 let line = format!(r#"dispatcher_results_total{{service="{class}",disposition="{label}"}} {count}"#);
-                prop_assert!(text.lines().any(|found| found == line), "{} in {}", line, text);
+                prop_assert!(text.lines().any(|text_line| text_line == line), "{} in {}", line, text);
             }
         }
     }
