--- a/reconfigure/src/completeness.rs
+++ b/reconfigure/src/completeness.rs
@@ -5,9 +5,9 @@
 
 use miniserde::json::{Object, Value};
 
-/// The path of the first key that the running file has and the new one lacks, or that is an object or a list only in
-/// the running one. In lists of objects a key counts if all objects of the running list have it. The contents of
-/// `skipped` keys are not compared.
+/// The path of the first key that the running file has and the new one lacks, or whose value is an object or a list
+/// only in the running one. In lists of objects a key counts if all objects of the running list have it. The contents
+/// of `skipped` keys are not compared.
 pub fn first_missing_key(running: &Value, new: &Value, skipped: &[&str]) -> Option<String> {
     let mut path = Vec::new();
     find_missing_key(running, new, skipped, &mut path).then(|| path.join("."))
@@ -53,7 +53,7 @@
     }
 }
 
-/// The keys that all entries have, with the values of the first entry; empty where an entry is not an object.
+/// The keys that all entries have, with the values of the first entry; empty if any entry is not an object.
 fn common_keys(entries: &[Value]) -> Object {
     let mut objects = entries.iter().map(|entry| match entry {
         Value::Object(object) => Some(object),
--- a/reconfigure/src/settings_table.rs
+++ b/reconfigure/src/settings_table.rs
@@ -1,16 +1,16 @@
 //! Stable indexes of classes and tenants: an index means the same class or tenant after a change of the settings.
 //!
 //! A class that is removed, or returns with another effect or placement, is retired: its open requests end under the
-//! terms at which they were accepted, and its name stays valid until clients that used it before have given up. Its
-//! index is free once no request of it can be open.
+//! settings with which they were accepted, and its name stays valid until clients that used it before have given up.
+//! Its index is free once no request of it can be open.
 
 use sedgebeam_core::{Class, Micros, Settings, Tenant};
 use sedgebeam_settings::Names;
 
 /// Maximum number of classes, and of tenants, including retired ones.
 pub const MAX_TABLE_ENTRIES: usize = 1024;
-/// The longest wait of a client for one try, in deadlines of its class.
-const MAX_WAIT_DEADLINES: u64 = 2;
+/// How long a client waits for one try at most, as a multiple of the time limit (`give_up`) of its class.
+const MAX_WAIT_TIME_LIMITS: u64 = 2;
 
 /// Settings whose lists of classes and tenants have stable indexes, and the names that requests may use.
 #[derive(Clone, Debug, Default)]
@@ -25,8 +25,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntryState {
     InUse,
-    /// The name is valid until the first time, which is zero once it has passed; the index is reserved until the
-    /// second.
+    /// The name is valid until the first time, which is set to zero once it has passed. The index is reserved until the
+    /// second time.
     Retired(Micros, Micros),
     Free,
 }
@@ -37,7 +37,7 @@
     runtime_settings: RuntimeSettings,
     class_states: Vec<EntryState>,
     tenant_states: Vec<EntryState>,
-    /// By class, until when requests may be open that were accepted under earlier settings.
+    /// Until when requests that were accepted under earlier settings may be open, by class.
     open_until: Vec<Micros>,
     /// Tenants set by administrators; they override those of the settings.
     tenant_overrides: Vec<Tenant>,
@@ -45,12 +45,13 @@
 
 /// Whether requests of both classes are handled alike, apart from numeric settings.
 fn is_same_class(one: &Class, other: &Class) -> bool {
-    let terms = |class: &Class| {
-        let order = (class.holds_group, class.in_key_order, class.is_streamed);
-        (class.effect, order)
+    let handling = |class: &Class| {
+        let flags = (class.holds_group, class.in_key_order, class.is_streamed);
+        (class.effect, flags)
     };
-    let placement = (&one.only_kinds, &one.only_zones) == (&other.only_kinds, &other.only_zones);
-    one.name == other.name && terms(one) == terms(other) && placement
+    let has_same_placement =
+        (&one.only_kinds, &one.only_zones) == (&other.only_kinds, &other.only_zones);
+    one.name == other.name && handling(one) == handling(other) && has_same_placement
 }
 
 /// The index for a class or tenant: its previous one, a free one, or a new one at the end.
@@ -97,7 +98,7 @@
 
     /// How long a request of this class that is accepted now may be open, or its client may retry.
     fn max_open_time(&self, class: &Class) -> Micros {
-        Micros(class.give_up.0.saturating_mul(MAX_WAIT_DEADLINES))
+        Micros(class.give_up.0.saturating_mul(MAX_WAIT_TIME_LIMITS))
     }
 
     /// Until when a request that was accepted by now may be open.
@@ -114,8 +115,8 @@
         until.max().unwrap_or_default()
     }
 
-    /// Applies new settings as read from a file. Returns `None` and changes nothing where their classes or tenants
-    /// do not fit into the table.
+    /// Applies new settings as read from a file. Returns `None` and changes nothing if their classes or tenants do not
+    /// fit into the table.
     pub fn reconfigure(&mut self, now: Micros, new: &RuntimeSettings) -> Option<&RuntimeSettings> {
         let mut next = self.clone();
         next.expire(now);
@@ -166,7 +167,7 @@
         Some(())
     }
 
-    /// A name refers to the class that had it last, so earlier retired classes lose it.
+    /// A name refers to the class that used it last, so it is removed from classes that were retired earlier.
     fn expire_retired_names(&mut self, name: &str) {
         let classes = self.runtime_settings.settings.classes.iter();
         for (state, _) in self
@@ -211,7 +212,7 @@
                     let tenant = &mut self.runtime_settings.settings.tenants[index];
                     (tenant.share, tenant.requests_per_second) = (0.0, 0.0);
                 }
-                // Its last requests may be of classes whose deadlines have become longer.
+                // Its last requests may be of classes whose time limits have become longer.
                 EntryState::Retired(name_until, index_until) => {
                     let index_until = self.any_class_open_until(name_until).max(index_until);
                     self.tenant_states[index] = EntryState::Retired(name_until, index_until);
@@ -222,7 +223,7 @@
         Some(())
     }
 
-    /// Sets a tenant on behalf of an administrator, or adds it; false where the table is full.
+    /// Sets a tenant on behalf of an administrator, or adds it; returns false if the table is full.
     pub fn set_tenant(&mut self, tenant: &Tenant) -> bool {
         let tenants = &self.runtime_settings.settings.tenants;
         let index = assign_index(&mut self.tenant_states, |index| {
@@ -242,7 +243,7 @@
         true
     }
 
-    /// Removes names and indexes whose time has passed; true where the names that requests may use have changed.
+    /// Removes names and indexes whose time has passed; returns whether the names that requests may use have changed.
     pub fn expire(&mut self, now: Micros) -> bool {
         for state in self.class_states.iter_mut().chain(&mut self.tenant_states) {
             match state {
@@ -269,7 +270,7 @@
         expiries.min()
     }
 
-    /// Updates the names that requests may use. Of two entries of one name, the one in use keeps it.
+    /// Updates the names that requests may use. If two entries have the same name, the one in use keeps it.
     fn update_names(&mut self) {
         let (settings, names) = (
             &self.runtime_settings.settings,
@@ -291,7 +292,7 @@
     }
 }
 
-/// The name of each entry, empty where requests can no longer use it.
+/// The name of each entry, empty if requests can no longer use it.
 fn visible_names(names: &[&str], states: &[EntryState]) -> Vec<String> {
     let is_in_use = |name: &str| {
         let mut entries = names.iter().zip(states);
@@ -299,7 +300,9 @@
     };
     let visible_name = |(name, state): (&&str, &EntryState)| match state {
         EntryState::InUse => name.to_string(),
-        EntryState::Retired(until, _) if *until > Micros(0) && !is_in_use(name) => name.to_string(),
+        EntryState::Retired(name_until, _) if *name_until > Micros(0) && !is_in_use(name) => {
+            name.to_string()
+        }
         _ => String::new(),
     };
     names.iter().zip(states).map(visible_name).collect()
--- a/reconfigure/tests/stable_indexes.rs
+++ b/reconfigure/tests/stable_indexes.rs
@@ -6,9 +6,9 @@
 use sedgebeam_reconfigure::{MAX_TABLE_ENTRIES, RuntimeSettings, SettingsTable};
 use sedgebeam_settings::Names;
 
-const SLACK: Micros = Micros::from_millis(20);
+const ANSWER_SLACK: Micros = Micros::from_millis(20);
 
-/// One of 16 classes: those that share a name differ in effect or in whether they hold a table group.
+/// One of 16 classes: classes of the same name differ in effect or in whether they hold a table group.
 fn class(number: u8, give_up: u64) -> Class {
     let effects = [
         Effect::Repeatable,
@@ -46,7 +46,7 @@
         settings: Settings {
             classes,
             tenants: tenants.iter().map(tenant).collect(),
-            answer_slack: SLACK,
+            answer_slack: ANSWER_SLACK,
             ..Settings::default()
         },
         names,
@@ -54,7 +54,7 @@
     }
 }
 
-/// An open request: its indexes, and what they meant when it was accepted.
+/// An open request: its indexes, and the class and tenant that they referred to when it was accepted.
 struct OpenRequest {
     class_index: usize,
     accepted_class: Class,
@@ -80,18 +80,20 @@
     ]
 }
 
-/// Plays the steps, and after each accepts a request of every class that can be named; returns the first violation.
-/// `clock_error` lets the clock of the table run ahead, by more at each step, so that entries expire too early.
-fn play(steps: &[Step], clock_error: Micros) -> Result<(), String> {
-    let first = runtime_settings(&[0, 1, 2], &[0, 1], 1000);
-    let (mut table, mut now) = (SettingsTable::new(first.clone()), Micros(1));
-    let (mut latest, mut open_requests): (RuntimeSettings, Vec<OpenRequest>) = (first, Vec::new());
+/// Applies the steps, and after each accepts a request of every class that can be named; returns the first violation.
+/// With `clock_error`, the clock of the table runs ahead by that much more at each step, so that entries expire too
+/// early.
+fn run_steps(steps: &[Step], clock_error: Micros) -> Result<(), String> {
+    let initial = runtime_settings(&[0, 1, 2], &[0, 1], 1000);
+    let (mut table, mut now) = (SettingsTable::new(initial.clone()), Micros(1));
+    let (mut latest, mut open_requests): (RuntimeSettings, Vec<OpenRequest>) =
+        (initial, Vec::new());
     for (step_index, step) in steps.iter().enumerate() {
         match step {
             Step::Reconfigure(classes, tenants, give_up) => {
                 latest = runtime_settings(classes, tenants, *give_up);
-                let ahead = clock_error.times(step_index as f64);
-                let is_applied = table.reconfigure(now + ahead, &latest).is_some();
+                let lead = clock_error.times(step_index as f64);
+                let is_applied = table.reconfigure(now + lead, &latest).is_some();
                 if !is_applied {
                     return Err("the settings do not fit into the table".to_string());
                 }
@@ -132,8 +134,8 @@
         }
         for class in &latest.settings.classes {
             let index = names.class(&class.name).map(|id| id.0);
-            let found = index.map(|index| &settings.classes[index]);
-            if found.is_none_or(|found| found != class) {
+            let found_class = index.map(|index| &settings.classes[index]);
+            if found_class.is_none_or(|found_class| found_class != class) {
                 return Err(format!("{} is not found as configured", class.name));
             }
         }
@@ -149,7 +151,7 @@
             let tenant = names.tenants.iter().position(|name| !name.is_empty());
             open_requests.push(OpenRequest {
                 class_index: index,
-                open_until: now + accepted_class.give_up + accepted_class.give_up + SLACK,
+                open_until: now + accepted_class.give_up + accepted_class.give_up + ANSWER_SLACK,
                 accepted_class,
                 tenant: tenant.map(|index| (index, names.tenants[index].clone())),
             });
@@ -163,7 +165,7 @@
     fn open_requests_keep_their_class_and_every_class_can_be_named(
         steps in proptest::collection::vec(step(), 1..40),
     ) {
-        prop_assert_eq!(play(&steps, Micros(0)), Ok(()));
+        prop_assert_eq!(run_steps(&steps, Micros(0)), Ok(()));
     }
 }
 
@@ -177,8 +179,8 @@
         reconfigure(7),
         reconfigure(8),
     ];
-    assert_eq!(play(&steps, Micros(0)), Ok(()));
-    assert!(play(&steps, Micros::from_millis(60_000)).is_err());
+    assert_eq!(run_steps(&steps, Micros(0)), Ok(()));
+    assert!(run_steps(&steps, Micros::from_millis(60_000)).is_err());
 }
 
 #[test]
