--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub classes: Vec<String>,
-    /// By class, how long a client waits before it gives up.
+    /// How long a client waits before it gives up, by class.
     pub give_up: Vec<Micros>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
@@ -192,7 +192,7 @@
     values.as_deref().unwrap_or_default()
 }
 
-/// The indexes of the names; `None` where there is no restriction.
+/// The indexes of the names that are known; `None` if no names are given, which means no restriction.
 fn indexes_of(known: &[String], names: &Option<Vec<String>>) -> Option<Vec<usize>> {
     let names = names.as_ref()?;
     Some(
@@ -217,8 +217,8 @@
     }
 }
 
-/// Connections of all dispatchers together to one engine, per core of the engine: twice the threads that an engine runs
-/// on each core under load.
+/// Maximum number of connections from all dispatchers together to one engine, per core of the engine: twice the threads
+/// that an engine runs on each core under load.
 const CONNECTIONS_PER_CORE: f64 = 4.0;
 /// Bounds of the connections of one dispatcher to one engine.
 const MIN_CONNECTIONS_PER_ENGINE: usize = 2;
@@ -258,16 +258,16 @@
         }
     }
 
-    /// The limit of connections from this dispatcher to one engine. All dispatchers together must leave room in the
-    /// connection table of the engine, whose size is not known.
+    /// The maximum number of connections from this dispatcher to one engine. All dispatchers together must leave room
+    /// in the connection table of the engine, whose size is not known.
     fn max_connections_to_engine(&self) -> usize {
         let domain = self.domain.clone().unwrap_or_default();
         let cores = slice_or_empty(&domain.size_cores)
             .iter()
             .copied()
             .fold(0.0, f64::max);
-        let dispatchers = f64::from(self.balancers.unwrap_or(1).max(1));
-        let connections = (cores * CONNECTIONS_PER_CORE / dispatchers).ceil();
+        let dispatcher_count = f64::from(self.balancers.unwrap_or(1).max(1));
+        let connections = (cores * CONNECTIONS_PER_CORE / dispatcher_count).ceil();
         if cores > 0.0 {
             (connections as usize).clamp(MIN_CONNECTIONS_PER_ENGINE, MAX_CONNECTIONS_PER_ENGINE)
         } else {
@@ -275,17 +275,17 @@
         }
     }
 
-    /// The number of gateways, and the index of this one among them, where configured.
+    /// The number of gateways, and the index of this one among them, if configured.
     pub fn gateway_count_and_index(&self) -> (Option<u32>, Option<u32>) {
         (self.balancers, self.me)
     }
 
-    /// The maximum number of attempts, where configured.
+    /// The maximum number of attempts of a request, if configured.
     pub fn max_attempts(&self) -> Option<u32> {
         self.limits.as_ref()?.max_attempts
     }
 
-    /// The longest delay that a front advises clients to wait before a retry; zero where it gives no advice.
+    /// The longest delay that a front advises clients to wait before a retry; zero if it gives no advice.
     pub fn max_retry_after(&self) -> Micros {
         let limits = self.limits.as_ref();
         if limits.and_then(|limits| limits.retry_after) == Some(false) {
