--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -9,12 +9,16 @@
 /// An entry of the engine list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Target {
+    /// The name that identifies the engine.
     pub uid: String,
     pub endpoint: String,
     /// The availability zone.
     pub az: Option<String>,
+    /// The kind of engine.
     pub model: Option<String>,
+    /// The cell.
     pub pod_group: Option<u64>,
+    /// `up`, `draining`, or `removed`, which deletes the entry from a list.
     pub state: String,
     /// Start time by the engine's own clock, in milliseconds.
     pub boot_ms: Option<f64>,
--- a/operation/src/metrics.rs
+++ b/operation/src/metrics.rs
@@ -18,7 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Disposition {
     Succeeded,
+    /// Refused: nothing ran.
     Declined,
+    /// Failed: it may have run.
     Aborted,
 }
 
@@ -28,16 +30,18 @@
     (Disposition::Aborted, "aborted"),
 ];
 
-/// The requests of one class.
+/// Counts of the requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     pub accepted: u64,
+    /// Indexed by [`Disposition`].
     pub ended_by_disposition: [u64; 3],
     /// Requests whose client disconnected before they ended.
     pub client_disconnected: u64,
 }
 
 impl RequestCounts {
+    /// Requests that have not ended and whose client is still connected.
     pub fn outstanding(&self) -> u64 {
         self.accepted - self.ended_by_disposition.iter().sum::<u64>() - self.client_disconnected
     }
@@ -46,6 +50,7 @@
 /// The engines as one shard of the dispatcher sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShardEngines {
+    /// Number of engines in the list.
     pub discovered: usize,
     /// The IDs of ejected engines, each with the Unix time in microseconds at which its ejection ends.
     pub ejected: Vec<(u64, u64)>,
@@ -93,7 +98,7 @@
         update(self.state().classes.entry(class.clone()).or_default());
     }
 
-    /// Counts attempts that were completely written to an engine.
+    /// Adds attempts that were completely written to an engine.
     pub fn count_forwards(&self, attempts: usize) {
         self.state().forwards += attempts as u64;
     }
@@ -117,6 +122,7 @@
         self.state().classes.clone()
     }
 
+    /// Attempts that were completely written to an engine.
     pub fn forwards(&self) -> u64 {
         self.state().forwards
     }
