--- a/operation/src/metrics.rs
+++ b/operation/src/metrics.rs
@@ -18,7 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Disposition {
     Succeeded,
+    /// Refused: nothing ran.
     Declined,
+    /// Failed: it may have run.
     Aborted,
 }
 
@@ -28,16 +30,18 @@
     (Disposition::Aborted, "aborted"),
 ];
 
-/// The requests of one class.
+/// Counts of the requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     pub accepted: u64,
+    /// Indexed by [`Disposition`].
     pub ended_by_disposition: [u64; 3],
     /// Requests whose client disconnected before they ended.
     pub client_disconnected: u64,
 }
 
 impl RequestCounts {
+    /// Requests that have not ended and whose client is still connected.
     pub fn outstanding(&self) -> u64 {
         self.accepted - self.ended_by_disposition.iter().sum::<u64>() - self.client_disconnected
     }
@@ -46,8 +50,9 @@
 /// The engines as one shard of the dispatcher sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShardEngines {
+    /// Number of engines in the list.
     pub discovered: usize,
-    /// The numbers of ejected engines, each with the Unix microsecond at which its ejection ends.
+    /// The IDs of ejected engines, each with the Unix time in microseconds at which its ejection ends.
     pub ejected: Vec<(u64, u64)>,
 }
 
@@ -93,15 +98,15 @@
         update(self.state().classes.entry(class.clone()).or_default());
     }
 
-    /// Counts attempts that were completely written to an engine.
+    /// Adds attempts that were completely written to an engine.
     pub fn count_forwards(&self, attempts: usize) {
         self.state().forwards += attempts as u64;
     }
 
-    /// Counts a configuration file that was read on SIGHUP and applied or rejected.
-    pub fn count_reload(&self, applied: bool) {
+    /// Counts a configuration file that was read on SIGHUP and either applied or rejected.
+    pub fn count_reload(&self, is_applied: bool) {
         let mut state = self.state();
-        if applied {
+        if is_applied {
             state.reloads_applied += 1;
         } else {
             state.reloads_rejected += 1;
@@ -117,11 +122,12 @@
         self.state().classes.clone()
     }
 
+    /// Attempts that were completely written to an engine.
     pub fn forwards(&self) -> u64 {
         self.state().forwards
     }
 
-    /// The metrics in the OpenMetrics text format at the Unix microsecond `now`; the last line is `EOF`.
+    /// The metrics in the OpenMetrics text format; `now` is the Unix time in microseconds. The last line is `EOF`.
     pub fn encode(&self, now: u64) -> Result<String, fmt::Error> {
         let snapshot = Snapshot::new(&self.state(), now);
         let mut registry = Registry::default();
@@ -133,7 +139,8 @@
     }
 }
 
-/// A request in flight. Dropping it without [`RunningRequest::finish`] counts a client that disconnected.
+/// An accepted request that has not ended. If it is dropped without [`RunningRequest::finish`], its client counts as
+/// disconnected.
 pub struct RunningRequest {
     metrics: Metrics,
     class: Arc<str>,
@@ -260,7 +267,7 @@
         let requests: Vec<RunningRequest> =
             (0..6).map(|_| metrics.start_request("lookup")).collect();
         let mut requests = requests.into_iter();
-        let mut next_request = || requests.next().expect("there are six");
+        let mut next_request = || requests.next().expect("six requests were started");
         next_request().finish(Disposition::Succeeded);
         next_request().finish(Disposition::Succeeded);
         next_request().finish(Disposition::Declined);
@@ -277,7 +284,7 @@
         };
         metrics.set_engines(0, engines(&[(1, 900), (2, 400)]));
         metrics.set_engines(1, engines(&[(1, 800)]));
-        let text = metrics.encode(500).expect("is written");
+        let text = metrics.encode(500).expect("the metrics are encoded");
         for line in [
             r#"dispatcher_results_total{service="lookup",disposition="succeeded"} 2"#,
             r#"dispatcher_results_total{service="lookup",disposition="declined"} 1"#,
@@ -291,7 +298,10 @@
             "dispatcher_sighup_applied_total 1",
             "dispatcher_sighup_rejected_total 2",
         ] {
-            assert!(text.lines().any(|found| found == line), "{line} in\n{text}");
+            assert!(
+                text.lines().any(|text_line| text_line == line),
+                "{line} in\n{text}"
+            );
         }
         assert_eq!(text.lines().last(), Some("EOF"));
     }
