--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -23,7 +23,7 @@
 struct Host {
     /// By instance number.
     instances: BTreeMap<u64, Instance>,
-    /// Engine lists by buffer number, until a later list reuses the number.
+    /// The latest engine list of each buffer number.
     engine_lists: BTreeMap<u64, Vec<EngineRow>>,
 }
 
@@ -52,14 +52,14 @@
             Message::Start {
                 instance,
                 seed,
-                facts,
+                gateway_settings,
             } => {
-                let gateway = Gateway::new(facts.settings(), seed);
+                let gateway = Gateway::new(gateway_settings.settings(), seed);
                 self.instances.insert(
                     instance,
                     Instance {
                         gateway,
-                        names: facts.names(),
+                        names: gateway_settings.names(),
                         pending: Vec::new(),
                     },
                 );
@@ -118,13 +118,13 @@
         let reply = line
             .map_err(|error| error.to_string())
             .and_then(|line| host.reply(&line));
-        let written = reply.and_then(|reply| {
+        let result = reply.and_then(|reply| {
             output
                 .write_all(reply.as_bytes())
                 .and_then(|()| output.flush())
                 .map_err(|error| error.to_string())
         });
-        if let Err(error) = written {
+        if let Err(error) = result {
             eprintln!("sedgebeam-adapter: {error}");
             return ExitCode::FAILURE;
         }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -75,7 +75,7 @@
     Start {
         instance: u64,
         seed: u64,
-        facts: Box<GatewaySettings>,
+        gateway_settings: Box<GatewaySettings>,
     },
     EngineList {
         buffer: u64,
@@ -148,7 +148,8 @@
 pub struct EndedMessage {
     request_id: String,
     outcome: String,
-    attempt: u32,
+    attempt_no: u32,
+    /// Work of the attempt, in units of 1/4096 ms; zero if unknown.
     cost: u64,
     elapsed_ms: f64,
     request_finished: bool,
@@ -191,7 +192,7 @@
             "spawn" => Message::Start {
                 instance,
                 seed: required(&cmd, "rng_seed", self.rng_seed)?,
-                facts: required(&cmd, "facts", self.facts)?,
+                gateway_settings: required(&cmd, "facts", self.facts)?,
             },
             "announce" => Message::Announce {
                 instance,
@@ -243,7 +244,7 @@
             "completed" => EventMessage::Ended(EndedMessage {
                 request_id: request_id(req)?,
                 outcome: required(cmd, "outcome", self.outcome)?,
-                attempt: self.seq_no.unwrap_or_default(),
+                attempt_no: self.seq_no.unwrap_or_default(),
                 cost: self.bill.unwrap_or_default(),
                 elapsed_ms: self.wait_time.unwrap_or_default(),
                 request_finished: self.finished.unwrap_or_default(),
@@ -356,7 +357,7 @@
         let has_cost = outcome == Outcome::Ok && self.cost > 0;
         Ok(AttemptEnded {
             request: request_id(&self.request_id)?,
-            attempt: AttemptNo(self.attempt),
+            attempt: AttemptNo(self.attempt_no),
             engine: EngineId(self.engine),
             outcome,
             elapsed: millis_to_micros(self.elapsed_ms),
@@ -383,12 +384,12 @@
     Ok(Some(match message {
         EventMessage::Request(message) => Event::Request(message.query(names)?),
         EventMessage::Timer(handle) => Event::Timer(TimerId(handle)),
-        EventMessage::Note(request, attempt, code, amount) => match note(code, amount) {
-            Some(note) => Event::Note(request_id(&request)?, AttemptNo(attempt), note),
+        EventMessage::Note(request, attempt_no, code, amount) => match note(code, amount) {
+            Some(note) => Event::Note(request_id(&request)?, AttemptNo(attempt_no), note),
             None => return Ok(None),
         },
-        EventMessage::Started(request, attempt) => {
-            Event::Started(request_id(&request)?, AttemptNo(attempt))
+        EventMessage::Started(request, attempt_no) => {
+            Event::Started(request_id(&request)?, AttemptNo(attempt_no))
         }
         EventMessage::Probed(text, engine, load_report) => {
             Event::Probed(EngineId(engine), outcome(&text)?, load_report)
@@ -402,7 +403,7 @@
     }))
 }
 
-/// A partial reply: the text of the line, to which orders are appended.
+/// An incomplete reply: the text of the line, to which the actions are appended as orders.
 pub struct Reply(String);
 
 impl Reply {
