--- a/lab/src/decision_throughput.rs
+++ b/lab/src/decision_throughput.rs
@@ -190,8 +190,8 @@
         Ok(())
     }
 
-    /// Runs one thread for each decision maker and returns the number of answered requests per second, over all
-    /// threads.
+    /// Runs one thread for each decision maker and returns the answered requests per second of all threads
+    /// together.
     fn measure<D: DecisionMaker + Send + 'static>(
         &self,
         decision_makers: Vec<D>,
--- a/lab/src/dispatcher_process.rs
+++ b/lab/src/dispatcher_process.rs
@@ -14,11 +14,15 @@
 /// The options of a dispatcher under test.
 #[derive(Clone, Debug)]
 pub struct DispatcherOptions {
+    /// Number of workers.
     pub workers: usize,
+    /// Number of gateway shards, at most one for each worker; `None` leaves the dispatcher's default.
     pub shards: Option<usize>,
+    /// Whether each worker is pinned to a core.
     pub pin_workers: bool,
     /// Whether the control socket is open.
     pub control_socket: bool,
+    /// Addresses of the engines.
     pub engines: Vec<SocketAddr>,
     /// Cores of each engine, from which the gateway derives its slots.
     pub engine_cores: u32,
--- a/lab/src/load_generator.rs
+++ b/lab/src/load_generator.rs
@@ -17,6 +17,7 @@
 pub struct LoadOptions {
     /// The address for PostgreSQL clients of the dispatcher.
     pub address: SocketAddr,
+    /// Names of the tenants, indexed by [`ScheduledRequest::tenant`].
     pub tenants: Vec<String>,
     pub sessions_per_tenant: usize,
     /// Requests that are due before this time are sent but not counted.
@@ -32,7 +33,9 @@
     pub latency_micros: Histogram<u64>,
     /// Number of served requests, by class and tenant.
     pub served: Vec<Vec<u64>>,
+    /// Number of requests answered with a SQLSTATE of class 53.
     pub refused: u64,
+    /// Number of requests with another error, without an answer, or without a session within their time limit.
     pub failed: u64,
     /// Number of requests with any outcome.
     pub offered: u64,
@@ -95,8 +98,8 @@
     let mut sessions = Vec::new();
     let start = Instant::now() + Duration::from_millis(200);
     for tenant in 0..options.tenants.len() {
-        // Unbounded on purpose: a request that is due must never wait for earlier ones. The queue cannot grow
-        // beyond the requests that were drawn for the run.
+        // Unbounded, because a request that is due must never wait for earlier ones. The queue cannot grow beyond
+        // the requests that were drawn for the run.
         let (queue, requests) = async_channel::unbounded::<ScheduledRequest>();
         for _ in 0..options.sessions_per_tenant {
             sessions.push(tokio::spawn(run_session(
@@ -113,7 +116,7 @@
             sleep_until(due_at.into()).await;
         }
         if let Some((_, queue)) = queues.get(request.tenant) {
-            // Sessions keep receiving until the queue is closed, so the send cannot fail before.
+            // Sessions receive until the queue is closed, so that this send cannot fail.
             let _ = queue.send(request).await;
         }
     }
--- a/lab/src/rate_search.rs
+++ b/lab/src/rate_search.rs
@@ -7,7 +7,7 @@
     highest_sustained: f64,
     lowest_missed: Option<f64>,
     next_rate: f64,
-    /// Steps that remain from the first missed rate on, including that one.
+    /// Remaining steps, counted from the first missed rate on, including that one.
     remaining_steps: u32,
 }
 
@@ -59,17 +59,17 @@
     fn the_highest_rate_is_found_within_the_precision_of_the_steps() {
         for capacity in [130.0, 1000.0, 4321.0, 90_000.0] {
             let mut search = RateSearch::new(500.0, 6);
-            let mut attempts = 0;
+            let mut tried_rates = 0;
             while let Some(rate) = search.next_rate() {
                 search.record(rate <= capacity);
-                attempts += 1;
+                tried_rates += 1;
             }
             assert!(
                 search.highest_sustained() <= capacity
                     && search.highest_sustained() > capacity * 0.93,
                 "{search:?}"
             );
-            assert!(attempts < 25);
+            assert!(tried_rates < 25);
         }
     }
 }
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -15,7 +15,7 @@
 /// A request with the time at which it is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledRequest {
-    /// Since the start of the run.
+    /// Due time, since the start of the run.
     pub due_after: Duration,
     pub id: u64,
     pub class: usize,
@@ -40,17 +40,17 @@
     pub mean_service_times: [Duration; 3],
 }
 
-/// Returns the index in a list of shares that `draw`, a random number from 0 to 1, falls on.
+/// Selects an index with the probability of its share. `draw` is a random number from 0 to 1.
 fn index_of_share(shares: impl IntoIterator<Item = f64>, mut draw: f64) -> usize {
-    let mut last = 0;
+    let mut last_index = 0;
     for (index, share) in shares.into_iter().enumerate() {
-        last = index;
+        last_index = index;
         if draw < share {
             return index;
         }
         draw -= share;
     }
-    last
+    last_index
 }
 
 impl Traffic {
--- a/lab/src/worker_scaling.rs
+++ b/lab/src/worker_scaling.rs
@@ -27,8 +27,8 @@
 const MIN_SERVED_SHARE: f64 = 0.99;
 /// Initial part of each run that is not counted.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// Steps of a search from the first missed rate on: that miss and three bisections, which narrow the sustained
-/// rate down to 1/8 of the last increase.
+/// Steps of a search from the first missed rate on: that rate and three bisections, which narrow the highest
+/// sustained rate down to 1/8 of the last increase.
 const STEPS_FROM_FIRST_MISS: u32 = 4;
 
 #[derive(Args)]
@@ -84,9 +84,10 @@
     /// Highest sustained rate, in requests per second.
     #[serde(rename = "held_per_s")]
     sustained_rate: f64,
-    /// CPU time per request at that rate, in microseconds.
+    /// CPU time of the dispatcher per request at that rate, in microseconds.
     #[serde(rename = "cpu_us")]
     cpu_per_request_us: f64,
+    /// Percentiles of latency at half that rate, in milliseconds.
     p50_ms: f64,
     p99_ms: f64,
     p999_ms: f64,
@@ -131,6 +132,7 @@
 /// A runtime with mock engines on loopback.
 pub struct Testbed {
     pub runtime: Runtime,
+    /// Addresses of the mock engines.
     pub engines: Vec<SocketAddr>,
     load_counts: Arc<LoadCounts>,
 }
@@ -161,9 +163,10 @@
     result: load_generator::LoadResult,
     /// CPU time of the dispatcher.
     cpu_time: Duration,
+    /// Offered requests per second.
     rate: f64,
-    /// Share of the CPU time of the load threads that the load generator and the engines used. Near one, they are the
-    /// bottleneck themselves.
+    /// Share of the CPU time of the load threads that the load generator and the engines used. Near one, they are
+    /// the bottleneck themselves.
     load_utilization: f64,
     duplicate_loads: usize,
 }
@@ -171,9 +174,9 @@
 impl Run {
     /// Whether the dispatcher sustained the rate of this run.
     fn is_sustained(&self, max_p99_ms: f64) -> bool {
-        let served =
+        let enough_served =
             self.result.served_total() as f64 >= MIN_SERVED_SHARE * self.result.offered as f64;
-        served && self.result.latency_percentile_ms(99.0) <= max_p99_ms
+        enough_served && self.result.latency_percentile_ms(99.0) <= max_p99_ms
     }
 }
 
@@ -318,7 +321,7 @@
         };
         testbed.runtime.block_on(async {
             let dispatcher = DispatcherProcess::start(&self.dispatcher_path, &options).await?;
-            let (dispatcher_before, own_before) = (
+            let (dispatcher_cpu_before, lab_cpu_before) = (
                 dispatcher.cpu_time()?,
                 dispatcher_process::process_cpu_time("self")?,
             );
@@ -330,15 +333,15 @@
                 time_limit: Duration::from_secs(4),
             };
             let result = load_generator::generate(traffic.schedule(), load_options).await?;
-            let cpu_time = dispatcher.cpu_time()? - dispatcher_before;
+            let cpu_time = dispatcher.cpu_time()? - dispatcher_cpu_before;
             dispatcher.stop().await?;
-            let own_cpu_time = dispatcher_process::process_cpu_time("self")? - own_before;
+            let lab_cpu_time = dispatcher_process::process_cpu_time("self")? - lab_cpu_before;
             let available_secs = traffic.duration.as_secs_f64() * self.load_threads as f64;
             Ok(Run {
                 result,
                 cpu_time,
                 rate,
-                load_utilization: own_cpu_time.as_secs_f64() / available_secs,
+                load_utilization: lab_cpu_time.as_secs_f64() / available_secs,
                 duplicate_loads: testbed.load_counts.take_duplicates(),
             })
         })
@@ -370,9 +373,9 @@
         });
         let thread_times: Vec<Vec<f64>> = thread_times.collect();
         let total: f64 = thread_times.iter().flatten().sum();
-        let points = |time: f64| 100.0 * time / total.max(f64::MIN_POSITIVE);
+        let percentage = |time: f64| 100.0 * time / total.max(f64::MIN_POSITIVE);
         let tenant_share =
-            |tenant: usize| points(thread_times.iter().map(|class| class[tenant]).sum());
+            |tenant: usize| percentage(thread_times.iter().map(|class| class[tenant]).sum());
         Ok(OverloadShares {
             offered_per_s: rate,
             served_per_s: run.result.served_total() as f64 / (seconds - WARM_UP.as_secs_f64()),
@@ -380,7 +383,7 @@
             failed: run.result.failed,
             class_shares: thread_times
                 .iter()
-                .map(|class| points(class.iter().sum()))
+                .map(|class| percentage(class.iter().sum()))
                 .collect(),
             tenant_shares: (0..TENANTS.len()).map(tenant_share).collect(),
             class_error: 0.0,
