--- a/tests/bounded_state.rs
+++ b/tests/bounded_state.rs
@@ -1,5 +1,5 @@
-//! The state of a gateway stays bounded during a long run with many requests and ten thousand engines, listed
-//! in turn.
+//! The state of a gateway stays bounded during a long run with many requests and ten thousand engines, of which
+//! a few are listed at a time.
 
 mod common;
 use common::*;
@@ -10,9 +10,9 @@
 /// Number of engines that are listed at the same time.
 const LISTED_ENGINES: u64 = 20;
 
-/// Submits requests with keys and table groups, and ends their attempts with various outcomes or a client
-/// that leaves; half of the engines are cold. In the end no request and only listed engines remain in the
-/// state.
+/// Submits requests with keys and table groups, and ends their attempts with various outcomes or because their
+/// client disconnects; half of the engines are cold. At the end, the state contains no request and only listed
+/// engines.
 #[test]
 fn the_state_stays_bounded_with_many_requests_and_ten_thousand_engines() {
     let settings = Settings {
@@ -90,8 +90,8 @@
 /// Number of attempts of each request.
 type AttemptCounts = std::collections::HashMap<u64, u32>;
 
-/// Ends all attempts in flight: one in twenty each with an error, a timeout, a reset, a failed connection and
-/// a client that leaves, the others with an answer.
+/// Ends all attempts in flight. One in twenty ends with each of these: an error, a timeout, a reset, a failed
+/// connection, a client that disconnects. The others end with an answer.
 fn end_attempts(
     harness: &mut Harness,
     initial_actions: Vec<Action>,
@@ -110,11 +110,11 @@
                 *count += 1;
             }
         }
-        let Some((id, attempt, engine)) = in_flight.pop() else {
+        let Some((id, attempt_no, engine)) = in_flight.pop() else {
             return;
         };
         let mut new_actions = Vec::new();
-        let outcome = match splitmix64(id ^ u64::from(attempt) << 40) % 20 {
+        let outcome = match splitmix64(id ^ u64::from(attempt_no) << 40) % 20 {
             0 => Outcome::Error,
             1 => Outcome::TimedOut,
             2 => Outcome::Reset,
@@ -127,7 +127,7 @@
         };
         new_actions.extend(harness.handle_all(vec![attempt_ended(
             id,
-            attempt,
+            attempt_no,
             engine,
             outcome,
             outcome == Outcome::Ok,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -132,11 +132,17 @@
     }
 
     /// Ends an attempt after 50 ms; the client has its answer if the outcome is `Ok`.
-    pub fn end_attempt(&mut self, id: u64, attempt: u32, engine: u64, outcome: Outcome) -> Actions {
+    pub fn end_attempt(
+        &mut self,
+        id: u64,
+        attempt_no: u32,
+        engine: u64,
+        outcome: Outcome,
+    ) -> Actions {
         let request_finished = outcome == Outcome::Ok;
         self.handle(attempt_ended(
             id,
-            attempt,
+            attempt_no,
             engine,
             outcome,
             request_finished,
@@ -147,14 +153,14 @@
 /// The event that an attempt ended after 50 ms.
 pub fn attempt_ended(
     id: u64,
-    attempt: u32,
+    attempt_no: u32,
     engine: u64,
     outcome: Outcome,
     request_finished: bool,
 ) -> Event {
     Event::Ended(AttemptEnded {
         request: RequestId(id),
-        attempt: AttemptNo(attempt),
+        attempt: AttemptNo(attempt_no),
         engine: EngineId(engine),
         outcome,
         elapsed: ms(50),
@@ -164,7 +170,7 @@
     })
 }
 
-/// An engine that has been running for long, in zone 0 and of kind 0.
+/// An engine that has been running for a long time, in zone 0 and of kind 0.
 pub fn engine(id: u64) -> Engine {
     Engine {
         kind: Some(KindId(0)),
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn threads_in_flight_of_the_peer_process_count_as_own() {
-    // Without pressure the budget is 32 threads, and the peer process uses all of it.
+    // Without pressure, the thread budget is 32, and the peer process uses all of it.
     let mut harness = Harness::with_engines(settings(), 1);
     harness
         .gateway
@@ -52,8 +52,8 @@
     let window = settings().overload_window;
     let mut harness = Harness::new(settings());
     harness.now = harness.now + window;
-    let started = cold_engine(harness.now);
-    harness.set_engines(vec![started]);
+    let new_engine = cold_engine(harness.now);
+    harness.set_engines(vec![new_engine]);
     let mut last_denied_at = harness.now;
     for _ in 0..30 {
         last_denied_at = harness.now;
@@ -72,7 +72,7 @@
         harness.advance(10);
         assert!(
             harness.now < last_denied_at + window + ms(100),
-            "it may use cold engines again"
+            "the gateway may use cold engines again"
         );
     }
     assert!(
@@ -85,8 +85,8 @@
 #[test]
 fn work_that_the_peer_process_sent_to_a_cold_engine_counts_in_the_overload_window() {
     let mut harness = Harness::new(settings());
-    let started = cold_engine(harness.now);
-    harness.set_engines(vec![started]);
+    let new_engine = cold_engine(harness.now);
+    harness.set_engines(vec![new_engine]);
     harness.now = harness.now + settings().overload_window;
     let peer_usage = usage_of_engine(1, 0.0, 1e6);
     harness
@@ -105,17 +105,17 @@
 
 #[test]
 fn a_new_process_adopts_the_statistics_of_the_old_one() {
-    let mut old = Harness::with_engines(settings(), 2);
-    let target = sent_to(&old.submit(1, LIGHT)).expect("an engine is ready");
+    let mut old_process = Harness::with_engines(settings(), 2);
+    let target = sent_to(&old_process.submit(1, LIGHT)).expect("an engine is ready");
     // Refused connections eject an engine.
-    old.end_attempt(1, 0, target, Outcome::ConnectFailed);
-    old.submit(2, LIGHT);
-    while let Some(next_target) = sent_to(&old.submit(old.now.0, LIGHT)) {
+    old_process.end_attempt(1, 0, target, Outcome::ConnectFailed);
+    old_process.submit(2, LIGHT);
+    while let Some(next_target) = sent_to(&old_process.submit(old_process.now.0, LIGHT)) {
         if next_target == target {
-            old.end_attempt(old.now.0, 0, target, Outcome::ConnectFailed);
+            old_process.end_attempt(old_process.now.0, 0, target, Outcome::ConnectFailed);
         }
-        old.now = old.now + ms(1);
-        if old
+        old_process.now = old_process.now + ms(1);
+        if old_process
             .gateway
             .ejected_engines()
             .iter()
@@ -124,21 +124,21 @@
             break;
         }
     }
-    let state = old.gateway.handover_state();
-    let mut new = Harness::with_engines(settings(), 2);
-    new.now = old.now;
-    new.gateway.restore(&state);
-    let ejected = new.gateway.ejected_engines();
+    let state = old_process.gateway.handover_state();
+    let mut new_process = Harness::with_engines(settings(), 2);
+    new_process.now = old_process.now;
+    new_process.gateway.restore(&state);
+    let ejected = new_process.gateway.ejected_engines();
     assert_eq!(
         ejected.iter().map(|(id, _)| id.0).collect::<Vec<_>>(),
         [target]
     );
     for id in 10..14 {
-        assert_ne!(sent_to(&new.submit(id, LIGHT)), Some(target));
+        assert_ne!(sent_to(&new_process.submit(id, LIGHT)), Some(target));
     }
     let (accepted_before, restored) = (
         state.classes[LIGHT].accepted_requests,
-        new.gateway.handover_state(),
+        new_process.gateway.handover_state(),
     );
     assert_eq!(
         restored.classes[LIGHT].accepted_requests,
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -23,11 +23,11 @@
 #[test]
 fn a_failing_engine_is_ejected_and_returns_after_a_trial() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let failing = fail_twice(&mut harness, Outcome::Reset);
-    assert!(!answered_targets(&mut harness, 10, 60).contains(&failing));
+    let failing_engine = fail_twice(&mut harness, Outcome::Reset);
+    assert!(!answered_targets(&mut harness, 10, 60).contains(&failing_engine));
     harness.advance(1100);
     assert!(
-        answered_targets(&mut harness, 100, 60).contains(&failing),
+        answered_targets(&mut harness, 100, 60).contains(&failing_engine),
         "a trial follows the ejection"
     );
 }
@@ -37,9 +37,9 @@
     let mut harness = Harness::with_engines(settings(), 3);
     for id in 1..=12 {
         harness.submit(id, LIGHT);
-        for attempt in 0..3 {
+        for attempt_no in 0..3 {
             for engine in 1..=3 {
-                harness.end_attempt(id, attempt, engine, Outcome::Reset);
+                harness.end_attempt(id, attempt_no, engine, Outcome::Reset);
             }
         }
     }
@@ -52,7 +52,7 @@
 #[test]
 fn a_silent_engine_gets_no_new_queries_and_its_repeatable_ones_go_to_another_engine() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let silent = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
+    let silent_engine = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
     let actions = harness.advance(2600);
     let cancel = Action::Cancel {
         request: RequestId(1),
@@ -61,12 +61,12 @@
     assert_eq!(
         actions,
         vec![cancel],
-        "it is cancelled well before its timeout of 15 s"
+        "the attempt is cancelled well before its timeout of 15 s"
     );
-    let retry_target =
-        sent_to(&harness.end_attempt(1, 0, silent, Outcome::Cancelled)).expect("a retry is sent");
-    assert_ne!(retry_target, silent);
-    assert!(!answered_targets(&mut harness, 10, 60).contains(&silent));
+    let retry_target = sent_to(&harness.end_attempt(1, 0, silent_engine, Outcome::Cancelled))
+        .expect("a retry is sent");
+    assert_ne!(retry_target, silent_engine);
+    assert!(!answered_targets(&mut harness, 10, 60).contains(&silent_engine));
 }
 
 #[test]
@@ -168,10 +168,10 @@
 
 #[test]
 fn a_lost_attempt_is_retried_on_another_engine_long_before_its_deadline() {
-    // Guards against engines that lose some of the queries that they get and answer the others.
+    // Guards against engines that lose some queries and answer the others.
     let mut harness = Harness::with_engines(settings(), 3);
     answered_targets(&mut harness, 10, 30);
-    let lossy = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
+    let lossy_engine = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
     let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
@@ -179,36 +179,36 @@
     assert_eq!(
         harness.advance(200),
         vec![],
-        "it has taken four times the time of a new attempt"
+        "the attempt has taken four times as long as a new one usually takes"
     );
     assert_eq!(harness.advance(100), vec![cancel]);
-    let retry_target =
-        sent_to(&harness.end_attempt(1, 0, lossy, Outcome::Cancelled)).expect("a retry is sent");
-    assert_ne!(retry_target, lossy);
+    let retry_target = sent_to(&harness.end_attempt(1, 0, lossy_engine, Outcome::Cancelled))
+        .expect("a retry is sent");
+    assert_ne!(retry_target, lossy_engine);
 }
 
-/// Lets one engine fail two queries that others then answer; returns it.
+/// Lets one engine fail two queries, which other engines then answer. Returns that engine.
 fn fail_twice(harness: &mut Harness, outcome: Outcome) -> u64 {
-    let failing = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
+    let failing_engine = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
     for id in [1, 2] {
         if id == 2 {
-            assert_eq!(sent_to(&harness.submit(2, LIGHT)), Some(failing));
+            assert_eq!(sent_to(&harness.submit(2, LIGHT)), Some(failing_engine));
         }
         let retry_target =
-            sent_to(&harness.end_attempt(id, 0, failing, outcome)).expect("a retry is sent");
-        assert_ne!(retry_target, failing);
+            sent_to(&harness.end_attempt(id, 0, failing_engine, outcome)).expect("a retry is sent");
+        assert_ne!(retry_target, failing_engine);
         harness.end_attempt(id, 1, retry_target, Outcome::Ok);
     }
-    failing
+    failing_engine
 }
 
-/// Guards against taking an error for a sign of health, which ended an engine's trial and cleared its
-/// consecutive failures: an engine that failed fast attracted traffic.
+/// Guards against counting an error as a sign of health: errors ended an engine's trial and reset its count of
+/// consecutive failures, so that an engine that failed fast attracted traffic.
 #[test]
 fn an_engine_that_fails_queries_which_others_answer_is_ejected() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let failing = fail_twice(&mut harness, Outcome::Error);
-    assert!(!answered_targets(&mut harness, 10, 60).contains(&failing));
+    let failing_engine = fail_twice(&mut harness, Outcome::Error);
+    assert!(!answered_targets(&mut harness, 10, 60).contains(&failing_engine));
 }
 
 /// Guards against ejecting engines for the errors of invalid requests: the engines were ejected one after
@@ -218,9 +218,9 @@
     let mut harness = Harness::with_engines(settings(), 3);
     for id in 1..=6 {
         let target = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
-        let next =
+        let retry_target =
             sent_to(&harness.end_attempt(id, 0, target, Outcome::Error)).expect("a retry is sent");
-        harness.end_attempt(id, 1, next, Outcome::Error);
+        harness.end_attempt(id, 1, retry_target, Outcome::Error);
         harness.handle(Event::ClientLeft(RequestId(id)));
         assert!(
             answered_targets(&mut harness, 100 * id, 60).contains(&target),
@@ -234,24 +234,27 @@
     let mut settings = settings();
     settings.classes[HEAVY].waits_for_load = true;
     let mut harness = Harness::with_engines(settings, 3);
-    let loading = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
+    let loading_engine = sent_to(&harness.submit(1, HEAVY)).expect("an engine is ready");
     let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNo(0),
     };
     let note = Event::Note(RequestId(1), AttemptNo(0), Note::WaitsForLoad);
     assert_eq!(harness.handle(note), vec![cancel]);
-    let retry_target = sent_to(&harness.end_attempt(1, 0, loading, Outcome::Cancelled));
+    let retry_target = sent_to(&harness.end_attempt(1, 0, loading_engine, Outcome::Cancelled));
     assert!(
-        retry_target.is_some_and(|target| target != loading),
+        retry_target.is_some_and(|target| target != loading_engine),
         "{retry_target:?}"
     );
-    let next = sent_to(&harness.submit(2, HEAVY));
-    assert!(next.is_some_and(|target| target != loading), "{next:?}");
+    let next_target = sent_to(&harness.submit(2, HEAVY));
+    assert!(
+        next_target.is_some_and(|target| target != loading_engine),
+        "{next_target:?}"
+    );
 }
 
-/// Guards against exempting queries that may wait for loads from the search for lost attempts: one that its
-/// engine had lost stayed in flight until its deadline. Without a note it does not wait for a load.
+/// Guards against exempting queries that may wait for loads from the detection of lost attempts: a lost attempt
+/// stayed in flight until its deadline. An attempt without a note does not wait for a load.
 #[test]
 fn an_attempt_without_notes_is_lost_even_if_it_may_wait_for_a_load() {
     let mut settings = settings();
@@ -266,13 +269,13 @@
     assert_eq!(
         harness.advance(350),
         vec![],
-        "it has taken seven times the time of a new attempt"
+        "the attempt has taken seven times as long as a new one usually takes"
     );
     assert_eq!(harness.advance(100), vec![cancel]);
 }
 
-/// Guards against an attempt that stayed in flight until its deadline after its engine, which answered
-/// others, lost it.
+/// Guards against an attempt that stayed in flight until its deadline, although its engine had lost it and
+/// answered other attempts.
 #[test]
 fn an_attempt_without_notes_from_a_healthy_engine_is_lost() {
     let mut harness = Harness::with_engines(settings(), 3);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The seven invariants of a gateway, each with what it must allow and what it must prevent.
+//! The seven invariants of a gateway: for each, what the gateway must do and what it must not do.
 
 mod common;
 
@@ -64,7 +64,7 @@
         assert_ne!(
             sent_to(&actions),
             None,
-            "{outcome:?} proves that it never ran"
+            "{outcome:?} proves that the load never ran"
         );
     }
     let may_have_run = [
@@ -82,7 +82,7 @@
             vec![Action::Fail {
                 request: RequestId(1)
             }],
-            "{outcome:?} may have run"
+            "the load may have run after {outcome:?}"
         );
     }
     let mut harness = Harness::with_engines(settings(), 2);
@@ -90,8 +90,8 @@
     assert_eq!(harness.end_attempt(1, 0, target, Outcome::Ok), vec![]);
 }
 
-/// Sends a keyed load to engine 1 or 4 and returns which; then lists engines 1 to 5. Engines 1 and 2 share a
-/// cell, 3 is in another cell of their zone; 4 and 5 share a cell of a second zone.
+/// Sends a keyed load to engine 1 or 4, lists engines 1 to 5, and returns the engine of the load. Engines 1 and
+/// 2 share a cell, 3 is in another cell of their zone; 4 and 5 share a cell of a second zone.
 fn harness_with_keyed_load(scope: DedupScope) -> (Harness, u64) {
     let mut settings = settings();
     settings.classes[LOAD].effect = Effect::Keyed(scope);
@@ -102,7 +102,7 @@
         ..engine(id)
     };
     harness.set_engines(vec![located(1, 0, 1), located(4, 1, 3)]);
-    let first = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
+    let first_target = sent_to(&harness.submit(1, LOAD)).expect("an engine is ready");
     harness.set_engines(vec![
         located(1, 0, 1),
         located(2, 0, 1),
@@ -110,7 +110,7 @@
         located(4, 1, 3),
         located(5, 1, 3),
     ]);
-    (harness, first)
+    (harness, first_target)
 }
 
 #[test]
@@ -119,28 +119,28 @@
         (DedupScope::Cell, [[1, 2, 2], [4, 5, 5]]),
         (DedupScope::Zone, [[1, 2, 3], [4, 5, 5]]),
     ] {
-        let (mut harness, first) = harness_with_keyed_load(scope);
-        let actions = harness.end_attempt(1, 0, first, Outcome::Error);
+        let (mut harness, first_target) = harness_with_keyed_load(scope);
+        let actions = harness.end_attempt(1, 0, first_target, Outcome::Error);
         let retry_target = sent_to(&actions).expect("the scope has another engine");
         let scope_engines = allowed
             .iter()
-            .find(|engines| engines.contains(&first))
+            .find(|engines| engines.contains(&first_target))
             .expect("a known engine");
         assert!(
             scope_engines.contains(&retry_target),
-            "{scope:?}: {first}, then {retry_target}"
+            "{scope:?}: {first_target}, then {retry_target}"
         );
     }
-    let (mut harness, first) = harness_with_keyed_load(DedupScope::All);
-    assert!(sent_to(&harness.end_attempt(1, 0, first, Outcome::Error)).is_some());
+    let (mut harness, first_target) = harness_with_keyed_load(DedupScope::All);
+    assert!(sent_to(&harness.end_attempt(1, 0, first_target, Outcome::Error)).is_some());
 }
 
 #[test]
 fn keyed_retries_stay_within_their_dedup_window() {
     for (scope, expects_refusal) in [(DedupScope::All, true), (DedupScope::Cell, false)] {
-        let (mut harness, first) = harness_with_keyed_load(scope);
+        let (mut harness, first_target) = harness_with_keyed_load(scope);
         harness.now = harness.now + ms(5000);
-        let actions = harness.end_attempt(1, 0, first, Outcome::Error);
+        let actions = harness.end_attempt(1, 0, first_target, Outcome::Error);
         assert_eq!(sent_to(&actions), None);
         assert_eq!(
             (is_refused(&actions, 1), is_failed(&actions, 1)),
@@ -171,23 +171,27 @@
     ] {
         settings.classes[LOAD].dedup_window = window;
         let mut harness = Harness::with_engines(settings.clone(), 3);
-        let first = harness.submit(1, LOAD);
+        let first_actions = harness.submit(1, LOAD);
         assert_eq!(
-            starts_by(&first),
+            starts_by(&first_actions),
             Some(None),
             "a first attempt has no time limit for its start"
         );
         let first_sent_at = harness.now;
-        let target = sent_to(&first).expect("an engine is ready");
+        let target = sent_to(&first_actions).expect("an engine is ready");
         // This attempt never ran, so the window does not begin; it begins with the next one, which may have
         // run.
         let retry_actions = harness.end_attempt(1, 0, target, Outcome::ConnectFailed);
         assert_eq!(starts_by(&retry_actions), Some(None));
         harness.now = harness.now + ms(100);
         let target = sent_to(&retry_actions).expect("another engine is ready");
-        let second = harness.end_attempt(1, 1, target, Outcome::Reset);
+        let second_retry = harness.end_attempt(1, 1, target, Outcome::Reset);
         let latest_start = is_retried.then(|| first_sent_at + window - ms(50));
-        assert_eq!(starts_by(&second), latest_start.map(Some), "{window:?}");
+        assert_eq!(
+            starts_by(&second_retry),
+            latest_start.map(Some),
+            "{window:?}"
+        );
     }
     // A repeatable request has no window.
     let mut harness = Harness::with_engines(settings, 2);
@@ -214,12 +218,12 @@
         },
         3,
     );
-    let first = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
-    let second =
-        sent_to(&harness.end_attempt(1, 0, first, Outcome::Error)).expect("a retry is sent");
-    assert_ne!(first, second);
+    let first_target = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
+    let second_target =
+        sent_to(&harness.end_attempt(1, 0, first_target, Outcome::Error)).expect("a retry is sent");
+    assert_ne!(first_target, second_target);
     assert!(is_refused(
-        &harness.end_attempt(1, 1, second, Outcome::Error),
+        &harness.end_attempt(1, 1, second_target, Outcome::Error),
         1
     ));
 }
@@ -299,7 +303,7 @@
 #[test]
 fn requests_of_one_key_run_one_at_a_time_in_order() {
     let mut harness = Harness::with_engines(settings(), 3);
-    let first = sent_to(&harness.handle(load_with_key(1))).expect("an engine is ready");
+    let first_target = sent_to(&harness.handle(load_with_key(1))).expect("an engine is ready");
     assert_eq!(harness.handle(load_with_key(2)), vec![]);
     assert_eq!(harness.handle(load_with_key(3)), vec![]);
     let other_key = Event::Request(Query {
@@ -312,7 +316,7 @@
         1,
         "another key does not wait"
     );
-    let actions = harness.end_attempt(1, 0, first, Outcome::Ok);
+    let actions = harness.end_attempt(1, 0, first_target, Outcome::Ok);
     assert_eq!(
         sends(&actions)
             .iter()
@@ -331,10 +335,10 @@
         },
         3,
     );
-    let first = sent_to(&harness.handle(load_with_key(1))).expect("an engine is ready");
+    let first_target = sent_to(&harness.handle(load_with_key(1))).expect("an engine is ready");
     harness.handle(load_with_key(2));
     assert!(is_failed(
-        &harness.end_attempt(1, 0, first, Outcome::Reset),
+        &harness.end_attempt(1, 0, first_target, Outcome::Reset),
         1
     ));
     assert_eq!(sends(&harness.advance(480)), vec![]);
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -22,8 +22,7 @@
     actions.iter().filter_map(engine).collect()
 }
 
-/// Guards against a gateway that may always have one query on every engine: the gateways together then had no
-/// limit.
+/// Guards against allowing each gateway one query on every engine: all gateways together then had no limit.
 #[test]
 fn a_gateway_is_limited_by_its_share_of_the_fleet_if_its_share_of_an_engine_is_under_one_query() {
     let mut harness = Harness::with_engines(many_gateways(), 8);
@@ -33,8 +32,8 @@
     assert!((1..8).contains(&sent), "{sent} queries sent at once");
 }
 
-/// Guards against a common engine order of a table group: all gateways then sent a hot group to the same
-/// engine.
+/// Guards against an engine order that is the same in all gateways: all of them then sent a hot table group to
+/// the same engine.
 #[test]
 fn gateways_prefer_different_engines_for_the_same_table_group() {
     let preferred = |seed| {
@@ -91,7 +90,7 @@
 }
 
 /// Submits requests and answers each one after `elapsed_ms`. Clients of requests that are not sent at once
-/// give up.
+/// disconnect.
 fn answer_requests(harness: &mut Harness, ids: std::ops::RangeInclusive<u64>, elapsed_ms: u64) {
     for id in ids {
         let Some(sent) = targets(&harness.submit(id, LIGHT)).first().copied() else {
@@ -128,28 +127,27 @@
         }
         count
     };
-    let initial = burst(&mut harness, 1000);
+    let sent_initially = burst(&mut harness, 1000);
     answer_requests(&mut harness, 1..=40, 500);
-    let congested = burst(&mut harness, 2000);
+    let sent_during_congestion = burst(&mut harness, 2000);
     harness.advance(5000);
     answer_requests(&mut harness, 41..=240, 60);
-    let quick = burst(&mut harness, 3000);
+    let sent_after_quick_answers = burst(&mut harness, 3000);
     // Light queries may use the full share of the fleet, two threads here, even during congestion.
     assert!(
-        quick > congested,
-        "{congested} during congestion, then {quick}"
+        sent_after_quick_answers > sent_during_congestion,
+        "{sent_during_congestion} during congestion, then {sent_after_quick_answers}"
     );
     assert!(
-        congested <= 2,
-        "{congested}: more than the share of the fleet"
+        sent_during_congestion <= 2,
+        "{sent_during_congestion}: more than the share of the fleet"
     );
-    // The limit stays bounded however long answers are quick: engines must bear a burst of all gateways at
-    // once.
+    // The limit stays bounded however many answers are quick: engines must bear a burst of all gateways at once.
     answer_requests(&mut harness, 241..=500, 60);
-    let after_long_calm = burst(&mut harness, 4000);
+    let sent_after_more_quick_answers = burst(&mut harness, 4000);
     assert!(
-        after_long_calm <= initial.max(4),
-        "{initial} at first, {after_long_calm} after a long time of quick answers"
+        sent_after_more_quick_answers <= sent_initially.max(4),
+        "{sent_initially} at first, {sent_after_more_quick_answers} after many quick answers"
     );
 }
 
@@ -189,8 +187,8 @@
     );
 }
 
-/// Share of the fleet's memory that all gateways together have in flight after quick answers, when each gets
-/// far more requests than it may send. Each query is counted as one 250th of that memory.
+/// Share of the fleet's memory that the queries in flight of all gateways use after quick answers, if each
+/// gateway gets far more requests than it may send. Each query counts as one 250th of that memory.
 fn memory_share_in_flight(settings: &Settings) -> f64 {
     let sent = |gateway_index: u32| {
         let settings = Settings {
@@ -214,9 +212,10 @@
     (0..settings.gateways).map(sent).sum::<usize>() as f64 / 250.0
 }
 
-/// Guards against two faults: without a limit that holds however quick earlier answers were, a burst filled
-/// the memory of all engines at once; with one query always allowed, hundreds of gateways used more memory
-/// than the engines have. With 300 gateways a gateway's share is less than one query, with 64 it is several.
+/// Guards against two faults: the limit grew without bound after quick answers, so that a burst filled the
+/// memory of all engines at once; and one query was always allowed, so that hundreds of gateways used more
+/// memory than the engines have. With 300 gateways, a gateway's share is less than one query; with 64, it is
+/// several.
 #[test]
 fn all_gateways_together_use_a_limited_share_of_the_memory_if_engines_page() {
     for gateways in [64, 300] {
@@ -232,9 +231,9 @@
     }
 }
 
-/// Guards against two faults: a gateway's share of cold engines was used on warm ones, on top of their own
-/// share, and requests in flight on warm engines kept admission tokens from being used. With six of ten
-/// engines cold, these got a seventh of the work that they could do.
+/// Guards against two faults: a gateway used its share of the cold engines on warm ones, in addition to its
+/// share of those, and requests in flight on warm engines prevented the use of admission tokens. With six of
+/// ten engines cold, the cold ones got a seventh of the work that they could do.
 #[test]
 fn cold_engines_are_limited_by_admission_tokens_apart_from_warm_ones() {
     let sent = |cold_engines: u64| {
@@ -251,28 +250,29 @@
             harness.update_engine(cold_engine);
         }
         let submit = |id| targets(&harness.submit(id, LIGHT)).len();
-        let at_once = (1..=60).map(submit).sum::<usize>();
+        let sent_at_once = (1..=60).map(submit).sum::<usize>();
         // No attempt ends, so that all further sends need new admission tokens.
-        let mut later = Vec::new();
+        let mut later_targets = Vec::new();
         for id in 200..=260 {
-            later.extend(targets(&harness.advance(20)));
-            later.extend(targets(&harness.submit(id, LIGHT)));
+            later_targets.extend(targets(&harness.advance(20)));
+            later_targets.extend(targets(&harness.submit(id, LIGHT)));
         }
-        (at_once, later)
+        (sent_at_once, later_targets)
     };
-    let ((sent_to_warm, later_to_warm), (sent_with_6_cold, later_by_tokens)) = (sent(0), sent(6));
+    let ((sent_to_warm, later_sends_to_warm), (sent_with_6_cold, later_sends_by_tokens)) =
+        (sent(0), sent(6));
     assert!(
         sent_with_6_cold > 0 && sent_with_6_cold * 2 < sent_to_warm,
         "{sent_with_6_cold} with 6 of 8 engines cold, {sent_to_warm} with none"
     );
     assert!(
-        later_to_warm.is_empty(),
-        "the share of the fleet is in use: {later_to_warm:?}"
+        later_sends_to_warm.is_empty(),
+        "the share of the fleet is in use: {later_sends_to_warm:?}"
     );
     let is_cold = |engine: &EngineId| engine.0 <= 6;
     assert!(
-        !later_by_tokens.is_empty() && later_by_tokens.iter().all(is_cold),
-        "{later_by_tokens:?}"
+        !later_sends_by_tokens.is_empty() && later_sends_by_tokens.iter().all(is_cold),
+        "{later_sends_by_tokens:?}"
     );
 }
 
@@ -323,7 +323,7 @@
             harness.advance(25);
             answer_requests(&mut harness, id..=id, 120);
         }
-        // New engines have no limit of their own yet, so that the learned limit of the gateway shows.
+        // No limit has been learned for new engines yet, so that the gateway's learned limit applies.
         harness.set_engines((11..=18).map(engine).collect());
         targets(&harness.submit(1, HEAVY)).len()
     };
--- a/tests/priorities.rs
+++ b/tests/priorities.rs
@@ -1,4 +1,4 @@
-//! Light classes that run ahead of others on engines that heed priorities, as used by one of many gateways.
+//! Light classes that run ahead of others on engines that apply priorities, in one of many gateways.
 
 mod common;
 use common::*;
@@ -33,7 +33,7 @@
     sent_to(&harness.submit(1, class)).is_some()
 }
 
-/// All cores are busy: only queries that run ahead of others are still served at once.
+/// All cores are busy: only queries that run ahead of others are served at once.
 const BUSY: LoadReport = LoadReport {
     busy_cores_share: Some(1.0),
     active_queries: None,
@@ -41,7 +41,7 @@
     granted_memory_share: None,
 };
 
-/// Guards against holding light queries back while heavy ones keep all engines busy: they were then hardly
+/// Guards against delaying light queries while heavy ones keep all engines busy: hardly any light query was
 /// served.
 #[test]
 fn a_light_class_is_sent_to_engines_that_heavy_queries_keep_busy() {
--- a/tests/randomized_events.rs
+++ b/tests/randomized_events.rs
@@ -41,9 +41,9 @@
     engines: BTreeMap<u64, Engine>,
     /// Requests of each key in the order of their arrival.
     requests_by_key: BTreeMap<u64, Vec<u64>>,
-    /// For each key, the request and the end of the last attempt that may still run on its engine.
+    /// For each key, the request and the end time of the latest attempt that may still run on its engine.
     last_unconfirmed_end: BTreeMap<u64, (u64, Micros)>,
-    /// Times of attempts after the first of their request.
+    /// Times of retries and second copies, that is of all attempts but the first of each request.
     extra_attempts: Vec<Micros>,
     accepted_at: Vec<Micros>,
     /// Times and work, in core seconds, of the sends to each cold engine.
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -90,8 +90,8 @@
     assert_eq!(harness.advance(20_000), vec![], "no request remains");
 }
 
-/// Guards against ending a load of a retired class as if it were no load: its engine would be marked as
-/// loading the table group for ever.
+/// Guards against ending a load of a retired class as if it were no load: its engine would then stay marked as
+/// loading the table group.
 #[test]
 fn a_load_of_a_retired_class_releases_its_table_group() {
     let mut harness = Harness::with_engines(settings(), 1);
@@ -120,9 +120,9 @@
     assert_eq!(sends(&actions), [(2, 1)]);
 }
 
-/// With fewer gateways in the settings, the share of each is larger from then on. Guards against granting the
-/// tokens of the larger share for the whole time since a cold engine's start at once: one request of each
-/// gateway overloaded it.
+/// With fewer gateways in the settings, each gateway's share is larger from then on. Guards against granting, at
+/// once, the tokens of the larger share for the whole time since a cold engine's start: one request of each
+/// gateway overloaded the engine.
 #[test]
 fn fewer_gateways_in_the_settings_grant_no_admission_tokens_for_the_time_before() {
     let settings_of = |gateways, gateway_index| Settings {
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Keeps three requests of each class and tenant queued; returns how many of each were sent in `rounds`
-/// releases.
+/// Keeps three requests of each class and tenant queued, ends an attempt in each of `rounds` rounds, and returns
+/// how many requests of each class and tenant were sent in response.
 fn count_releases(
     harness: &mut Harness,
     classes: usize,
@@ -58,6 +58,7 @@
     let mut last_id = 1_000;
     let mut running = Vec::new();
     let mut counts = BTreeMap::new();
+    // Class and tenant by request id.
     let mut owners = BTreeMap::new();
     for _ in 0..rounds {
         for class in 0..classes {
@@ -151,8 +152,8 @@
 
 #[test]
 fn a_light_release_costs_less_credit_so_that_heavy_queries_do_not_starve_light_ones() {
-    // Guards against a price of one credit per release, whatever its work: the light class then got one
-    // release in 21.
+    // Guards against a cost of one credit per release, whatever its work: the light class then got one release
+    // in 21.
     let mut settings = classes_by_worth(&[1.0, 20.0]);
     settings.classes[1].threads = 2.0;
     let mut harness = harness_under_pressure(settings);
@@ -177,12 +178,12 @@
     for _ in 0..30 {
         report_pressure(&mut harness);
         let id = in_flight.remove(0);
-        let took = if (100..200).contains(&id) {
+        let elapsed = if (100..200).contains(&id) {
             ms(50)
         } else {
             ms(1000)
         };
-        for (id, _) in sends(&harness.handle(answer(id, took))) {
+        for (id, _) in sends(&harness.handle(answer(id, elapsed))) {
             light_releases += u64::from((100..200).contains(&id));
             in_flight.push(id);
         }
--- a/tests/source_limits.rs
+++ b/tests/source_limits.rs
@@ -32,10 +32,10 @@
 #[test]
 fn every_source_file_begins_with_a_module_doc_comment() {
     for (path, text) in sources() {
-        let documented = text
+        let first_line = text
             .strip_prefix("//! ")
             .and_then(|text| text.lines().next());
-        let is_documented = documented.is_some_and(|line| !line.trim().is_empty());
+        let is_documented = first_line.is_some_and(|line| !line.trim().is_empty());
         assert!(is_documented, "{}", path.display());
     }
 }
@@ -64,9 +64,9 @@
     assert!(crate_root.lines().any(denies));
     for (path, text) in sources() {
         // The root's line is the only one that names the lint, so that nothing allows it again.
-        let named = text.matches("too_many_lines").count();
+        let occurrences = text.matches("too_many_lines").count();
         let expected = usize::from(path == Path::new("src/lib.rs"));
-        assert_eq!(named, expected, "{}", path.display());
+        assert_eq!(occurrences, expected, "{}", path.display());
     }
 }
 
--- a/tests/stalled_engines.rs
+++ b/tests/stalled_engines.rs
@@ -1,4 +1,4 @@
-//! Stalled engines, on which queries hardly progress, as detected by one of many gateways.
+//! Stalled engines, on which queries hardly progress, and their detection by one of many gateways.
 
 mod common;
 use common::*;
@@ -32,12 +32,12 @@
     harness
 }
 
-/// Guards against trusting the load report of a stalled engine: it looks idle, as queries that wait for its
-/// disks use no cores. It was sent more queries than any other engine and never recovered.
+/// Guards against trusting the load report of a stalled engine: it looks idle, because queries that wait for its
+/// disks use no cores. It got more queries than any other engine and never recovered.
 #[test]
 fn a_stalled_engine_is_ejected_and_its_queries_go_to_other_engines() {
     let mut harness = trained_harness(many_gateways());
-    let stalled = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
+    let stalled_engine = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
     harness.now = harness.now + ms(700);
     let slow_note = Event::Note(RequestId(1), AttemptNo(0), Note::Progress(0.01));
     let cancel = Action::Cancel {
@@ -45,9 +45,9 @@
         attempt: AttemptNo(0),
     };
     assert_eq!(harness.handle(slow_note), vec![cancel]);
-    let retry_target = sent_to(&harness.end_attempt(1, 0, stalled, Outcome::Cancelled));
+    let retry_target = sent_to(&harness.end_attempt(1, 0, stalled_engine, Outcome::Cancelled));
     assert!(
-        retry_target.is_some_and(|target| target != stalled),
+        retry_target.is_some_and(|target| target != stalled_engine),
         "{retry_target:?}"
     );
     harness.end_attempt(1, 1, retry_target.unwrap_or_default(), Outcome::Ok);
@@ -56,10 +56,14 @@
         busy_cores_share: Some(0.05),
         ..LoadReport::default()
     };
-    harness.handle(Event::Probed(EngineId(stalled), Outcome::Ok, Some(idle)));
+    harness.handle(Event::Probed(
+        EngineId(stalled_engine),
+        Outcome::Ok,
+        Some(idle),
+    ));
     for id in 10..60 {
         let target = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
-        assert_ne!(target, stalled);
+        assert_ne!(target, stalled_engine);
         harness.end_attempt(id, 0, target, Outcome::Ok);
     }
     // It gets a trial after the ejection.
@@ -67,13 +71,13 @@
     for id in 100..400 {
         harness.advance(100);
         let target = sent_to(&harness.submit(id, LIGHT)).expect("an engine is ready");
-        had_trial |= target == stalled;
+        had_trial |= target == stalled_engine;
         harness.end_attempt(id, 0, target, Outcome::Ok);
     }
     assert!(had_trial);
 }
 
-/// A note of the start of an attempt says nothing about its further progress.
+/// A note that an attempt has started does not indicate how fast it progresses.
 #[test]
 fn an_attempt_that_has_only_started_is_not_stalled() {
     let mut harness = trained_harness(many_gateways());
@@ -117,8 +121,8 @@
     assert!((1..=3).contains(&counts[2]), "{counts:?}");
 }
 
-/// Guards against ejecting an engine for one stalled attempt if gateways are few: one of three gateways lost
-/// the engine, and with it a third of the capacity that it could use.
+/// Guards against ejecting an engine for one stalled attempt if there are few gateways: one of three gateways
+/// lost a third of the capacity that it could use.
 #[test]
 fn one_of_few_gateways_ejects_no_engine_for_one_stalled_attempt() {
     let few_gateways = Settings {
@@ -132,9 +136,9 @@
     assert_eq!(harness.handle(slow_note), vec![]);
 }
 
-/// Guards against limits shorter than the interval of checks: a look-up of a class that usually takes half a
-/// millisecond was cancelled after three milliseconds, on every retry, and refused while its answer was on
-/// the way.
+/// Guards against limits shorter than the interval of checks: look-ups of a class that usually take half a
+/// millisecond were cancelled after three milliseconds, on every retry, and refused although an answer was about
+/// to arrive.
 #[test]
 fn an_attempt_is_not_overdue_within_a_few_check_intervals() {
     let mut harness = Harness::with_engines(settings(), 2);
@@ -184,7 +188,7 @@
     );
 }
 
-/// An answer from before the attempt does not show how the engine is now.
+/// An answer from before the attempt does not indicate the engine's present state.
 #[test]
 fn an_answer_from_before_the_attempt_does_not_prove_that_the_engine_is_healthy() {
     let mut harness = trained_harness(many_gateways());
@@ -194,7 +198,7 @@
     assert_eq!(harness.gateway.ejected_engines().len(), 1);
 }
 
-/// Guards against ejecting an engine that has just started for being as slow as a cold engine is.
+/// Guards against ejecting an engine that has just started because it is as slow as any cold engine.
 #[test]
 fn an_attempt_as_fast_as_a_cold_engine_allows_is_not_stalled() {
     let is_ejected = |started_ms_ago: Option<u64>| {
@@ -205,7 +209,7 @@
         }
         let engine = sent_to(&harness.submit(1, LIGHT)).expect("an engine is ready");
         if let Some(started_ms_ago) = started_ms_ago {
-            // The list contains the time of its start only from now on.
+            // The engine list reports the start only now.
             let started_at = Micros(harness.now.0 - ms(started_ms_ago).0);
             harness.update_engine(Engine {
                 started_at,
