--- a/virtual/src/deployment.rs
+++ b/virtual/src/deployment.rs
@@ -184,10 +184,10 @@
     }
 
     /// The settings of one gateway, with its index and zone.
-    pub fn gateway_settings(&self, number: u32) -> Settings {
+    pub fn gateway_settings(&self, gateway_index: u32) -> Settings {
         Settings {
-            gateway_index: Some(number),
-            zone: Some(self.zone(u64::from(number))),
+            gateway_index: Some(gateway_index),
+            zone: Some(self.zone(u64::from(gateway_index))),
             ..self.settings.clone()
         }
     }
--- a/virtual/src/engine_model.rs
+++ b/virtual/src/engine_model.rs
@@ -103,8 +103,8 @@
     /// Zero for an engine that has been running for a long time.
     pub started_at: Micros,
     pub down_until: Micros,
-    pub removed: bool,
-    pub draining: bool,
+    pub is_removed: bool,
+    pub is_draining: bool,
     pub impairment: Impairment,
     pub running: BTreeMap<RequestId, RunningQuery>,
     recent_arrivals: RecentArrivals,
@@ -117,8 +117,8 @@
             zone,
             started_at,
             down_until: Micros(0),
-            removed: false,
-            draining: false,
+            is_removed: false,
+            is_draining: false,
             impairment: Impairment::default(),
             running: BTreeMap::new(),
             recent_arrivals: RecentArrivals::default(),
@@ -126,7 +126,7 @@
     }
 
     pub fn is_up(&self, now: Micros) -> bool {
-        !self.removed && now >= self.down_until
+        !self.is_removed && now >= self.down_until
     }
 
     /// Share of the full capacity that is available while the engine warms up.
@@ -227,12 +227,12 @@
         settings: &Settings,
         rng: &mut impl Rng,
     ) -> Vec<(RequestId, QueryReport)> {
-        let locked = self.locked_groups(settings);
+        let locked_groups = self.locked_groups(settings);
         let is_blocked = |query: &RunningQuery| {
-            settings.classes[query.class].waits_for_load && locked.contains(&query.group)
+            settings.classes[query.class].waits_for_load && locked_groups.contains(&query.group)
         };
-        let active = self.running.values().filter(|query| !is_blocked(query));
-        let total_weight: f64 = active.map(RunningQuery::weight).sum();
+        let active_queries = self.running.values().filter(|query| !is_blocked(query));
+        let total_weight: f64 = active_queries.map(RunningQuery::weight).sum();
         let work_done = self.throughput(now, settings) * elapsed.0 as f64 / 1e6;
         let seconds = elapsed.0 as f64 / 1e6;
         let error_rate = self.impairment.error_rate;
--- a/virtual/src/engines.rs
+++ b/virtual/src/engines.rs
@@ -21,7 +21,7 @@
     engine: EngineId,
     zone: ZoneId,
     /// Whether the engine's reports are lost on the way.
-    silent: bool,
+    is_silent: bool,
     request: RequestId,
     report: QueryReport,
 }
@@ -74,16 +74,16 @@
             self.metrics.engine_crashes += 1;
             return;
         }
-        if engine.is_cold(now, settings) && !engine.draining {
+        if engine.is_cold(now, settings) && !engine.is_draining {
             let capacity = ENGINE_CORES * engine.capacity_share(now, settings);
             self.metrics.cold_capacity += capacity * STEP.0 as f64 / 1e6;
         }
-        let (zone, silent) = (engine.zone, engine.impairment.silent);
+        let (zone, is_silent) = (engine.zone, engine.impairment.silent);
         let reports = engine.advance(now, STEP, settings, &mut self.rng);
         let reports = reports.into_iter().map(|(request, report)| EngineReport {
             engine: id,
             zone,
-            silent,
+            is_silent,
             request,
             report,
         });
@@ -108,7 +108,7 @@
         else {
             return;
         };
-        if report.silent || self.is_partitioned(report.zone, self.gateways[gateway].zone) {
+        if report.is_silent || self.is_partitioned(report.zone, self.gateways[gateway].zone) {
             return;
         }
         match report.report {
--- a/virtual/src/fault_injection.rs
+++ b/virtual/src/fault_injection.rs
@@ -39,7 +39,7 @@
     fn oldest_engines(&self, share: f64) -> Vec<EngineId> {
         let engines = self.engines.values();
         let mut serving: Vec<_> = engines
-            .filter(|engine| !engine.removed && !engine.draining)
+            .filter(|engine| !engine.is_removed && !engine.is_draining)
             .collect();
         serving.sort_by_key(|engine| (engine.started_at, engine.id));
         let count = (share * self.deployment.engines as f64).round() as usize;
@@ -48,21 +48,21 @@
     }
 
     fn replace_engines(&mut self, share: f64) {
-        let replaced = self.oldest_engines(share);
-        let replacements: Vec<EngineId> = replaced
+        let replaced_engines = self.oldest_engines(share);
+        let replacements: Vec<EngineId> = replaced_engines
             .iter()
             .map(|_| self.start_engine(self.now))
             .collect();
-        self.drain_engines(&replaced);
+        self.drain_engines(&replaced_engines);
         self.announce_engines(&replacements);
         let removed_at = self.now + DRAIN_DURATION;
-        self.schedule(removed_at, ScheduledEvent::EnginesRemoved(replaced));
+        self.schedule(removed_at, ScheduledEvent::EnginesRemoved(replaced_engines));
     }
 
     fn drain_engines(&mut self, ids: &[EngineId]) {
         for id in ids {
             if let Some(engine) = self.engines.get_mut(id) {
-                engine.draining = true;
+                engine.is_draining = true;
             }
         }
         self.announce_engines(ids);
@@ -70,14 +70,14 @@
 
     /// Removes engines; queries that still run on them are lost.
     pub(crate) fn remove_engines(&mut self, ids: &[EngineId]) {
-        let mut lost = Vec::new();
+        let mut lost_queries = Vec::new();
         for id in ids {
             if let Some(engine) = self.engines.get_mut(id) {
-                engine.removed = true;
-                lost.extend(std::mem::take(&mut engine.running));
+                engine.is_removed = true;
+                lost_queries.extend(std::mem::take(&mut engine.running));
             }
         }
-        self.reset_queries(lost);
+        self.reset_queries(lost_queries);
         self.announce_engines(ids);
     }
 
@@ -91,17 +91,17 @@
 
     fn stop_zone(&mut self, zone: ZoneId, duration: Micros) {
         let (now, back_at) = (self.now, self.now + duration);
-        let mut stopped = Vec::new();
-        let mut lost = Vec::new();
+        let mut stopped_engines = Vec::new();
+        let mut lost_queries = Vec::new();
         for engine in self.engines.values_mut() {
-            if engine.zone == zone && !engine.removed {
-                stopped.push(engine.id);
-                lost.extend(engine.restart(now, back_at));
+            if engine.zone == zone && !engine.is_removed {
+                stopped_engines.push(engine.id);
+                lost_queries.extend(engine.restart(now, back_at));
             }
         }
-        self.reset_queries(lost);
+        self.reset_queries(lost_queries);
         // The announcement reaches the gateways with the usual delay, so that they learn of the restart only later.
-        self.announce_engines(&stopped);
+        self.announce_engines(&stopped_engines);
     }
 
     fn partition_zone(&mut self, zone: ZoneId, duration: Micros) {
@@ -137,9 +137,9 @@
 
     fn reload_settings(&mut self, gateways: u32) {
         self.deployment.settings.gateways = gateways;
-        for (number, node) in self.gateways.iter_mut().enumerate() {
+        for (gateway_index, node) in self.gateways.iter_mut().enumerate() {
             node.logic
-                .reconfigure(self.deployment.gateway_settings(number as u32));
+                .reconfigure(self.deployment.gateway_settings(gateway_index as u32));
         }
     }
 }
--- a/virtual/src/faulty_gateway.rs
+++ b/virtual/src/faulty_gateway.rs
@@ -33,9 +33,10 @@
     settings: Settings,
     defect: Defect,
     loads: BTreeSet<RequestId>,
-    draining: Option<EngineId>,
+    /// The engine that was last announced as draining or removed.
+    draining_engine: Option<EngineId>,
     /// The engine with the latest start time, and that time.
-    newest: Option<(Micros, EngineId)>,
+    newest_engine: Option<(Micros, EngineId)>,
 }
 
 impl FaultyGateway {
@@ -45,8 +46,8 @@
             settings,
             defect,
             loads: BTreeSet::new(),
-            draining: None,
-            newest: None,
+            draining_engine: None,
+            newest_engine: None,
         }
     }
 
@@ -68,11 +69,13 @@
     }
 
     fn observe_engine(&mut self, engine: &Engine) {
-        let latest_start = self.newest.map_or(Micros(0), |(started_at, _)| started_at);
+        let latest_start = self
+            .newest_engine
+            .map_or(Micros(0), |(started_at, _)| started_at);
         if engine.state != EngineState::Ready {
-            self.draining = Some(engine.id);
+            self.draining_engine = Some(engine.id);
         } else if engine.started_at > latest_start {
-            self.newest = Some((engine.started_at, engine.id));
+            self.newest_engine = Some((engine.started_at, engine.id));
         }
     }
 
@@ -111,10 +114,10 @@
                 Vec::new()
             }
             (Defect::SendsTwice, action @ Action::Send { .. }) => vec![action.clone(), action],
-            (Defect::SendsToDraining, action) => vec![Self::redirect(action, self.draining)],
+            (Defect::SendsToDraining, action) => vec![Self::redirect(action, self.draining_engine)],
             (Defect::OverloadsColdEngine, action) => {
-                let newest = self.newest.map(|(_, engine)| engine);
-                vec![Self::redirect(action, newest)]
+                let newest_engine = self.newest_engine.map(|(_, engine)| engine);
+                vec![Self::redirect(action, newest_engine)]
             }
             (_, action) => vec![action],
         }
--- a/virtual/src/gateways.rs
+++ b/virtual/src/gateways.rs
@@ -81,8 +81,8 @@
 
 impl Simulation {
     /// Creates a gateway that has just started and receives the complete current engine list.
-    pub(crate) fn new_gateway(&mut self, number: u32, incarnation: u32) -> GatewayNode {
-        let settings = self.deployment.gateway_settings(number);
+    pub(crate) fn new_gateway(&mut self, gateway_index: u32, incarnation: u32) -> GatewayNode {
+        let settings = self.deployment.gateway_settings(gateway_index);
         let zone = settings.zone.unwrap_or_default();
         let seed = self.rng.random();
         let mut node = GatewayNode {
@@ -96,10 +96,10 @@
             withdrawn_at: BTreeMap::new(),
             known_start_times: BTreeMap::new(),
         };
-        let listed = self.engines.values().filter(|engine| !engine.removed);
+        let listed_engines = self.engines.values().filter(|engine| !engine.is_removed);
         let list = Event::List {
             kind: ListKind::Complete,
-            engines: listed.map(list_entry).collect(),
+            engines: listed_engines.map(list_entry).collect(),
         };
         node.receive(self.now, list);
         node
@@ -120,8 +120,8 @@
         let requests = self.requests.iter().filter(|(_, request)| {
             request.gateway == gateway && request.incarnation == incarnation
         });
-        let lost: Vec<RequestId> = requests.map(|(id, _)| *id).collect();
-        for id in lost {
+        let lost_requests: Vec<RequestId> = requests.map(|(id, _)| *id).collect();
+        for id in lost_requests {
             if let Some(request) = self.requests.remove(&id) {
                 self.metrics.classes[request.class].lost += 1;
                 self.abandon_attempt(id, &request);
@@ -164,8 +164,8 @@
 
     /// Announces the current state of these engines to all gateways, each after a separate random delay.
     pub(crate) fn announce_engines(&mut self, ids: &[EngineId]) {
-        let changed = ids.iter().filter_map(|id| self.engines.get(id));
-        let changed: Vec<Engine> = changed.map(list_entry).collect();
+        let changed_engines = ids.iter().filter_map(|id| self.engines.get(id));
+        let changed_engines: Vec<Engine> = changed_engines.map(list_entry).collect();
         for gateway in 0..self.gateways.len() {
             let delay = Micros(self.rng.random_range(LIST_DELAY_MICROS));
             let node = &mut self.gateways[gateway];
@@ -173,7 +173,7 @@
             node.earliest_list_arrival = at;
             let list = Event::List {
                 kind: ListKind::Changes,
-                engines: changed.clone(),
+                engines: changed_engines.clone(),
             };
             self.deliver_at(at, gateway, list);
         }
@@ -182,7 +182,7 @@
 
 /// The entry of an engine in the engine list.
 fn list_entry(engine: &EngineModel) -> Engine {
-    let state = match (engine.removed, engine.draining) {
+    let state = match (engine.is_removed, engine.is_draining) {
         (true, _) => EngineState::Gone,
         (false, true) => EngineState::Draining,
         (false, false) => EngineState::Ready,
--- a/virtual/src/simulation.rs
+++ b/virtual/src/simulation.rs
@@ -94,8 +94,8 @@
         for _ in 0..self.deployment.engines {
             self.start_engine(Micros(0));
         }
-        for number in 0..self.deployment.gateways {
-            let gateway = self.new_gateway(number, 0);
+        for gateway_index in 0..self.deployment.gateways {
+            let gateway = self.new_gateway(gateway_index, 0);
             self.gateways.push(gateway);
         }
     }
