--- a/lab/src/decision_throughput.rs
+++ b/lab/src/decision_throughput.rs
@@ -168,8 +168,8 @@
         println!("threads  decisions/s: one behind a lock     shards with a ledger");
         for thread_count in &self.thread_counts {
             let shared_gateway = Arc::new(Mutex::new(gateway(self.engines)));
-            let locked = |_| LockedGateway(shared_gateway.clone());
-            let locked_rate = self.measure((0..*thread_count).map(locked).collect())?;
+            let locked_gateway = |_| LockedGateway(shared_gateway.clone());
+            let locked_rate = self.measure((0..*thread_count).map(locked_gateway).collect())?;
             let terms = LeaseTerms {
                 shard_count: *thread_count,
                 lease_duration: Micros::from_millis(250),
@@ -179,12 +179,12 @@
                 max_open_requests: 1_000_000,
             };
             let lease_table = Arc::new(Mutex::new(LeaseTable::new(terms)));
-            let sharded = |shard| ShardedGateway {
+            let sharded_gateway = |shard| ShardedGateway {
                 gateway: gateway(self.engines),
                 shard: ShardId(shard),
                 lease_table: lease_table.clone(),
             };
-            let sharded_rate = self.measure((0..*thread_count).map(sharded).collect())?;
+            let sharded_rate = self.measure((0..*thread_count).map(sharded_gateway).collect())?;
             println!("{thread_count:7} {locked_rate:33.0} {sharded_rate:24.0}");
         }
         Ok(())
--- a/lab/src/fleet_scenarios.rs
+++ b/lab/src/fleet_scenarios.rs
@@ -43,7 +43,7 @@
         let all_scenarios = SCENARIOS.map(str::to_string);
         let scenarios = match self.scenarios.as_slice() {
             [] => all_scenarios.as_slice(),
-            selected => selected,
+            selected_scenarios => selected_scenarios,
         };
         for size in &self.sizes {
             for name in scenarios {
--- a/lab/src/worker_scaling.rs
+++ b/lab/src/worker_scaling.rs
@@ -362,8 +362,11 @@
             mean_service_times: [20, 60, 60].map(Duration::from_millis),
         };
         let run = self.run_load(&testbed, workers, rate, 8, &traffic)?;
-        let served = &run.result.served;
-        let thread_times = served.iter().zip(CLASSES).zip(traffic.mean_service_times);
+        let served_counts = &run.result.served;
+        let thread_times = served_counts
+            .iter()
+            .zip(CLASSES)
+            .zip(traffic.mean_service_times);
         let thread_times = thread_times.map(|((counts, (_, _, threads)), service_time)| {
             let per_request = f64::from(threads) * service_time.as_secs_f64();
             counts
--- a/simhost/tests/round_trip.rs
+++ b/simhost/tests/round_trip.rs
@@ -134,7 +134,7 @@
 #[test]
 fn a_grant_is_whole_megabytes_and_bounded_by_the_share_of_one_query() {
     let cases = [(0.0, 0.0), (96.2, 121.0), (6000.0, 4096.0)];
-    for (need_mb, granted) in cases {
+    for (need_mb, expected_grant) in cases {
         let mut request = work_item(3, REQUEST_A, "look-up");
         request["need_mb"] = json!(need_mb);
         let batch_replies = replies(&[json!([
@@ -144,7 +144,7 @@
             request
         ])]);
         let resources = order(&batch_replies[0], "limits_for");
-        assert_eq!(resources["mem_mb"], json!(granted), "{need_mb}");
+        assert_eq!(resources["mem_mb"], json!(expected_grant), "{need_mb}");
     }
 }
 
