--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -270,18 +270,18 @@
         "an earlier process of this gateway may have sent requests"
     );
     harness.advance(2000);
-    let mut sent = 0;
+    let mut sent_count = 0;
     for id in 10..500 {
         let actions = harness.submit(id, LIGHT);
-        sent += sends(&actions).len();
+        sent_count += sends(&actions).len();
         if let Some(target) = sent_to(&actions) {
             harness.end_attempt(id, 0, target, Outcome::Ok);
         }
     }
     // Twice a third of 8 cores during 2 s is 10.5 core seconds for both gateways; a query takes 50 ms.
     assert!(
-        sent > 0 && sent as f64 * 0.05 <= 10.56 / 2.0,
-        "{sent} queries sent"
+        sent_count > 0 && sent_count as f64 * 0.05 <= 10.56 / 2.0,
+        "{sent_count} queries sent"
     );
     harness.now = harness.now + ms(13_000);
     assert_eq!(
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -26,10 +26,13 @@
 #[test]
 fn a_gateway_is_limited_by_its_share_of_the_fleet_if_its_share_of_an_engine_is_under_one_query() {
     let mut harness = Harness::with_engines(many_gateways(), 8);
-    let sent: usize = (1..=8)
+    let sent_count: usize = (1..=8)
         .map(|id| targets(&harness.submit(id, LIGHT)).len())
         .sum();
-    assert!((1..8).contains(&sent), "{sent} queries sent at once");
+    assert!(
+        (1..8).contains(&sent_count),
+        "{sent_count} queries sent at once"
+    );
 }
 
 /// Guards against an engine order that is the same in all gateways: all of them then sent a hot table group to
@@ -81,26 +84,26 @@
         busy_cores_share: Some(busy_share),
         ..LoadReport::default()
     };
-    let mut sent = Vec::new();
+    let mut query_targets = Vec::new();
     for (engine, busy_share) in probed.iter().zip([1.0, 0.1, 1.0]) {
         let reply = Event::Probed(*engine, Outcome::Ok, Some(report(busy_share)));
-        sent.extend(targets(&harness.handle(reply)));
+        query_targets.extend(targets(&harness.handle(reply)));
     }
-    assert_eq!(sent, [probed[1]]);
+    assert_eq!(query_targets, [probed[1]]);
 }
 
 /// Submits requests and answers each one after `elapsed_ms`. Clients of requests that are not sent at once
 /// disconnect.
 fn answer_requests(harness: &mut Harness, ids: std::ops::RangeInclusive<u64>, elapsed_ms: u64) {
     for id in ids {
-        let Some(sent) = targets(&harness.submit(id, LIGHT)).first().copied() else {
+        let Some(engine) = targets(&harness.submit(id, LIGHT)).first().copied() else {
             harness.handle(Event::ClientLeft(RequestId(id)));
             continue;
         };
         harness.handle(Event::Ended(AttemptEnded {
             request: RequestId(id),
             attempt: AttemptNo(0),
-            engine: sent,
+            engine,
             outcome: Outcome::Ok,
             elapsed: ms(elapsed_ms),
             request_finished: true,
@@ -190,7 +193,7 @@
 /// Share of the fleet's memory that the queries in flight of all gateways use after quick answers, if each
 /// gateway gets far more requests than it may send. Each query counts as one 250th of that memory.
 fn memory_share_in_flight(settings: &Settings) -> f64 {
-    let sent = |gateway_index: u32| {
+    let count_sent = |gateway_index: u32| {
         let settings = Settings {
             gateway_index: Some(gateway_index),
             ..settings.clone()
@@ -209,7 +212,7 @@
             .map(|id| targets(&harness.handle(Event::Request(large_query(id)))).len())
             .sum::<usize>()
     };
-    (0..settings.gateways).map(sent).sum::<usize>() as f64 / 250.0
+    (0..settings.gateways).map(count_sent).sum::<usize>() as f64 / 250.0
 }
 
 /// Guards against two faults: the limit grew without bound after quick answers, so that a burst filled the
@@ -236,7 +239,7 @@
 /// ten engines cold, the cold ones got a seventh of the work that they could do.
 #[test]
 fn cold_engines_are_limited_by_admission_tokens_apart_from_warm_ones() {
-    let sent = |cold_engines: u64| {
+    let send_to_fleet = |cold_engines: u64| {
         let mut harness = Harness::with_engines(many_gateways(), 8);
         answer_requests(&mut harness, 100..=140, 60);
         // In the first overload window, sends of an earlier process of this gateway are unknown.
@@ -260,7 +263,7 @@
         (sent_at_once, later_targets)
     };
     let ((sent_to_warm, later_sends_to_warm), (sent_with_6_cold, later_sends_by_tokens)) =
-        (sent(0), sent(6));
+        (send_to_fleet(0), send_to_fleet(6));
     assert!(
         sent_with_6_cold > 0 && sent_with_6_cold * 2 < sent_to_warm,
         "{sent_with_6_cold} with 6 of 8 engines cold, {sent_to_warm} with none"
--- a/tests/randomized_events.rs
+++ b/tests/randomized_events.rs
@@ -30,7 +30,7 @@
     query: Query,
     deadline: Micros,
     attempts: Vec<AttemptRecord>,
-    answered: bool,
+    is_answered: bool,
 }
 
 /// Records of engines, requests and attempts, against which each action is checked.
@@ -70,7 +70,7 @@
     /// Whether the request has its answer and no attempt in flight.
     fn is_finished(&self, id: u64) -> bool {
         let record = &self.requests[&id];
-        record.answered
+        record.is_answered
             && record
                 .attempts
                 .iter()
@@ -112,7 +112,7 @@
         for (id, record) in &self.requests {
             let slack = self.settings.answer_slack;
             assert!(
-                record.answered || self.now <= record.deadline + slack,
+                record.is_answered || self.now <= record.deadline + slack,
                 "invariant 1: request {id} has no answer"
             );
         }
@@ -124,7 +124,7 @@
             .get_mut(&id)
             .expect("only known requests are answered");
         assert!(
-            !std::mem::replace(&mut record.answered, true),
+            !std::mem::replace(&mut record.is_answered, true),
             "invariant 1: two answers"
         );
     }
@@ -133,7 +133,10 @@
         let (settings, now) = (&self.settings, self.now);
         let record = &self.requests[&id];
         let class = &settings.classes[record.query.class.0];
-        assert!(!record.answered, "invariant 1: sent after the final answer");
+        assert!(
+            !record.is_answered,
+            "invariant 1: sent after the final answer"
+        );
         let engine = self
             .engines
             .get(&target)
@@ -157,11 +160,11 @@
             record.attempts.len() < settings.max_attempts as usize,
             "too many attempts of one request"
         );
-        let earlier = record
+        let earlier_attempt = record
             .attempts
             .iter()
             .find(|attempt| attempt.outcome.is_none_or(Outcome::may_have_run));
-        if let Some(earlier) = earlier {
+        if let Some(earlier) = earlier_attempt {
             match class.effect {
                 Effect::Repeatable => {}
                 Effect::Once => panic!("invariant 2: sent again although it may have run"),
@@ -255,13 +258,19 @@
     }
 
     /// Ends the attempt and returns the event for the gateway.
-    fn end_attempt(&mut self, id: u64, number: usize, outcome: Outcome, elapsed: Micros) -> Event {
+    fn end_attempt(
+        &mut self,
+        id: u64,
+        attempt_no: usize,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) -> Event {
         let record = self.requests.get_mut(&id).expect("known");
-        let attempt = &mut record.attempts[number];
+        let attempt = &mut record.attempts[attempt_no];
         attempt.outcome = Some(outcome);
         let engine = attempt.engine.id;
-        let request_finished = outcome == Outcome::Ok || record.answered;
-        record.answered |= outcome == Outcome::Ok;
+        let request_finished = outcome == Outcome::Ok || record.is_answered;
+        record.is_answered |= outcome == Outcome::Ok;
         let may_still_run = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
@@ -271,7 +280,7 @@
         }
         Event::Ended(AttemptEnded {
             request: RequestId(id),
-            attempt: AttemptNo(number as u32),
+            attempt: AttemptNo(attempt_no as u32),
             engine,
             outcome,
             elapsed,
@@ -383,7 +392,7 @@
                 query: query.clone(),
                 deadline,
                 attempts: Vec::new(),
-                answered: false,
+                is_answered: false,
             };
             checker.requests.insert(next_id, record);
             events.push(Event::Request(query));
@@ -392,11 +401,11 @@
         let in_flight: Vec<(u64, usize)> = checker
             .requests
             .iter()
-            .flat_map(|(id, record)| (0..record.attempts.len()).map(|number| (*id, number)))
-            .filter(|(id, number)| checker.requests[id].attempts[*number].outcome.is_none())
+            .flat_map(|(id, record)| (0..record.attempts.len()).map(|attempt_no| (*id, attempt_no)))
+            .filter(|(id, attempt_no)| checker.requests[id].attempts[*attempt_no].outcome.is_none())
             .collect();
-        for (id, number) in in_flight {
-            let attempt = &checker.requests[&id].attempts[number];
+        for (id, attempt_no) in in_flight {
+            let attempt = &checker.requests[&id].attempts[attempt_no];
             let elapsed = checker.now - attempt.sent_at;
             let outcome = match random.below(120) {
                 _ if checker.now >= attempt.times_out_at => Outcome::TimedOut,
@@ -413,12 +422,16 @@
                         Note::WaitsForMemory,
                     ];
                     let note = note[random.below(3) as usize];
-                    events.push(Event::Note(RequestId(id), AttemptNo(number as u32), note));
+                    events.push(Event::Note(
+                        RequestId(id),
+                        AttemptNo(attempt_no as u32),
+                        note,
+                    ));
                     continue;
                 }
                 _ => continue,
             };
-            let event = checker.end_attempt(id, number, outcome, elapsed);
+            let event = checker.end_attempt(id, attempt_no, outcome, elapsed);
             if random.below(10) == 0 {
                 events.push(event.clone()); // The gateway must ignore the repeated event.
             }
@@ -428,7 +441,7 @@
             // Requests of this call are excluded: they may be sent before the event that their client left.
             let id = random.below(first_new_id);
             if let Some(record) = checker.requests.get_mut(&id) {
-                record.answered = true;
+                record.is_answered = true;
             }
             events.push(Event::ClientLeft(RequestId(id)));
             events.push(attempt_ended(next_id + 99, 0, 1, Outcome::Ok, true));
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -35,8 +35,12 @@
         (0, 2, 2),
         (2, 0, 2),
     ] {
-        let sent = count_attempts(with_max_attempts(before), with_max_attempts(after), LIGHT);
-        assert_eq!(sent, expected, "limit of {before} attempts, then {after}");
+        let attempt_count =
+            count_attempts(with_max_attempts(before), with_max_attempts(after), LIGHT);
+        assert_eq!(
+            attempt_count, expected,
+            "limit of {before} attempts, then {after}"
+        );
     }
 }
 
@@ -78,13 +82,13 @@
     let mut new_class_query = query(4, 3);
     new_class_query.tenant = Some(TenantId(0));
     harness.handle(Event::Request(new_class_query));
-    let mut sent = sends(&harness.set_engines((1..=4).map(engine).collect()));
-    sent.sort();
+    let mut sent_requests = sends(&harness.set_engines((1..=4).map(engine).collect()));
+    sent_requests.sort();
     assert_eq!(
-        sent.iter().map(|(id, _)| *id).collect::<Vec<_>>(),
+        sent_requests.iter().map(|(id, _)| *id).collect::<Vec<_>>(),
         [1, 2, 3, 4]
     );
-    for (id, engine) in sent {
+    for (id, engine) in sent_requests {
         harness.end_attempt(id, 0, engine, Outcome::Ok);
     }
     assert_eq!(harness.advance(20_000), vec![], "no request remains");
@@ -141,7 +145,7 @@
         started_at,
         ..engine(1)
     };
-    let sent = (0..100).filter(|gateway_index| {
+    let sending_gateways = (0..100).filter(|gateway_index| {
         let mut harness = Harness::new(settings_of(1000, *gateway_index));
         harness.now = started_at;
         harness.set_engines(vec![cold.clone()]);
@@ -157,9 +161,9 @@
         harness.handle(Event::Timer(TimerId(0)));
         sent_to(&harness.submit(1, LIGHT)).is_some()
     });
-    let sent = sent.count();
+    let sender_count = sending_gateways.count();
     assert!(
-        sent < 30,
-        "{sent} of 100 gateways sent a request at the same time"
+        sender_count < 30,
+        "{sender_count} of 100 gateways sent a request at the same time"
     );
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -231,11 +231,11 @@
         },
         1,
     );
-    let sent: usize = (1..=3)
+    let sent_count: usize = (1..=3)
         .map(|id| sends(&without_pressure.submit(id, LIGHT)).len())
         .sum();
     assert_eq!(
-        sent, 3,
+        sent_count, 3,
         "without pressure more than two threads may be in flight"
     );
 }
@@ -357,14 +357,14 @@
 #[test]
 fn an_engine_far_above_the_mean_utilization_is_skipped() {
     let mut harness = Harness::with_engines(settings(), 4);
-    let sent: Vec<u64> = (1..=8)
+    let targets: Vec<u64> = (1..=8)
         .filter_map(|id| sent_to(&harness.submit(id, LIGHT)))
         .collect();
     let mut counts = BTreeMap::new();
-    for engine in &sent {
+    for engine in &targets {
         *counts.entry(*engine).or_insert(0) += 1;
     }
-    assert_eq!(sent.len(), 8);
+    assert_eq!(targets.len(), 8);
     assert_eq!(
         counts.len(),
         4,
