--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Keeps three requests of each class and tenant queued; returns how many of each were sent in `rounds`
-/// releases.
+/// Keeps three requests of each class and tenant queued, ends an attempt in each of `rounds` rounds, and returns
+/// how many requests of each class and tenant were sent in response.
 fn count_releases(
     harness: &mut Harness,
     classes: usize,
@@ -58,6 +58,7 @@
     let mut last_id = 1_000;
     let mut running = Vec::new();
     let mut counts = BTreeMap::new();
+    // Class and tenant by request id.
     let mut owners = BTreeMap::new();
     for _ in 0..rounds {
         for class in 0..classes {
@@ -151,8 +152,8 @@
 
 #[test]
 fn a_light_release_costs_less_credit_so_that_heavy_queries_do_not_starve_light_ones() {
-    // Guards against a price of one credit per release, whatever its work: the light class then got one
-    // release in 21.
+    // Guards against a cost of one credit per release, whatever its work: the light class then got one release
+    // in 21.
     let mut settings = classes_by_worth(&[1.0, 20.0]);
     settings.classes[1].threads = 2.0;
     let mut harness = harness_under_pressure(settings);
@@ -177,12 +178,12 @@
     for _ in 0..30 {
         report_pressure(&mut harness);
         let id = in_flight.remove(0);
-        let took = if (100..200).contains(&id) {
+        let elapsed = if (100..200).contains(&id) {
             ms(50)
         } else {
             ms(1000)
         };
-        for (id, _) in sends(&harness.handle(answer(id, took))) {
+        for (id, _) in sends(&harness.handle(answer(id, elapsed))) {
             light_releases += u64::from((100..200).contains(&id));
             in_flight.push(id);
         }
@@ -230,11 +231,11 @@
         },
         1,
     );
-    let sent: usize = (1..=3)
+    let sent_count: usize = (1..=3)
         .map(|id| sends(&without_pressure.submit(id, LIGHT)).len())
         .sum();
     assert_eq!(
-        sent, 3,
+        sent_count, 3,
         "without pressure more than two threads may be in flight"
     );
 }
@@ -356,14 +357,14 @@
 #[test]
 fn an_engine_far_above_the_mean_utilization_is_skipped() {
     let mut harness = Harness::with_engines(settings(), 4);
-    let sent: Vec<u64> = (1..=8)
+    let targets: Vec<u64> = (1..=8)
         .filter_map(|id| sent_to(&harness.submit(id, LIGHT)))
         .collect();
     let mut counts = BTreeMap::new();
-    for engine in &sent {
+    for engine in &targets {
         *counts.entry(*engine).or_insert(0) += 1;
     }
-    assert_eq!(sent.len(), 8);
+    assert_eq!(targets.len(), 8);
     assert_eq!(
         counts.len(),
         4,
--- a/virtual/src/deployment.rs
+++ b/virtual/src/deployment.rs
@@ -18,8 +18,11 @@
 /// One deployment. Its settings are common to all gateways: they do not contain a gateway's index and zone.
 #[derive(Clone, Debug)]
 pub struct Deployment {
+    /// Number of gateways.
     pub gateways: u32,
+    /// Number of engines at the start.
     pub engines: u64,
+    /// Number of zones, to which gateways and engines are assigned in turn.
     pub zones: usize,
     /// Indexed by class.
     pub profiles: Vec<QueryProfile>,
@@ -32,13 +35,13 @@
     Micros::from_millis(millis)
 }
 
-fn class(name: &str, worth: f64, threads: f64, on_time: u64, give_up: u64) -> Class {
+fn class(name: &str, worth: f64, threads: f64, on_time_ms: u64, give_up_ms: u64) -> Class {
     Class {
         name: name.to_string(),
         worth,
         threads,
-        on_time: ms(on_time),
-        give_up: ms(give_up),
+        on_time: ms(on_time_ms),
+        give_up: ms(give_up_ms),
         dedup_window: ms(5000),
         ..Class::default()
     }
@@ -181,10 +184,10 @@
     }
 
     /// The settings of one gateway, with its index and zone.
-    pub fn gateway_settings(&self, number: u32) -> Settings {
+    pub fn gateway_settings(&self, gateway_index: u32) -> Settings {
         Settings {
-            gateway_index: Some(number),
-            zone: Some(self.zone(u64::from(number))),
+            gateway_index: Some(gateway_index),
+            zone: Some(self.zone(u64::from(gateway_index))),
             ..self.settings.clone()
         }
     }
--- a/virtual/src/faulty_gateway.rs
+++ b/virtual/src/faulty_gateway.rs
@@ -33,9 +33,10 @@
     settings: Settings,
     defect: Defect,
     loads: BTreeSet<RequestId>,
-    draining: Option<EngineId>,
+    /// The engine that was last announced as draining or removed.
+    draining_engine: Option<EngineId>,
     /// The engine with the latest start time, and that time.
-    newest: Option<(Micros, EngineId)>,
+    newest_engine: Option<(Micros, EngineId)>,
 }
 
 impl FaultyGateway {
@@ -45,8 +46,8 @@
             settings,
             defect,
             loads: BTreeSet::new(),
-            draining: None,
-            newest: None,
+            draining_engine: None,
+            newest_engine: None,
         }
     }
 
@@ -68,11 +69,13 @@
     }
 
     fn observe_engine(&mut self, engine: &Engine) {
-        let latest_start = self.newest.map_or(Micros(0), |(started_at, _)| started_at);
+        let latest_start = self
+            .newest_engine
+            .map_or(Micros(0), |(started_at, _)| started_at);
         if engine.state != EngineState::Ready {
-            self.draining = Some(engine.id);
+            self.draining_engine = Some(engine.id);
         } else if engine.started_at > latest_start {
-            self.newest = Some((engine.started_at, engine.id));
+            self.newest_engine = Some((engine.started_at, engine.id));
         }
     }
 
@@ -85,21 +88,21 @@
         is_reset.then(|| Action::send(ended.request, ended.engine, RETRY_TIMEOUT))
     }
 
-    /// Sends the attempt of an action to another engine, if there is one.
-    fn redirect(action: Action, other: Option<EngineId>) -> Action {
+    /// Replaces the engine of a send by `target`, if there is one.
+    fn redirect(action: Action, target: Option<EngineId>) -> Action {
         match action {
             Action::Send {
                 request,
                 engine,
                 timeout,
                 ..
-            } => Action::send(request, other.unwrap_or(engine), timeout),
+            } => Action::send(request, target.unwrap_or(engine), timeout),
             action => action,
         }
     }
 
     /// Applies the defect to an action of the correct gateway.
-    fn distort(&self, action: Action, retries: &[Action]) -> Vec<Action> {
+    fn apply_defect(&self, action: Action, retries: &[Action]) -> Vec<Action> {
         match (self.defect, action) {
             (Defect::AnswersTwice, Action::Refuse { request, .. }) => {
                 vec![Action::Fail { request }, Action::refuse(request, Micros(0))]
@@ -111,10 +114,10 @@
                 Vec::new()
             }
             (Defect::SendsTwice, action @ Action::Send { .. }) => vec![action.clone(), action],
-            (Defect::SendsToDraining, action) => vec![Self::redirect(action, self.draining)],
+            (Defect::SendsToDraining, action) => vec![Self::redirect(action, self.draining_engine)],
             (Defect::OverloadsColdEngine, action) => {
-                let newest = self.newest.map(|(_, engine)| engine);
-                vec![Self::redirect(action, newest)]
+                let newest_engine = self.newest_engine.map(|(_, engine)| engine);
+                vec![Self::redirect(action, newest_engine)]
             }
             (_, action) => vec![action],
         }
@@ -130,7 +133,7 @@
         }
         let mut actions = Vec::new();
         for action in self.gateway.handle(now, events) {
-            actions.extend(self.distort(action, &retries));
+            actions.extend(self.apply_defect(action, &retries));
         }
         if self.defect == Defect::RetriesLoads {
             actions.extend(retries);
