--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -244,14 +244,14 @@
             let at_engine = request
                 .attempts_in_flight()
                 .filter(|(_, attempt)| attempt.engine == engine);
-            at_engine.map(|(number, _)| (*id, number))
+            at_engine.map(|(attempt_no, _)| (*id, attempt_no))
         });
         let attempts: Vec<(RequestId, AttemptNo)> = attempts.collect();
-        for (id, number) in attempts {
-            if self.is_aborting(id, number) {
-                self.abort_confirmed(id, number);
-            } else if let Some(attempt) = self.remove_attempt(id, number) {
-                self.report_outcome(id, number, engine, Outcome::Reset, attempt.sent_at, now);
+        for (id, attempt_no) in attempts {
+            if self.is_aborting(id, attempt_no) {
+                self.abort_confirmed(id, attempt_no);
+            } else if let Some(attempt) = self.remove_attempt(id, attempt_no) {
+                self.report_outcome(id, attempt_no, engine, Outcome::Reset, attempt.sent_at, now);
             }
         }
         // The next attempt or probe starts a new actor.
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -228,15 +228,15 @@
             match first.remove() {
                 BrokerTimer::Gateway(timer) => self.events.push(Event::Timer(timer)),
                 // A finished request's id may have been reused by a request with another deadline.
-                BrokerTimer::AttemptTimeout(id, deadline, number)
+                BrokerTimer::AttemptTimeout(id, deadline, attempt_no)
                     if self.is_open_with_deadline(id, deadline) =>
                 {
-                    self.attempt_timed_out(id, number, now);
+                    self.attempt_timed_out(id, attempt_no, now);
                 }
-                BrokerTimer::AbortTimeout(id, deadline, number)
+                BrokerTimer::AbortTimeout(id, deadline, attempt_no)
                     if self.is_open_with_deadline(id, deadline) =>
                 {
-                    self.abort_timed_out(id, number, now);
+                    self.abort_timed_out(id, attempt_no, now);
                 }
                 BrokerTimer::AnswerTimeout(id, deadline)
                     if self.is_open_with_deadline(id, deadline) =>
@@ -318,7 +318,7 @@
         self.gateway.update_siblings(lease.siblings);
         let actions = self.gateway.handle(at, events);
         let usage = self.gateway.publish();
-        let is_valid = shard.settle(lease.id, self.clock.micros(Instant::now()), usage);
+        let is_valid = shard.commit(lease.id, self.clock.micros(Instant::now()), usage);
         if !is_valid {
             log::warn!("the lease expired before the decision was complete; its sends are dropped");
         }
@@ -334,9 +334,9 @@
         now: Instant,
     ) {
         if let Some(request) = self.open_requests.get_mut(&id) {
-            let number = AttemptNo(request.attempts.len() as u32);
+            let attempt_no = AttemptNo(request.attempts.len() as u32);
             request.attempts.push(None);
-            self.report_outcome(id, number, engine_id, outcome, now, now);
+            self.report_outcome(id, attempt_no, engine_id, outcome, now, now);
         }
     }
 
@@ -379,17 +379,20 @@
         match message {
             BrokerMessage::Submit(request, reply) => self.submit(request, reply),
             BrokerMessage::ClientLeft(id) => self.client_left(id, Failure::Cancelled),
-            BrokerMessage::EngineReport(engine, EngineReport::AttemptEnded(id, number, result)) => {
-                self.attempt_ended(engine, id, number, result);
+            BrokerMessage::EngineReport(
+                engine,
+                EngineReport::AttemptEnded(id, attempt_no, result),
+            ) => {
+                self.attempt_ended(engine, id, attempt_no, result);
             }
-            BrokerMessage::EngineReport(engine, EngineReport::AbortConfirmed(id, number)) => {
-                if self.is_in_flight(engine, id, number) {
-                    self.abort_confirmed(id, number);
+            BrokerMessage::EngineReport(engine, EngineReport::AbortConfirmed(id, attempt_no)) => {
+                if self.is_in_flight(engine, id, attempt_no) {
+                    self.abort_confirmed(id, attempt_no);
                 }
             }
-            BrokerMessage::EngineReport(engine, EngineReport::Note(id, number, note)) => {
-                if self.is_in_flight(engine, id, number) && !self.is_aborting(id, number) {
-                    self.events.push(Event::Note(id, number, note));
+            BrokerMessage::EngineReport(engine, EngineReport::Note(id, attempt_no, note)) => {
+                if self.is_in_flight(engine, id, attempt_no) && !self.is_aborting(id, attempt_no) {
+                    self.events.push(Event::Note(id, attempt_no, note));
                 }
             }
             BrokerMessage::EngineReport(engine, EngineReport::Probed(probe)) => {
@@ -511,7 +514,7 @@
             remaining: Micros(0),
             work: request.work,
             memory_mb: request.memory_mb,
-            table_group: request.group,
+            table_group: request.table_group,
             is_retry: request.is_retry,
         }));
         let slack = to_duration(self.settings.answer_slack);
@@ -580,11 +583,11 @@
 
     /// Whether the attempt is in flight at this engine. An attempt with the same number of an earlier request with the
     /// same id may have been sent to another engine.
-    fn is_in_flight(&self, engine: EngineId, id: RequestId, number: AttemptNo) -> bool {
+    fn is_in_flight(&self, engine: EngineId, id: RequestId, attempt_no: AttemptNo) -> bool {
         let attempt = self
             .open_requests
             .get(&id)
-            .and_then(|request| request.attempt_in_flight(number));
+            .and_then(|request| request.attempt_in_flight(attempt_no));
         attempt.is_some_and(|attempt| attempt.engine == engine)
     }
 
@@ -595,10 +598,10 @@
         };
         request.memory_grant_mb = memory_grant(memory_mb);
         let changed = std::mem::replace(&mut request.priority, priority) != priority;
-        for (number, attempt) in request.attempts_in_flight().filter(|_| changed) {
+        for (attempt_no, attempt) in request.attempts_in_flight().filter(|_| changed) {
             send_command(
                 &attempt.mailbox,
-                EngineCommand::Reprioritize(id, number, priority),
+                EngineCommand::Reprioritize(id, attempt_no, priority),
             );
         }
     }
@@ -627,9 +630,9 @@
             .engines
             .get_mut(&engine_id)
             .filter(|engine| engine.is_ready);
-        let number = AttemptNo(request.attempts.len() as u32);
+        let attempt_no = AttemptNo(request.attempts.len() as u32);
         let max_attempts = self.settings.max_attempts;
-        let attempts_exhausted = max_attempts > 0 && number.0 >= max_attempts;
+        let attempts_exhausted = max_attempts > 0 && attempt_no.0 >= max_attempts;
         let has_attempt_in_flight =
             !self.settings.second_copies && request.attempts_in_flight().next().is_some();
         let is_obsolete = request.reply.is_none()
@@ -651,7 +654,7 @@
         };
         let attempt = Attempt {
             request: id,
-            number,
+            attempt_no,
             class: self.class_names[request.class.0].clone(),
             deadline: now + timeout,
             priority: request.priority,
@@ -686,7 +689,7 @@
         let deadline = request.deadline;
         self.set_timer(
             now + timeout,
-            BrokerTimer::AttemptTimeout(id, deadline, number),
+            BrokerTimer::AttemptTimeout(id, deadline, attempt_no),
         );
     }
 
@@ -694,7 +697,7 @@
     fn report_outcome(
         &mut self,
         id: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
         engine: EngineId,
         outcome: Outcome,
         sent_at: Instant,
@@ -704,7 +707,7 @@
         let request = self.open_requests.get(&id);
         self.events.push(Event::Ended(AttemptEnded {
             request: id,
-            attempt: number,
+            attempt: attempt_no,
             engine,
             outcome,
             elapsed: to_micros(ended_at - sent_at),
@@ -716,24 +719,30 @@
     }
 
     /// Removes an attempt that is in flight and cancels its token, so that nothing more of it is written.
-    fn remove_attempt(&mut self, id: RequestId, number: AttemptNo) -> Option<InFlightAttempt> {
+    fn remove_attempt(&mut self, id: RequestId, attempt_no: AttemptNo) -> Option<InFlightAttempt> {
         let request = self.open_requests.get_mut(&id)?;
-        let attempt = request.attempts.get_mut(number.0 as usize)?.take()?;
+        let attempt = request.attempts.get_mut(attempt_no.0 as usize)?.take()?;
         attempt.cancel_token.cancel();
         Some(attempt)
     }
 
-    fn cancel_attempt(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        self.abort_attempt(id, number, Outcome::Cancelled, now);
+    fn cancel_attempt(&mut self, id: RequestId, attempt_no: AttemptNo, now: Instant) {
+        self.abort_attempt(id, attempt_no, Outcome::Cancelled, now);
     }
 
-    fn attempt_timed_out(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        self.abort_attempt(id, number, Outcome::TimedOut, now);
+    fn attempt_timed_out(&mut self, id: RequestId, attempt_no: AttemptNo, now: Instant) {
+        self.abort_attempt(id, attempt_no, Outcome::TimedOut, now);
     }
 
     /// Aborts an attempt that is in flight. If another attempt may follow, the outcome is reported only after the
     /// engine's actor has confirmed the abort, because two attempts of one request must not be in flight together.
-    fn abort_attempt(&mut self, id: RequestId, number: AttemptNo, outcome: Outcome, now: Instant) {
+    fn abort_attempt(
+        &mut self,
+        id: RequestId,
+        attempt_no: AttemptNo,
+        outcome: Outcome,
+        now: Instant,
+    ) {
         let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
@@ -741,7 +750,7 @@
         let is_final_attempt =
             request.reply.is_none() || now >= request.deadline || effect == Effect::Once;
         let deadline = request.deadline;
-        let attempt = request.attempts.get_mut(number.0 as usize);
+        let attempt = request.attempts.get_mut(attempt_no.0 as usize);
         let Some(attempt) = attempt.and_then(Option::as_mut) else {
             return;
         };
@@ -753,30 +762,33 @@
             outcome,
             aborted_at: now,
         });
-        send_command(&attempt.mailbox, EngineCommand::Abort(id, number));
+        send_command(&attempt.mailbox, EngineCommand::Abort(id, attempt_no));
         if is_final_attempt {
-            self.abort_confirmed(id, number);
+            self.abort_confirmed(id, attempt_no);
         } else {
             // No attempt follows after the deadline.
             let expires_at = deadline.min(now + ABORT_TIMEOUT);
-            self.set_timer(expires_at, BrokerTimer::AbortTimeout(id, deadline, number));
+            self.set_timer(
+                expires_at,
+                BrokerTimer::AbortTimeout(id, deadline, attempt_no),
+            );
         }
     }
 
-    fn is_aborting(&self, id: RequestId, number: AttemptNo) -> bool {
+    fn is_aborting(&self, id: RequestId, attempt_no: AttemptNo) -> bool {
         let attempt = self
             .open_requests
             .get(&id)
-            .and_then(|request| request.attempt_in_flight(number));
+            .and_then(|request| request.attempt_in_flight(attempt_no));
         attempt.is_some_and(|attempt| attempt.abort.is_some())
     }
 
     /// Removes an aborted attempt and reports its outcome.
-    fn abort_confirmed(&mut self, id: RequestId, number: AttemptNo) {
-        if !self.is_aborting(id, number) {
+    fn abort_confirmed(&mut self, id: RequestId, attempt_no: AttemptNo) {
+        if !self.is_aborting(id, attempt_no) {
             return;
         }
-        if let Some(attempt) = self.remove_attempt(id, number)
+        if let Some(attempt) = self.remove_attempt(id, attempt_no)
             && let Some(PendingAbort {
                 outcome,
                 aborted_at,
@@ -784,7 +796,7 @@
         {
             self.report_outcome(
                 id,
-                number,
+                attempt_no,
                 attempt.engine,
                 outcome,
                 attempt.sent_at,
@@ -794,8 +806,8 @@
     }
 
     /// Ends an aborted attempt whose abort is not confirmed in time, so that its request can go on.
-    fn abort_timed_out(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        if !self.is_aborting(id, number) {
+    fn abort_timed_out(&mut self, id: RequestId, attempt_no: AttemptNo, now: Instant) {
+        if !self.is_aborting(id, attempt_no) {
             return;
         }
         let deadline_passed = self
@@ -805,30 +817,30 @@
         if !deadline_passed {
             log::warn!("request {:016x}: an abort is not confirmed", id.0);
         }
-        self.abort_confirmed(id, number);
+        self.abort_confirmed(id, attempt_no);
     }
 
     fn attempt_ended(
         &mut self,
         engine: EngineId,
         id: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
         result: AttemptResult,
     ) {
         let now = Instant::now();
         // Results that cross a cancellation or timeout are ignored: the attempt has its outcome.
-        if !self.is_in_flight(engine, id, number) {
+        if !self.is_in_flight(engine, id, attempt_no) {
             return;
         }
-        if self.is_aborting(id, number) {
-            return self.abort_confirmed(id, number);
+        if self.is_aborting(id, attempt_no) {
+            return self.abort_confirmed(id, attempt_no);
         }
-        let Some(attempt) = self.remove_attempt(id, number) else {
+        let Some(attempt) = self.remove_attempt(id, attempt_no) else {
             return;
         };
         let outcome = match result {
             AttemptResult::Ok { page, work, load } => {
-                return self.attempt_succeeded(id, number, attempt, page, work, load);
+                return self.attempt_succeeded(id, attempt_no, attempt, page, work, load);
             }
             AttemptResult::Busy => Outcome::Rejected,
             AttemptResult::Error => Outcome::Error,
@@ -836,14 +848,14 @@
             AttemptResult::ConnectFailed => Outcome::ConnectFailed,
             AttemptResult::Reset => Outcome::Reset,
         };
-        self.report_outcome(id, number, engine, outcome, attempt.sent_at, now);
+        self.report_outcome(id, attempt_no, engine, outcome, attempt.sent_at, now);
     }
 
     /// Answers the request with the result of its first successful attempt.
     fn attempt_succeeded(
         &mut self,
         id: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
         attempt: InFlightAttempt,
         page: Page,
         work: Option<Micros>,
@@ -852,12 +864,12 @@
         let Some(request) = self.open_requests.get(&id) else {
             return;
         };
-        let pages = ResultPages::new(page, request.deadline, attempt.mailbox, id, number);
+        let pages = ResultPages::new(page, request.deadline, attempt.mailbox, id, attempt_no);
         self.send_answer(id, Answer::Rows(pages));
         self.counters.count_attempt(Outcome::Ok);
         self.events.push(Event::Ended(AttemptEnded {
             request: id,
-            attempt: number,
+            attempt: attempt_no,
             engine: attempt.engine,
             outcome: Outcome::Ok,
             elapsed: to_micros(attempt.sent_at.elapsed()),
--- a/broker/src/requests.rs
+++ b/broker/src/requests.rs
@@ -71,13 +71,15 @@
         }
     }
 
-    pub fn attempt_in_flight(&self, number: AttemptNo) -> Option<&InFlightAttempt> {
-        self.attempts.get(number.0 as usize)?.as_ref()
+    pub fn attempt_in_flight(&self, attempt_no: AttemptNo) -> Option<&InFlightAttempt> {
+        self.attempts.get(attempt_no.0 as usize)?.as_ref()
     }
 
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (AttemptNo, &InFlightAttempt)> {
         let numbered = self.attempts.iter().enumerate();
-        numbered.filter_map(|(number, attempt)| Some((AttemptNo(number as u32), attempt.as_ref()?)))
+        numbered.filter_map(|(attempt_no, attempt)| {
+            Some((AttemptNo(attempt_no as u32), attempt.as_ref()?))
+        })
     }
 
     /// Whether the request is answered and has no attempt in flight.
--- a/broker/src/shards.rs
+++ b/broker/src/shards.rs
@@ -129,13 +129,14 @@
         lock(&self.shared.lease_table).acquire(self.id, now, demand, open_requests)
     }
 
-    /// Settles a lease and returns whether its decision may be executed.
-    pub fn settle(&self, ticket: LeaseId, now: Micros, usage: ShardUsage) -> bool {
-        let settled = lock(&self.shared.lease_table).commit(self.id, ticket, now, usage);
+    /// Commits the usage after a decision on a lease; returns whether the lease is still valid, so that the decision's
+    /// sends may be executed.
+    pub fn commit(&self, lease_id: LeaseId, now: Micros, usage: ShardUsage) -> bool {
+        let committed = lock(&self.shared.lease_table).commit(self.id, lease_id, now, usage);
         let CommitResult {
             is_valid,
             shards_to_wake,
-        } = settled;
+        } = committed;
         self.shared.notify(&shards_to_wake);
         is_valid
     }
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -84,7 +84,7 @@
         deadline: Instant::now() + Duration::from_secs(9),
         work: Micros(0),
         memory_mb: 0.0,
-        group: TableGroupId(0),
+        table_group: TableGroupId(0),
         statement: Bytes::from_static(b"INSERT"),
         is_retry: false,
         idempotency_token: None,
@@ -223,7 +223,7 @@
                 AttemptResult::Busy,
             );
         }
-        let full = |number| (number, Outcome::Rejected, false);
+        let full = |attempt_no| (attempt_no, Outcome::Rejected, false);
         assert_eq!(
             with_attempts_exhausted.outcomes(),
             [full(0), full(1), full(2), (3, Outcome::NotSent, false)]
@@ -625,8 +625,11 @@
     });
 }
 
-fn abort_confirmation(number: u32) -> BrokerMessage {
-    BrokerMessage::EngineReport(ENGINE, EngineReport::AbortConfirmed(ID, AttemptNo(number)))
+fn abort_confirmation(attempt_no: u32) -> BrokerMessage {
+    BrokerMessage::EngineReport(
+        ENGINE,
+        EngineReport::AbortConfirmed(ID, AttemptNo(attempt_no)),
+    )
 }
 
 /// A broker whose only class is repeatable: another attempt may follow an aborted one.
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -231,7 +231,7 @@
             deadline: Instant::now() + HANG_TIMEOUT,
             work: Micros(0),
             memory_mb: 0.0,
-            group: TableGroupId(0),
+            table_group: TableGroupId(0),
             statement: "SELECT".into(),
             is_retry: false,
             idempotency_token: None,
--- a/dispatcher/tests/scenarios/engine_actor.rs
+++ b/dispatcher/tests/scenarios/engine_actor.rs
@@ -114,7 +114,7 @@
     async fn send_attempt_with_statement(&self, id: u64, number: u32, statement: Bytes) {
         let attempt = Attempt {
             request: RequestId(id),
-            number: AttemptNo(number),
+            attempt_no: AttemptNo(number),
             class: "lookup".into(),
             deadline: Instant::now() + Duration::from_secs(9),
             priority: 1,
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -178,7 +178,9 @@
         tokio::spawn(async move {
             while let Some(message) = commands.recv().await {
                 let EngineCommand::Send(Attempt {
-                    request, number, ..
+                    request,
+                    attempt_no,
+                    ..
                 }) = message
                 else {
                     continue;
@@ -186,7 +188,7 @@
                 let _ = attempt_sender.send(SentAttempt {
                     request_id: request,
                     worker: worker.clone(),
-                    attempt_no: number,
+                    attempt_no,
                     reporter: reporter.clone(),
                 });
             }
@@ -268,7 +270,7 @@
             work: Micros(1000),
             memory_mb: 1.0,
             // Each request has its own table group, so no load waits for another.
-            group: TableGroupId(id),
+            table_group: TableGroupId(id),
             statement: "SELECT".into(),
             is_retry: false,
             idempotency_token: None,
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -141,7 +141,7 @@
             EngineCommand::Probe => self.probe(),
             EngineCommand::FetchPage(more) => {
                 let running = self.running_attempts.get(&more.request);
-                let running = running.filter(|running| running.attempt_no == more.number);
+                let running = running.filter(|running| running.attempt_no == more.attempt_no);
                 // If the attempt has ended or its channel is full, the reader's reply channel is closed.
                 if let Some(running) = running
                     && running.page_requests.try_send(more).is_err()
@@ -242,7 +242,7 @@
     }
 
     async fn send(&mut self, attempt: Attempt) {
-        let (request_id, attempt_no) = (attempt.request, attempt.number);
+        let (request_id, attempt_no) = (attempt.request, attempt.attempt_no);
         // An earlier attempt of this request may still be serving its result, which must not be cut off.
         let stream = if self.running_attempts.contains_key(&request_id) {
             None
@@ -447,7 +447,7 @@
         channel: PendingChannel,
         page_requests: mpsc::Receiver<PageRequest>,
     ) -> bool {
-        let (request_id, attempt_no) = (self.attempt.request, self.attempt.number);
+        let (request_id, attempt_no) = (self.attempt.request, self.attempt.attempt_no);
         let Some(channel) = channel.await else {
             self.reporter
                 .attempt_ended(request_id, attempt_no, AttemptResult::ConnectFailed)
@@ -571,7 +571,7 @@
             let action = poll.info.map_or_else(abort_action, cancel_action);
             guard.0 = Some((client.clone(), action));
             let note = Note::Progress(poll.progress.unwrap_or_default().clamp(0.0, 1.0));
-            let (request_id, attempt_no) = (self.attempt.request, self.attempt.number);
+            let (request_id, attempt_no) = (self.attempt.request, self.attempt.attempt_no);
             self.reporter
                 .send(EngineReport::Note(request_id, attempt_no, note))
                 .await;
@@ -587,7 +587,7 @@
         work: Option<Micros>,
         mut page_requests: mpsc::Receiver<PageRequest>,
     ) {
-        let (request_id, attempt_no) = (self.attempt.request, self.attempt.number);
+        let (request_id, attempt_no) = (self.attempt.request, self.attempt.attempt_no);
         let end = match next_page(&mut stream).await {
             Ok(page) => AttemptResult::Ok {
                 page,
--- a/engines/src/flight/tests.rs
+++ b/engines/src/flight/tests.rs
@@ -9,7 +9,7 @@
     let (broker, _broker_mailbox) = mpsc::channel(1);
     let attempt = Attempt {
         request: RequestId(255),
-        number: AttemptNo(0),
+        attempt_no: AttemptNo(0),
         class: "report".into(),
         deadline: Instant::now() + Duration::from_millis(1500),
         priority: 2,
--- a/engines/src/resp/codec/tests.rs
+++ b/engines/src/resp/codec/tests.rs
@@ -145,7 +145,7 @@
 fn attempt(memory_mb: f64) -> Attempt {
     Attempt {
         request: RequestId(255),
-        number: sedgebeam_core::AttemptNo(0),
+        attempt_no: sedgebeam_core::AttemptNo(0),
         class: "report".into(),
         deadline: Instant::now() + Duration::from_millis(1500),
         priority: 2,
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -306,7 +306,7 @@
     // ---- Attempts ----
 
     async fn send(&mut self, attempt: Attempt) {
-        let (request_id, attempt_no) = (attempt.request, attempt.number);
+        let (request_id, attempt_no) = (attempt.request, attempt.attempt_no);
         let connection_id = match self.select_connection(Some(request_id)) {
             Ok(connection_id) => connection_id,
             Err(reason) => {
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -234,15 +234,15 @@
         self.send_attempt(RequestId(self.sent.len() as u64), AttemptNo(0));
     }
 
-    fn send_attempt(&mut self, request: RequestId, number: AttemptNo) {
-        self.send_statement(request, number, Bytes::from_static(b"SELECT 1"));
+    fn send_attempt(&mut self, request: RequestId, attempt_no: AttemptNo) {
+        self.send_statement(request, attempt_no, Bytes::from_static(b"SELECT 1"));
     }
 
-    fn send_statement(&mut self, request: RequestId, number: AttemptNo, statement: Bytes) {
+    fn send_statement(&mut self, request: RequestId, attempt_no: AttemptNo, statement: Bytes) {
         let timeout = Duration::from_secs(60);
         let attempt = Attempt {
             request,
-            number,
+            attempt_no,
             class: "lookup".into(),
             deadline: Instant::now() + timeout,
             priority: 1,
@@ -253,13 +253,15 @@
             cancel_token: CancellationToken::new(),
             starts_by: Instant::now() + timeout,
         };
-        self.sent.push((request, number));
+        self.sent.push((request, attempt_no));
         let queued = self.mailbox.try_send(EngineCommand::Send(attempt));
         queued.expect("room in the mailbox");
     }
 
-    fn abort(&mut self, request: RequestId, number: AttemptNo) {
-        let queued = self.mailbox.try_send(EngineCommand::Abort(request, number));
+    fn abort(&mut self, request: RequestId, attempt_no: AttemptNo) {
+        let queued = self
+            .mailbox
+            .try_send(EngineCommand::Abort(request, attempt_no));
         queued.expect("room in the mailbox");
     }
 
@@ -273,12 +275,15 @@
             match message {
                 BrokerMessage::EngineReport(
                     _,
-                    EngineReport::AttemptEnded(request, number, end),
+                    EngineReport::AttemptEnded(request, attempt_no, end),
                 ) => {
-                    self.ends.push((request, number, end));
+                    self.ends.push((request, attempt_no, end));
                 }
-                BrokerMessage::EngineReport(_, EngineReport::AbortConfirmed(request, number)) => {
-                    self.cancelled.push((request, number));
+                BrokerMessage::EngineReport(
+                    _,
+                    EngineReport::AbortConfirmed(request, attempt_no),
+                ) => {
+                    self.cancelled.push((request, attempt_no));
                 }
                 BrokerMessage::EngineReport(_, EngineReport::Probed(probe)) => {
                     self.probes.push(probe)
@@ -572,8 +577,8 @@
     let engine = MockEngine::start(one_connection).await;
     let mut dispatcher = Dispatcher::start(&engine);
     let mut ends = Vec::new();
-    for number in 0..3 {
-        dispatcher.send_attempt(RequestId(7), AttemptNo(number));
+    for attempt_no in 0..3 {
+        dispatcher.send_attempt(RequestId(7), AttemptNo(attempt_no));
         dispatcher.wait_for_ends().await;
         ends.push(dispatcher.last_end().clone());
     }
--- a/engines/src/resp/write_queue.rs
+++ b/engines/src/resp/write_queue.rs
@@ -75,7 +75,7 @@
         let mut withdrawn = Vec::new();
         self.frames.retain(|frame| match &frame.unstarted_attempt {
             Some(attempt) if attempt.is_stale() => {
-                withdrawn.push((attempt.request, attempt.number));
+                withdrawn.push((attempt.request, attempt.attempt_no));
                 false
             }
             _ => true,
--- a/engines/src/resp/write_queue/tests.rs
+++ b/engines/src/resp/write_queue/tests.rs
@@ -8,7 +8,7 @@
 fn attempt(time_limit: Duration) -> Attempt {
     Attempt {
         request: RequestId(7),
-        number: AttemptNo(0),
+        attempt_no: AttemptNo(0),
         class: "lookup".into(),
         deadline: Instant::now() + time_limit,
         priority: 1,
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -123,7 +123,7 @@
         deadline: received_at + to_duration(millis_to_micros(limit)),
         work: millis_to_micros(number("cpu", MAX_WORK_MS)?),
         memory_mb: number("memory", MAX_MEMORY_MB)?,
-        group: TableGroupId(table_group(text).unwrap_or_default()),
+        table_group: TableGroupId(table_group(text).unwrap_or_default()),
         statement,
         is_retry,
         idempotency_token: forwarded("unique")?,
--- a/port/src/answer.rs
+++ b/port/src/answer.rs
@@ -48,7 +48,7 @@
     deadline: Instant,
     engine: EngineSender,
     request: RequestId,
-    number: AttemptNo,
+    attempt_no: AttemptNo,
     /// Records the request's disposition once the result is complete or lost.
     running: Option<RunningRequest>,
 }
@@ -63,7 +63,7 @@
         deadline: Instant,
         engine: EngineSender,
         request: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
     ) -> ResultPages {
         ResultPages {
             first_page: Some(first_page),
@@ -72,7 +72,7 @@
             deadline,
             engine,
             request,
-            number,
+            attempt_no,
             running: None,
         }
     }
@@ -113,7 +113,7 @@
         let (reply, page) = oneshot::channel();
         let page_request = PageRequest {
             request: self.request,
-            number: self.number,
+            attempt_no: self.attempt_no,
             page: self.next_page,
             reply,
         };
@@ -131,7 +131,7 @@
     fn drop(&mut self) {
         // Engines release a single-page result as soon as it is sent.
         if self.next_page > 1 || !self.is_complete {
-            let done = EngineCommand::ReleaseResult(self.request, self.number);
+            let done = EngineCommand::ReleaseResult(self.request, self.attempt_no);
             if self.engine.try_send(done).is_err() {
                 log::debug!(
                     "could not release the result of {:?} at its engine",
--- a/port/src/engine.rs
+++ b/port/src/engine.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub request: RequestId,
-    pub number: AttemptNo,
+    pub attempt_no: AttemptNo,
     pub class: Arc<str>,
     /// When the broker stops waiting for the attempt.
     pub deadline: Instant,
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct PageRequest {
     pub request: RequestId,
-    pub number: AttemptNo,
+    pub attempt_no: AttemptNo,
     pub page: u32,
     pub reply: oneshot::Sender<Page>,
 }
@@ -176,15 +176,15 @@
     pub async fn attempt_ended(
         &self,
         request: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
         result: AttemptResult,
     ) {
-        self.send(EngineReport::AttemptEnded(request, number, result))
+        self.send(EngineReport::AttemptEnded(request, attempt_no, result))
             .await;
     }
 
-    pub async fn abort_confirmed(&self, request: RequestId, number: AttemptNo) {
-        self.send(EngineReport::AbortConfirmed(request, number))
+    pub async fn abort_confirmed(&self, request: RequestId, attempt_no: AttemptNo) {
+        self.send(EngineReport::AbortConfirmed(request, attempt_no))
             .await;
     }
 
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -21,7 +21,7 @@
     pub deadline: Instant,
     pub work: Micros,
     pub memory_mb: f64,
-    pub group: TableGroupId,
+    pub table_group: TableGroupId,
     pub statement: Bytes,
     /// The client marked the request as a retry.
     pub is_retry: bool,
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -154,7 +154,7 @@
 
 /// The broker has ended and no longer receives messages.
 #[derive(Debug)]
-pub struct RouterClosed;
+pub struct BrokerClosed;
 
 impl RequestRouter {
     /// Creates a router for this number of shards, none of which is open yet.
@@ -221,18 +221,18 @@
         &self,
         shard: usize,
         mailbox: BrokerSender,
-    ) -> Result<(), RouterClosed> {
+    ) -> Result<(), BrokerClosed> {
         let state = self.shared.replicated_state.lock().await;
         // The settings go first because later messages use their numbering of classes, kinds and zones.
         let (applied, _) = oneshot::channel();
         let reconfigure = BrokerMessage::Reconfigure(self.runtime_settings(), applied);
-        mailbox.send(reconfigure).await.map_err(|_| RouterClosed)?;
+        mailbox.send(reconfigure).await.map_err(|_| BrokerClosed)?;
         let list = BrokerMessage::EngineList(ListUpdate::Saved, state.targets());
-        mailbox.send(list).await.map_err(|_| RouterClosed)?;
+        mailbox.send(list).await.map_err(|_| BrokerClosed)?;
         for request in state.replay_requests() {
             let (reply, _) = oneshot::channel();
             let sent = mailbox.send(BrokerMessage::Admin(request, reply)).await;
-            sent.map_err(|_| RouterClosed)?;
+            sent.map_err(|_| BrokerClosed)?;
         }
         self.heartbeat(shard);
         if let Some(slot) = self.slots().get(shard) {
@@ -368,7 +368,7 @@
         &self,
         listing: ListUpdate,
         targets: Vec<Target>,
-    ) -> Result<(), RouterClosed> {
+    ) -> Result<(), BrokerClosed> {
         let mut state = self.shared.replicated_state.lock().await;
         state.apply_listing(listing, &targets);
         let sends = self.open_brokers().map(|mailbox| {
@@ -383,7 +383,7 @@
         let sent = futures::future::join_all(sends).await;
         // With several shards, a broker that died is restarted and gets the list when it is registered.
         let ended = self.slots().len() == 1 && !sent.iter().all(|sent| *sent);
-        if ended { Err(RouterClosed) } else { Ok(()) }
+        if ended { Err(BrokerClosed) } else { Ok(()) }
     }
 
     /// The current settings, and the names that requests may use.
--- a/port/tests/ordered_requests.rs
+++ b/port/tests/ordered_requests.rs
@@ -47,7 +47,7 @@
         deadline: Instant::now() + REQUEST_TIMEOUT,
         work: Micros(0),
         memory_mb: 0.0,
-        group: TableGroupId(0),
+        table_group: TableGroupId(0),
         statement: Bytes::from_static(b"INSERT"),
         is_retry: false,
         idempotency_token: None,
