--- a/port/src/administration.rs
+++ b/port/src/administration.rs
@@ -10,9 +10,11 @@
     Health,
     Counters,
     Engines,
+    /// Adds an engine, or replaces the listed one with the same uid.
     SetEngine(Target),
+    /// Removes the engine with this uid.
     RemoveEngine(String),
-    /// Starts (`true`) or ends a drain: a draining engine is sent no new attempts.
+    /// Starts (`true`) or ends the drain of the engine with this uid: a draining engine is sent no new attempts.
     Drain(String, bool),
     Tenants,
     /// Sets a tenant's share and its requests per second.
@@ -42,13 +44,14 @@
 pub struct Health {
     /// At least one engine is ready for attempts.
     pub ready: bool,
+    /// Number of engines that are ready for attempts.
     pub engines: usize,
     /// Requests without an answer so far.
     #[serde(rename = "open")]
     pub open_requests: usize,
 }
 
-/// Requests by their answers. A request that is accepted but has no answer counted is still open.
+/// Numbers of requests by their answers. Accepted requests that are not counted by an answer are still open.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct AnswerCounts {
     #[serde(rename = "taken")]
@@ -66,17 +69,21 @@
     pub attempts: BTreeMap<String, u64>,
 }
 
+/// A listed engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct EngineRow {
     pub uid: String,
     pub endpoint: String,
+    /// The state as listed.
     pub state: String,
+    /// Drained by the administration, regardless of the listed state.
     pub drained: bool,
     /// Attempts in flight at this engine.
     #[serde(rename = "out")]
     pub attempts_in_flight: usize,
 }
 
+/// A tenant with its limits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct TenantRow {
     pub name: String,
@@ -150,9 +157,9 @@
 
     #[test]
     fn responses_of_several_brokers_are_merged() {
-        let row = |uid: &str, out, drained| EngineRow {
+        let row = |uid: &str, attempts_in_flight, drained| EngineRow {
             uid: uid.to_string(),
-            attempts_in_flight: out,
+            attempts_in_flight,
             drained,
             ..EngineRow::default()
         };
@@ -163,23 +170,23 @@
         ]));
         let rows = vec![row("a", 2, false), row("b", 3, true), row("c", 1, false)];
         assert_eq!(merged, AdminResponse::Engines(rows));
-        let counters = |served, ok| {
+        let counters = |served, ok_attempts| {
             let answers = AnswerCounts {
                 served,
                 ..AnswerCounts::default()
             };
             AdminResponse::Counters(Counters {
                 classes: BTreeMap::from([("lookup".to_string(), answers)]),
-                attempts: BTreeMap::from([("ok".to_string(), ok)]),
+                attempts: BTreeMap::from([("ok".to_string(), ok_attempts)]),
                 ..Counters::default()
             })
         };
         assert_eq!(counters(1, 2).merge(counters(3, 4)), counters(4, 6));
-        let health = |ready, engines, open| {
+        let health = |ready, engines, open_requests| {
             AdminResponse::Health(Health {
                 ready,
                 engines,
-                open_requests: open,
+                open_requests,
             })
         };
         assert_eq!(
--- a/port/src/answer.rs
+++ b/port/src/answer.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub enum Answer {
     Rows(ResultPages),
-    /// Rejected without running; it is safe to retry after this time (zero: no advice).
+    /// Rejected without running: a retry after this time is safe. Zero means that no time is suggested.
     Refused {
         retry_after: Duration,
     },
@@ -27,7 +27,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Given up without a result; the request may have run.
+    /// There is no result; the request may have run.
     OutcomeUnknown,
     /// The client cancelled the request.
     Cancelled,
@@ -42,7 +42,9 @@
 /// A result that is streamed to the client: further pages are fetched from the engine as the client reads them.
 #[derive(Debug)]
 pub struct ResultPages {
+    /// Taken once it has been read.
     first_page: Option<Page>,
+    /// Index of the page to fetch next, counted from 0.
     next_page: u32,
     is_complete: bool,
     deadline: Instant,
@@ -50,7 +52,7 @@
     request: RequestId,
     attempt_no: AttemptNo,
     /// Records the request's disposition once the result is complete or lost.
-    running: Option<RunningRequest>,
+    running_request: Option<RunningRequest>,
 }
 
 /// The rest of a result can't be fetched.
@@ -73,13 +75,13 @@
             engine,
             request,
             attempt_no,
-            running: None,
+            running_request: None,
         }
     }
 
     fn record_disposition(&mut self, disposition: Disposition) {
-        if let Some(running) = self.running.take() {
-            running.finish(disposition);
+        if let Some(running_request) = self.running_request.take() {
+            running_request.finish(disposition);
         }
     }
 
@@ -131,8 +133,8 @@
     fn drop(&mut self) {
         // Engines release a single-page result as soon as it is sent.
         if self.next_page > 1 || !self.is_complete {
-            let done = EngineCommand::ReleaseResult(self.request, self.attempt_no);
-            if self.engine.try_send(done).is_err() {
+            let release = EngineCommand::ReleaseResult(self.request, self.attempt_no);
+            if self.engine.try_send(release).is_err() {
                 log::debug!(
                     "could not release the result of {:?} at its engine",
                     self.request
@@ -151,10 +153,10 @@
     /// The answer if the broker dies before it sends one.
     fallback: Option<Answer>,
     is_answered: bool,
-    /// Records the request's disposition; moves on to the result if there is one.
-    running: Option<RunningRequest>,
-    cancelled: CancellationToken,
-    /// Makes the request known to those who cancel its session's request.
+    /// Records the request's disposition; handed over to the result if there is one.
+    running_request: Option<RunningRequest>,
+    cancel_token: CancellationToken,
+    /// Lets the session's request be cancelled while it is open.
     _session_entry: Option<SessionEntry>,
 }
 
@@ -164,31 +166,31 @@
         answer: oneshot::Receiver<Answer>,
         broker: Option<BrokerSender>,
         fallback: Answer,
-        running: Option<RunningRequest>,
+        running_request: Option<RunningRequest>,
         session_entry: Option<SessionEntry>,
     ) -> PendingAnswer {
         PendingAnswer {
             request: request.id,
-            cancelled: request.cancel_token.clone(),
+            cancel_token: request.cancel_token.clone(),
             _session_entry: session_entry,
             answer,
             broker,
             fallback: Some(fallback),
             is_answered: false,
-            running,
+            running_request,
         }
     }
 
     /// Records the request's disposition; that of a result is recorded once it is complete.
     fn record_disposition(&mut self, answer: &mut Answer) {
-        let Some(running) = self.running.take() else {
+        let Some(running_request) = self.running_request.take() else {
             return;
         };
         match answer {
-            Answer::Rows(pages) => pages.running = Some(running),
-            Answer::Refused { .. } => running.finish(Disposition::Declined),
-            // A client that cancelled its request is still connected and is told that it failed.
-            Answer::Failed(_) => running.finish(Disposition::Aborted),
+            Answer::Rows(pages) => pages.running_request = Some(running_request),
+            Answer::Refused { .. } => running_request.finish(Disposition::Declined),
+            // This includes requests that the client cancelled: it is still connected and receives the failure.
+            Answer::Failed(_) => running_request.finish(Disposition::Aborted),
         }
     }
 }
@@ -216,10 +218,10 @@
             return;
         };
         // Cancelled at once: the broker may decide on thousands of messages before it receives `ClientLeft`.
-        self.cancelled.cancel();
-        // The client's session task may be ending, so a full mailbox is waited for on a task of its own.
-        if let Err(full) = broker.try_send(BrokerMessage::ClientLeft(self.request)) {
-            let message = full.into_inner();
+        self.cancel_token.cancel();
+        // The client's session task may be ending, so a separate task waits while the mailbox is full.
+        if let Err(send_error) = broker.try_send(BrokerMessage::ClientLeft(self.request)) {
+            let message = send_error.into_inner();
             if let Ok(runtime) = tokio::runtime::Handle::try_current() {
                 runtime.spawn(async move { broker.send(message).await });
             }
--- a/port/src/clock.rs
+++ b/port/src/clock.rs
@@ -13,6 +13,7 @@
 }
 
 impl Clock {
+    /// Reads the system clock once; from then on only the monotonic clock counts.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         Clock {
@@ -21,10 +22,12 @@
         }
     }
 
+    /// The Unix time of an instant.
     pub fn micros(&self, instant: Instant) -> Micros {
         self.start_unix + to_micros(instant.saturating_duration_since(self.start_instant))
     }
 
+    /// The instant of a Unix time.
     pub fn instant(&self, micros: Micros) -> Instant {
         self.start_instant + to_duration(micros - self.start_unix)
     }
--- a/port/src/engine.rs
+++ b/port/src/engine.rs
@@ -16,7 +16,9 @@
     /// Aborts an attempt. Unless the attempt has already ended, its only later report is
     /// [`EngineReport::AbortConfirmed`].
     Abort(RequestId, AttemptNo),
+    /// Changes the priority of an attempt.
     Reprioritize(RequestId, AttemptNo, u8),
+    /// Asks the engine for a load report; the answer is [`EngineReport::Probed`].
     Probe,
     FetchPage(PageRequest),
     /// The result is no longer needed; no further pages will be fetched.
@@ -27,9 +29,9 @@
 
 /// Converts a memory grant to whole megabytes; `None` if the amount is not finite, negative or below 1 MB.
 pub fn memory_grant(memory_mb: f64) -> Option<NonZeroU32> {
-    let finite = Some(memory_mb).filter(|amount| amount.is_finite());
+    let finite_mb = Some(memory_mb).filter(|amount| amount.is_finite());
     // The cast saturates: negative amounts become zero.
-    NonZeroU32::new(finite? as u32)
+    NonZeroU32::new(finite_mb? as u32)
 }
 
 /// An attempt to run a request on one engine.
@@ -50,7 +52,7 @@
     pub order_key: Option<Arc<str>>,
     /// Cancelled when the attempt is aborted or its client disconnects.
     pub cancel_token: CancellationToken,
-    /// Latest start: after this its deadline has passed, or engines no longer deduplicate it as a repeat.
+    /// Latest time to start. After it the deadline has passed, or engines no longer recognize the attempt as a repeat.
     pub starts_by: Instant,
 }
 
@@ -63,7 +65,8 @@
             .filter_map(|(name, value)| Some((name, value.as_deref()?)))
     }
 
-    /// Time until the deadline in whole milliseconds, at least 1; sent to the engine with the first byte.
+    /// Time until the deadline in whole milliseconds, at least 1. The engine gets the value of the time at which the
+    /// attempt's first byte is written.
     pub fn remaining_ms(&self) -> u128 {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         remaining.as_millis().max(1)
@@ -81,6 +84,7 @@
 pub struct PageRequest {
     pub request: RequestId,
     pub attempt_no: AttemptNo,
+    /// Index of the page, counted from 0; the first page needs no request.
     pub page: u32,
     pub reply: oneshot::Sender<Page>,
 }
@@ -96,7 +100,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptResult {
     Ok {
+        /// The first page of the result.
         page: Page,
+        /// The work that the engine reported for the attempt.
         work: Option<Micros>,
         load: Option<LoadReport>,
     },
@@ -150,7 +156,7 @@
     fn engine_listed(&self, _target: &Target) {}
 
     /// Starts the actor of an engine. The actor ends once all senders of its mailbox are dropped.
-    fn start(&self, target: &Target, reports: EngineReporter) -> EngineSender;
+    fn start(&self, target: &Target, reporter: EngineReporter) -> EngineSender;
 }
 
 /// Sends the reports of one engine's actor to the broker.
@@ -190,7 +196,7 @@
 
     /// Reports that the engine's actor panicked; its attempts in flight may have run.
     pub async fn actor_died(&self) {
-        // As in `send`.
+        // The channel closes only when the process is ending.
         let _ = self
             .broker
             .send(BrokerMessage::EngineActorDied(self.engine))
--- a/port/src/replicated_state.rs
+++ b/port/src/replicated_state.rs
@@ -1,5 +1,5 @@
 //! State that is the same at all brokers and is sent to each broker that starts: the engine list, the settings, and
-//! what the administration has set. No I/O.
+//! what the administration has set.
 
 use crate::{AdminRequest, ListUpdate, Target, apply_update};
 use sedgebeam_reconfigure::SettingsTable;
@@ -9,6 +9,7 @@
 #[derive(Debug)]
 pub struct ReplicatedState {
     targets: Vec<Target>,
+    /// Uids of the engines drained by the administration.
     drained: BTreeSet<String>,
     /// The settings, with the tenants set by the administration.
     pub table: SettingsTable,
@@ -24,15 +25,15 @@
     }
 
     /// Applies an update of the engine list.
-    pub fn apply_listing(&mut self, listing: ListUpdate, targets: &[Target]) {
-        apply_update(&mut self.targets, listing, targets);
+    pub fn update_engine_list(&mut self, update: ListUpdate, targets: &[Target]) {
+        apply_update(&mut self.targets, update, targets);
     }
 
     /// Records an administration request that brokers have carried out.
     pub fn record(&mut self, request: &AdminRequest) {
         match request {
             AdminRequest::SetEngine(target) => {
-                self.apply_listing(ListUpdate::Changes, std::slice::from_ref(target))
+                self.update_engine_list(ListUpdate::Changes, std::slice::from_ref(target))
             }
             AdminRequest::RemoveEngine(uid) => self.targets.retain(|known| known.uid != *uid),
             AdminRequest::Drain(uid, true) => drop(self.drained.insert(uid.clone())),
@@ -43,11 +44,12 @@
         }
     }
 
+    /// The listed engines.
     pub fn targets(&self) -> Vec<Target> {
         self.targets.clone()
     }
 
-    /// The engines drained by the administration.
+    /// Uids of the engines drained by the administration.
     pub fn drained(&self) -> Vec<String> {
         self.drained.iter().cloned().collect()
     }
@@ -55,8 +57,8 @@
     /// Requests to send to a new broker after the engine list: the drains of listed engines. The broker gets them
     /// before any client request, so that a draining engine is never sent an attempt.
     pub fn replay_requests(&self) -> Vec<AdminRequest> {
-        let listed = |uid: &&String| self.targets.iter().any(|target| target.uid == **uid);
-        let drained = self.drained.iter().filter(listed).cloned();
+        let is_listed = |uid: &&String| self.targets.iter().any(|target| target.uid == **uid);
+        let drained = self.drained.iter().filter(is_listed).cloned();
         drained.map(|uid| AdminRequest::Drain(uid, true)).collect()
     }
 }
@@ -76,11 +78,11 @@
     #[test]
     fn a_new_broker_gets_the_engine_list_and_the_drains() {
         let mut state = ReplicatedState::new(SettingsTable::default());
-        state.apply_listing(
+        state.update_engine_list(
             ListUpdate::Complete,
             &[target("a", "up"), target("b", "up")],
         );
-        state.apply_listing(
+        state.update_engine_list(
             ListUpdate::Changes,
             &[target("a", "removed"), target("c", "up")],
         );
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -19,8 +19,11 @@
     pub tenant: Option<String>,
     /// When the client stops waiting.
     pub deadline: Instant,
+    /// The client's estimate of the work; zero if it gave none.
     pub work: Micros,
+    /// The client's estimate of the memory; zero if it gave none.
     pub memory_mb: f64,
+    /// The table group that the statement names; zero if it names none.
     pub table_group: TableGroupId,
     pub statement: Bytes,
     /// The client marked the request as a retry.
@@ -36,7 +39,7 @@
     pub cancel_token: CancellationToken,
 }
 
-/// Identifies a session to those who may cancel its request.
+/// Identifies a session in cancel requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SessionKey(pub u64);
 
@@ -47,7 +50,9 @@
     /// The client disconnected or cancelled the request.
     ClientLeft(RequestId),
     EngineReport(EngineId, EngineReport),
+    /// The actor of an engine panicked; its attempts in flight may have run.
     EngineActorDied(EngineId),
+    /// An update of the engine list.
     EngineList(ListUpdate, Vec<Target>),
     /// Asks for the gateway's handover state.
     GetHandoverState(oneshot::Sender<HandoverState>),
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -152,21 +152,21 @@
     shared: Arc<Shared>,
 }
 
-/// The broker has ended and no longer receives messages.
+/// A broker has ended and no longer receives messages.
 #[derive(Debug)]
 pub struct BrokerClosed;
 
 impl RequestRouter {
-    /// Creates a router for this number of shards, none of which is open yet.
+    /// Creates a router for `shard_count` shards, none of which is open yet.
     pub fn new(
-        shards: usize,
+        shard_count: usize,
         seed: u64,
         metrics: Metrics,
         runtime_settings: RuntimeSettings,
     ) -> RequestRouter {
         RequestRouter {
             shared: Arc::new(Shared {
-                slots: (0..shards).map(|_| ShardSlot::new()).collect(),
+                slots: (0..shard_count).map(|_| ShardSlot::new()).collect(),
                 metrics,
                 runtime_settings: RwLock::new(Arc::new(runtime_settings.clone())),
                 hash_seed: seed,
@@ -248,20 +248,20 @@
         }
     }
 
-    /// Selects a shard by a hash of `id`; each `attempt` gives another selection.
-    fn select_shard(&self, id: u64, attempt: u64) -> usize {
-        (splitmix64(id ^ splitmix64(self.shared.hash_seed ^ attempt)) % self.slots().len() as u64)
-            as usize
+    /// Selects a shard by a hash of `id`; each `hash_round` gives an independent selection.
+    fn select_shard(&self, id: u64, hash_round: u64) -> usize {
+        (splitmix64(id ^ splitmix64(self.shared.hash_seed ^ hash_round))
+            % self.slots().len() as u64) as usize
     }
 
-    /// The broker for a request without an order key: that of the shard selected by its id, or of another shard if that
-    /// one is not alive.
+    /// The broker for a request without an order key: that of the shard selected by its id, or, if that shard is not
+    /// alive, of another one.
     fn unordered_broker(&self, id: RequestId) -> Option<BrokerSender> {
         let shards = self.slots().len() as u64;
         if shards == 1 {
             return self.mailbox(0);
         }
-        let selected = (0..4 * shards).map(|attempt| self.select_shard(id.0, attempt));
+        let selected = (0..4 * shards).map(|hash_round| self.select_shard(id.0, hash_round));
         let mut alive = selected.filter(|shard| self.is_alive(*shard));
         let broker = alive.find_map(|shard| self.mailbox(shard));
         broker.or_else(|| self.mailbox(self.select_shard(id.0, 0)))
@@ -307,7 +307,7 @@
             Some(class) if class.effect == Effect::Repeatable => self.refusal(),
             _ => Answer::Failed(Failure::ShuttingDown),
         };
-        let running = class.map(|class| self.shared.metrics.start_request(&class.name));
+        let running_request = class.map(|class| self.shared.metrics.start_request(&class.name));
         let session_entry = SessionEntry::new(&self.shared.sessions, &request);
         let route = match self.route(&request).await {
             Ok(route) => route,
@@ -318,7 +318,7 @@
                     answer,
                     None,
                     fallback,
-                    running,
+                    running_request,
                     session_entry,
                 );
             }
@@ -327,10 +327,16 @@
             session_entry.set_broker(broker);
         }
         let broker = route.broker.clone();
-        let pending =
-            PendingAnswer::new(&request, answer, broker, fallback, running, session_entry);
+        let pending = PendingAnswer::new(
+            &request,
+            answer,
+            broker,
+            fallback,
+            running_request,
+            session_entry,
+        );
         if request.cancel_token.is_cancelled() {
-            // Cancelled before the session's entry had its broker, so the broker was not notified.
+            // If it was cancelled before the session's entry had its broker, the broker was not notified.
             let _ = reply.send(Answer::Failed(Failure::Cancelled));
         } else if let Some(broker) = &route.broker {
             // If the broker has ended, the reply is dropped with the message, and the fallback answers.
@@ -366,24 +372,24 @@
     /// Sends an engine list update to all brokers, including those without recent heartbeats.
     pub async fn update_engine_list(
         &self,
-        listing: ListUpdate,
+        update: ListUpdate,
         targets: Vec<Target>,
     ) -> Result<(), BrokerClosed> {
         let mut state = self.shared.replicated_state.lock().await;
-        state.apply_listing(listing, &targets);
+        state.update_engine_list(update, &targets);
         let sends = self.open_brokers().map(|mailbox| {
             let targets = targets.clone();
             async move {
                 mailbox
-                    .send(BrokerMessage::EngineList(listing, targets))
+                    .send(BrokerMessage::EngineList(update, targets))
                     .await
                     .is_ok()
             }
         });
         let sent = futures::future::join_all(sends).await;
         // With several shards, a broker that died is restarted and gets the list when it is registered.
-        let ended = self.slots().len() == 1 && !sent.iter().all(|sent| *sent);
-        if ended { Err(BrokerClosed) } else { Ok(()) }
+        let has_ended = self.slots().len() == 1 && !sent.iter().all(|sent| *sent);
+        if has_ended { Err(BrokerClosed) } else { Ok(()) }
     }
 
     /// The current settings, and the names that requests may use.
@@ -425,7 +431,7 @@
         }
     }
 
-    /// The sum of the handover states of all gateways; a broker that does not reply in time is left out.
+    /// The sum of the handover states of all gateways, without those of brokers that do not reply in time.
     pub async fn handover_state(&self) -> HandoverState {
         let replies = self.open_brokers().map(|mailbox| async move {
             let (reply, state) = oneshot::channel();
@@ -464,25 +470,26 @@
             .await;
     }
 
-    /// Has all open requests answered now.
+    /// Has the brokers answer all open requests now.
     pub async fn shut_down(&self) {
         self.broadcast(|| BrokerMessage::Shutdown).await;
     }
 
-    /// The listed engines, those drained by the administration, and the tenants that it has set.
+    /// The listed engines, the uids of those drained by the administration, and the tenants that it has set.
     pub async fn replicated_state(&self) -> (Vec<Target>, Vec<String>, Vec<Tenant>) {
         let state = self.shared.replicated_state.lock().await;
         let (targets, drained) = (state.targets(), state.drained());
         (targets, drained, state.table.tenant_overrides().to_vec())
     }
 
+    /// The time since the router started.
     fn micros(&self) -> Micros {
         to_micros(self.shared.started_at.elapsed())
     }
 
     /// Applies the settings at all brokers first and only then publishes them to fronts, so that no request uses a name
-    /// that its broker does not know. A broker that does not reply in time is not waited for: its mailbox keeps the
-    /// order.
+    /// that its broker does not know. The wait for each broker is limited: a slow one still gets the settings before
+    /// later requests, because its mailbox keeps the order.
     async fn broadcast_settings(&self, table: &SettingsTable) {
         let runtime_settings = Arc::new(table.runtime_settings().clone());
         let replies = self.open_brokers().map(|mailbox| {
@@ -509,11 +516,11 @@
     /// Sends an administration request to all brokers and merges their responses.
     pub async fn administer(&self, request: AdminRequest) -> Result<AdminResponse, AdminError> {
         let mut state = self.shared.replicated_state.lock().await;
-        if let AdminRequest::SetTenant(name, share, per_second) = &request {
+        if let AdminRequest::SetTenant(name, share, requests_per_second) = &request {
             let tenant = Tenant {
                 name: name.clone(),
                 share: *share,
-                requests_per_second: *per_second,
+                requests_per_second: *requests_per_second,
             };
             if !state.table.set_tenant(&tenant) {
                 return Err(AdminError::Invalid(
@@ -524,7 +531,7 @@
         }
         let replies = self
             .open_brokers()
-            .map(|mailbox| ask(mailbox, request.clone()));
+            .map(|mailbox| send_admin_request(mailbox, request.clone()));
         let responses = futures::future::join_all(replies).await;
         let mut sum: Option<AdminResponse> = None;
         for response in responses.into_iter().flatten() {
@@ -541,7 +548,7 @@
 }
 
 /// One broker's response; `None` if it has ended or does not reply in time. A slow broker still gets the request.
-async fn ask(
+async fn send_admin_request(
     mailbox: BrokerSender,
     request: AdminRequest,
 ) -> Option<Result<AdminResponse, AdminError>> {
--- a/port/tests/ordered_requests.rs
+++ b/port/tests/ordered_requests.rs
@@ -14,12 +14,12 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-const SHARDS: usize = 4;
+const SHARD_COUNT: usize = 4;
 const SEED: u64 = 1;
 const KEY: &str = "rel-7";
 const SESSION: SessionKey = SessionKey(3);
 /// Longer than any run of these tests, so that no request reaches its deadline.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
+const TIME_LIMIT: Duration = Duration::from_secs(600);
 
 type Incoming = mpsc::Receiver<BrokerMessage>;
 
@@ -28,7 +28,7 @@
         name: "load".to_string(),
         ..Class::default()
     };
-    let tuning = RuntimeSettings {
+    let runtime_settings = RuntimeSettings {
         settings: Settings {
             classes: vec![class],
             max_retry_after: Micros::from_millis(2_000),
@@ -36,7 +36,7 @@
         },
         ..RuntimeSettings::default()
     };
-    RequestRouter::new(SHARDS, SEED, Metrics::default(), tuning)
+    RequestRouter::new(SHARD_COUNT, SEED, Metrics::default(), runtime_settings)
 }
 
 fn request(id: u64) -> NewRequest {
@@ -44,7 +44,7 @@
         id: RequestId(id),
         class: ClassId(0),
         tenant: None,
-        deadline: Instant::now() + REQUEST_TIMEOUT,
+        deadline: Instant::now() + TIME_LIMIT,
         work: Micros(0),
         memory_mb: 0.0,
         table_group: TableGroupId(0),
@@ -59,7 +59,10 @@
 
 async fn open(router: &RequestRouter, shard: usize) -> Incoming {
     let (mailbox, incoming) = mpsc::channel(64);
-    router.open_shard(shard, mailbox).await.expect("is open");
+    router
+        .open_shard(shard, mailbox)
+        .await
+        .expect("the shard opens");
     incoming
 }
 
@@ -77,33 +80,33 @@
 async fn shard_of_key() -> usize {
     let router = router();
     let mut shards = Vec::new();
-    for shard in 0..SHARDS {
+    for shard in 0..SHARD_COUNT {
         shards.push(open(&router, shard).await);
     }
     let _pending = router.submit(request(1)).await;
     let received = shards.iter_mut().map(received_ids);
     let shard = received.enumerate().find(|(_, ids)| ids == &[1]);
-    shard.expect("some shard has it").0
+    shard.expect("a shard has received the request").0
 }
 
 /// A router whose shards are all open except that of the key.
 struct Fixture {
     router: RequestRouter,
     key_shard: usize,
-    others: Vec<Incoming>,
+    other_shards: Vec<Incoming>,
 }
 
 impl Fixture {
     async fn new() -> Fixture {
         let (router, key_shard) = (router(), shard_of_key().await);
-        let mut others = Vec::new();
-        for shard in (0..SHARDS).filter(|shard| *shard != key_shard) {
-            others.push(open(&router, shard).await);
+        let mut other_shards = Vec::new();
+        for shard in (0..SHARD_COUNT).filter(|shard| *shard != key_shard) {
+            other_shards.push(open(&router, shard).await);
         }
         Fixture {
             router,
             key_shard,
-            others,
+            other_shards,
         }
     }
 
@@ -115,8 +118,12 @@
         submitting
     }
 
-    fn assert_others_received_nothing(&mut self) {
-        let received: Vec<u64> = self.others.iter_mut().flat_map(received_ids).collect();
+    fn assert_other_shards_received_nothing(&mut self) {
+        let received: Vec<u64> = self
+            .other_shards
+            .iter_mut()
+            .flat_map(received_ids)
+            .collect();
         assert!(received.is_empty(), "{received:?} went to another shard");
     }
 }
@@ -128,10 +135,10 @@
         !fixture.router.is_alive(fixture.key_shard),
         "the shard has never been open"
     );
-    let mut opened = fixture.router.wait_until_open().boxed_local();
-    assert!((&mut opened).now_or_never().is_none());
+    let mut router_open = fixture.router.wait_until_open().boxed_local();
+    assert!((&mut router_open).now_or_never().is_none());
     let _incoming = open(&fixture.router, fixture.key_shard).await;
-    assert!((&mut opened).now_or_never().is_some());
+    assert!((&mut router_open).now_or_never().is_some());
     assert!(fixture.router.is_alive(fixture.key_shard));
 }
 
@@ -142,7 +149,7 @@
     let mut incoming = open(&fixture.router, fixture.key_shard).await;
     let _pending = submitting.await;
     assert_eq!(received_ids(&mut incoming), [2]);
-    fixture.assert_others_received_nothing();
+    fixture.assert_other_shards_received_nothing();
 }
 
 #[tokio::test]
@@ -154,7 +161,7 @@
     let mut incoming = open(&fixture.router, fixture.key_shard).await;
     let _pending = submitting.await;
     assert_eq!(received_ids(&mut incoming), [2]);
-    fixture.assert_others_received_nothing();
+    fixture.assert_other_shards_received_nothing();
 }
 
 #[tokio::test]
@@ -166,8 +173,10 @@
     // Later requests are polled first once the shard is open; they must still wait.
     let third = fixture.submit_and_block(request(4));
     assert!((&mut second).now_or_never().is_none());
-    let _first = (&mut first).now_or_never().expect("it is next");
-    let _others = (second.await, third.await);
+    let _first = (&mut first)
+        .now_or_never()
+        .expect("the first request is next");
+    let _later = (second.await, third.await);
     assert_eq!(received_ids(&mut incoming), [2, 3, 4]);
 }
 
@@ -179,13 +188,13 @@
         ..request(2)
     };
     let pending = fixture.router.submit(expired).await;
-    let answer = pending.now_or_never().expect("it is answered already");
+    let answer = pending.now_or_never().expect("the request is answered");
     let expected = Duration::from_secs(2);
     assert!(
         matches!(answer, Answer::Refused { retry_after } if retry_after == expected),
         "{answer:?}"
     );
-    fixture.assert_others_received_nothing();
+    fixture.assert_other_shards_received_nothing();
     // The refused request does not block later ones.
     let mut incoming = open(&fixture.router, fixture.key_shard).await;
     let _pending = fixture.router.submit(request(3)).await;
@@ -199,7 +208,7 @@
     fixture.router.cancel(SESSION).await;
     let mut incoming = open(&fixture.router, fixture.key_shard).await;
     let pending = submitting.await;
-    let answer = pending.now_or_never().expect("it is answered already");
+    let answer = pending.now_or_never().expect("the request is answered");
     assert!(
         matches!(answer, Answer::Failed(Failure::Cancelled)),
         "{answer:?}"
@@ -221,9 +230,13 @@
                 .router
                 .submit(request)
                 .now_or_never()
-                .expect("is handed over"),
+                .expect("the request is submitted at once"),
         );
     }
-    let received: Vec<u64> = fixture.others.iter_mut().flat_map(received_ids).collect();
+    let received: Vec<u64> = fixture
+        .other_shards
+        .iter_mut()
+        .flat_map(received_ids)
+        .collect();
     assert_eq!(received.len(), 16);
 }
