--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -34,15 +34,21 @@
         self.count(class, tenant, |answers| count_answer_kind(answers, answer));
     }
 
-    fn count(&mut self, class: &Arc<str>, tenant: Option<&str>, count: impl Fn(&mut AnswerCounts)) {
-        count(self.classes.entry(class.clone()).or_default());
+    fn count(
+        &mut self,
+        class: &Arc<str>,
+        tenant: Option<&str>,
+        add_one: impl Fn(&mut AnswerCounts),
+    ) {
+        add_one(self.classes.entry(class.clone()).or_default());
         let Some(tenant) = tenant else { return };
         match self.tenants.get_mut(tenant) {
-            Some(answers) => count(answers),
-            None => count(self.tenants.entry(tenant.to_string()).or_default()),
+            Some(answers) => add_one(answers),
+            None => add_one(self.tenants.entry(tenant.to_string()).or_default()),
         }
     }
 
+    /// Counts the outcome of an attempt under its name in the administration's response.
     pub fn count_attempt(&mut self, outcome: Outcome) {
         let name = match outcome {
             Outcome::Ok => "ok",
@@ -58,8 +64,8 @@
     }
 }
 
-/// Counters by name, with zeros for names without any counts yet.
-fn with_uncounted<N: AsRef<str>>(
+/// Counters by name, with zeros for names that nothing was counted for yet.
+fn with_zero_counters<N: AsRef<str>>(
     names: impl Iterator<Item = String>,
     counted: &BTreeMap<N, AnswerCounts>,
 ) -> BTreeMap<String, AnswerCounts> {
@@ -96,7 +102,7 @@
             }
             AdminRequest::Counters => return Ok(self.counters_response()),
             AdminRequest::Engines => return Ok(self.engines_response()),
-            // The router has already sent the new tenant with the settings.
+            // The router sends the new tenant with the settings, before this request.
             AdminRequest::Tenants | AdminRequest::SetTenant(..) => {
                 return Ok(self.tenants_response());
             }
@@ -136,8 +142,8 @@
         let classes = classes.iter().map(|class| class.name.clone());
         let tenants = tenants.iter().map(|tenant| tenant.name.clone());
         AdminResponse::Counters(Counters {
-            classes: with_uncounted(classes, &self.counters.classes),
-            tenants: with_uncounted(tenants, &self.counters.tenants),
+            classes: with_zero_counters(classes, &self.counters.classes),
+            tenants: with_zero_counters(tenants, &self.counters.tenants),
             attempts: attempts
                 .map(|(name, count)| (name.to_string(), *count))
                 .collect(),
--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -15,7 +15,7 @@
 use std::collections::HashSet;
 use tokio::time::Instant;
 
-/// Maximum age of a change when the change log delivers it.
+/// Maximum time between a change and its delivery by the change log.
 const MAX_CHANGE_DELAY: Micros = Micros::from_millis(7_000);
 
 /// A listed engine.
@@ -23,9 +23,9 @@
 pub(super) struct KnownEngine {
     pub target: Target,
     pub is_ready: bool,
-    /// Start time as listed, by the engine's clock.
+    /// Start time as listed, in Unix time by the engine's clock.
     pub reported_start_ms: Option<f64>,
-    /// Start time by this process's clock; zero means long ago.
+    /// Start time limited by this process's clock; zero, which counts as long ago, if none is listed.
     pub started_at: Micros,
     /// `None` while the engine is not in use.
     pub actor: Option<Actor>,
@@ -60,12 +60,12 @@
     /// Sets the listed start time. The clocks of two machines may differ or be stepped, so the time is limited: it is
     /// not in the future, and an engine in a change started at most [`MAX_CHANGE_DELAY`] ago. Engines in a full list
     /// may be of any age. A repeated report of the same start changes nothing.
-    fn set_reported_start(&mut self, start_ms: Option<f64>, listing: ListUpdate, now: Micros) {
+    fn set_reported_start(&mut self, start_ms: Option<f64>, update: ListUpdate, now: Micros) {
         if self.reported_start_ms == start_ms {
             return;
         }
         let started_at = millis_to_micros(start_ms.unwrap_or_default());
-        let earliest = match listing {
+        let earliest = match update {
             ListUpdate::Changes => now - MAX_CHANGE_DELAY,
             ListUpdate::Saved | ListUpdate::Complete => Micros(0),
         };
@@ -84,15 +84,15 @@
         }
     }
 
-    /// Drops the actor that reports to be idle, if it has received all commands. If more were sent meanwhile, it will
-    /// report again.
+    /// Drops the actor that has reported to be idle, unless more commands were sent to it meanwhile: then it reports
+    /// again.
     fn release_idle_actor(&mut self, idle_engine: &IdleEngine) {
-        let is_done = |actor: &Actor| {
+        let has_received_all = |actor: &Actor| {
             let mailbox = idle_engine.mailbox.upgrade();
             let is_same_actor = mailbox.is_some_and(|mailbox| mailbox.same_channel(&actor.mailbox));
             is_same_actor && actor.sent_count == idle_engine.received_count
         };
-        if self.actor.as_ref().is_some_and(is_done) {
+        if self.actor.as_ref().is_some_and(has_received_all) {
             self.actor = None;
         }
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    pub(super) fn update_engine_list(&mut self, listing: ListUpdate, targets: Vec<Target>) {
+    pub(super) fn update_engine_list(&mut self, update: ListUpdate, targets: Vec<Target>) {
         let mut engines = Vec::new();
         for target in &targets {
             let id = self.engine_id(&target.uid);
@@ -123,20 +123,20 @@
                         shard.forget_engine(&target.uid);
                     }
                 }
-                state => self.update_engine(id, target, state == EngineState::Ready, listing),
+                state => self.update_engine(id, target, state == EngineState::Ready, update),
             }
             engines.push(self.list_entry(id, target, state));
         }
-        let kind = match listing {
+        let kind = match update {
             ListUpdate::Saved => ListKind::Saved,
             ListUpdate::Complete => ListKind::Complete,
             ListUpdate::Changes => ListKind::Changes,
         };
-        if listing != ListUpdate::Changes {
-            let listed: HashSet<EngineId> = engines.iter().map(|engine| engine.id).collect();
-            let known = self.engines.keys().copied();
-            let gone: Vec<EngineId> = known.filter(|id| !listed.contains(id)).collect();
-            gone.into_iter().for_each(|id| self.remove_engine(id));
+        if update != ListUpdate::Changes {
+            let listed_ids: HashSet<EngineId> = engines.iter().map(|engine| engine.id).collect();
+            let known_ids = self.engines.keys().copied();
+            let unlisted: Vec<EngineId> = known_ids.filter(|id| !listed_ids.contains(id)).collect();
+            unlisted.into_iter().for_each(|id| self.remove_engine(id));
         }
         self.events.push(Event::List { kind, engines });
         self.update_engine_metrics();
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The id of an engine, taken from its uid, so that all dispatchers order engines alike.
+    /// The id of an engine. It is derived from the uid, so that all dispatchers order engines alike.
     pub(super) fn engine_id(&self, uid: &str) -> EngineId {
         if let Some(id) = self.engine_ids.get(uid) {
             return *id;
@@ -175,20 +175,14 @@
         if let Some(shard) = &self.shard {
             return shard.engine_id(uid, || id_from_uid(uid));
         }
-        let mut number = id_from_uid(uid);
-        while self.engines.contains_key(&EngineId(number)) {
-            number = number.wrapping_add(1);
+        let mut id = id_from_uid(uid);
+        while self.engines.contains_key(&EngineId(id)) {
+            id = id.wrapping_add(1);
         }
-        EngineId(number)
+        EngineId(id)
     }
 
-    fn update_engine(
-        &mut self,
-        id: EngineId,
-        target: &Target,
-        is_ready: bool,
-        listing: ListUpdate,
-    ) {
+    fn update_engine(&mut self, id: EngineId, target: &Target, is_ready: bool, update: ListUpdate) {
         let previous_state = self.engines.get(&id).map(|engine| &engine.target.state);
         if previous_state != Some(&target.state) {
             log::info!(
@@ -210,7 +204,7 @@
         }
         let now = self.clock.micros(Instant::now());
         let engine = self.engines.entry(id).or_default();
-        engine.set_reported_start(target.boot_ms, listing, now);
+        engine.set_reported_start(target.boot_ms, update, now);
         engine.target = target.clone();
         engine.is_ready = is_ready;
         if !is_ready {
@@ -268,7 +262,7 @@
     number.unwrap_or_else(|| Key::from_name(uid).0)
 }
 
-/// The outcome and the reported load that the gateway gets for a probe.
+/// The outcome and the load report that the gateway gets for a probe.
 pub(super) fn probe_outcome(probe: ProbeResult) -> (Outcome, Option<LoadReport>) {
     match probe {
         ProbeResult::Up(load) => (Outcome::Ok, load),
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -35,7 +35,7 @@
 
 /// Capacity of the broker's mailbox; senders wait while it is full.
 const MAILBOX_CAPACITY: usize = 4096;
-/// How long the last usage report of a peer process counts. A peer process reports ten times a second.
+/// How long a usage report of a peer process stays valid. Peer processes report ten times a second.
 const PEER_USAGE_LIFETIME: Micros = Micros::from_millis(1000);
 /// An aborted attempt gets its outcome after this time even if the engine's actor does not confirm the abort. It is
 /// longer than the actor needs to close a connection on which the abort can't be written.
@@ -67,6 +67,7 @@
     /// Another shard has released capacity that this one may be waiting for.
     capacity_released: bool,
     clock: Clock,
+    /// Sends to the broker's own mailbox.
     own_sender: BrokerSender,
     open_requests: HashMap<RequestId, OpenRequest>,
     engines: BTreeMap<EngineId, KnownEngine>,
@@ -76,12 +77,13 @@
     drained: BTreeSet<String>,
     counters: Tally,
     metrics: Metrics,
-    /// The engine metrics as last reported.
+    /// The engine metrics that were reported last.
     reported_engines: metrics::ShardEngines,
     /// Events for the gateway's next batch.
     events: Vec<Event>,
     /// Requests that are answered and have no attempt in flight, removed after the next batch.
-    finished: Vec<RequestId>,
+    finished_requests: Vec<RequestId>,
+    /// Timers by their time and the order in which they were set.
     timers: BTreeMap<(Instant, u64), BrokerTimer>,
     timer_count: u64,
     last_batch_at: Option<Instant>,
@@ -106,14 +108,14 @@
     let RuntimeSettings {
         settings,
         names,
-        max_open_requests: most_open,
+        max_open_requests,
     } = (*config.runtime_settings).clone();
     let broker = Broker {
         gateway: Gateway::new(settings.clone(), config.seed),
         class_names: class_names(&settings),
         settings,
         names,
-        max_open_requests: most_open,
+        max_open_requests,
         engine_transport: config.engine_transport,
         shard: config.shard,
         capacity_released: false,
@@ -127,7 +129,7 @@
         metrics: config.metrics,
         reported_engines: metrics::ShardEngines::default(),
         events: Vec::new(),
-        finished: Vec::new(),
+        finished_requests: Vec::new(),
         timers: BTreeMap::new(),
         timer_count: 0,
         last_batch_at: None,
@@ -141,7 +143,7 @@
 }
 
 /// Converts the usage of peer processes to that of a shard, with classes in the order of this process's settings.
-fn peer_usage(usage: &HandoverState, classes: &[Arc<str>], until: Micros) -> ShardUsage {
+fn peer_usage(usage: &HandoverState, classes: &[Arc<str>], valid_until: Micros) -> ShardUsage {
     let engines = usage.engines.iter();
     let class_usage = |name: &Arc<str>| {
         let class = usage.classes.iter().find(|class| *class.name == **name);
@@ -152,7 +154,7 @@
             .map(|engine| (engine.engine, engine.usage.clone()))
             .collect(),
         classes: classes.iter().map(class_usage).collect(),
-        all_ended_by: until,
+        all_ended_by: valid_until,
         ..ShardUsage::default()
     }
 }
@@ -209,7 +211,7 @@
             .min()
     }
 
-    /// Whether there is anything for the gateway to process.
+    /// Whether there are events for the gateway, or capacity was released.
     fn has_pending_events(&self) -> bool {
         self.capacity_released || !self.events.is_empty()
     }
@@ -270,7 +272,7 @@
                 query.remaining = remaining;
             }
         }
-        let finished = std::mem::take(&mut self.finished);
+        let finished_requests = std::mem::take(&mut self.finished_requests);
         events.iter().for_each(|event| log::trace!("{event:?}"));
         let (actions, is_valid) = self.decide(now, events);
         for action in actions {
@@ -282,7 +284,7 @@
                 action => self.execute(action, now),
             }
         }
-        for id in finished {
+        for id in finished_requests {
             self.open_requests.remove(&id);
             if let Some(shard) = &self.shard {
                 shard.release_request(id);
@@ -293,10 +295,10 @@
 
     /// Updates the metrics of discovered and ejected engines if they have changed.
     fn update_engine_metrics(&mut self) {
-        let avoided = self.gateway.ejected_engines().into_iter();
+        let ejected = self.gateway.ejected_engines().into_iter();
         let engines = metrics::ShardEngines {
             discovered: self.engines.len(),
-            ejected: avoided.map(|(id, until)| (id.0, until.0)).collect(),
+            ejected: ejected.map(|(id, until)| (id.0, until.0)).collect(),
         };
         if engines != self.reported_engines {
             let shard = self.shard.as_ref().map_or(0, Shard::index);
@@ -346,7 +348,7 @@
                 request,
                 memory_mb,
                 priority,
-            } => self.update_terms(request, memory_mb, priority),
+            } => self.update_attempt_resources(request, memory_mb, priority),
             Action::Send {
                 request,
                 engine,
@@ -369,7 +371,7 @@
                 self.set_timer(at, BrokerTimer::Gateway(timer));
             }
             Action::Probe { engine } => self.probe(engine),
-            // The change log is followed by a task of its own.
+            // A separate task follows the change log.
             Action::SubscribeToEngineList => {}
             Action::Log(text) => log::info!("{text}"),
         }
@@ -403,9 +405,7 @@
                 self.engine_idle(engine, &idle_engine)
             }
             BrokerMessage::EngineActorDied(engine) => self.engine_actor_died(engine),
-            BrokerMessage::EngineList(listing, targets) => {
-                self.update_engine_list(listing, targets)
-            }
+            BrokerMessage::EngineList(update, targets) => self.update_engine_list(update, targets),
             BrokerMessage::GetHandoverState(reply) => {
                 // The requester may have stopped waiting.
                 let _ = reply.send(self.gateway.handover_state());
@@ -419,7 +419,7 @@
                 self.set_peer_process_usage(&usage, may_use_cold_engines)
             }
             BrokerMessage::Shutdown => self.events.push(Event::Shutdown),
-            // The sender is dropped after the call, which the requester waits for.
+            // The requester waits until `_applied` is dropped, which happens after the call.
             BrokerMessage::Reconfigure(runtime_settings, _applied) => {
                 self.reconfigure(&runtime_settings)
             }
@@ -469,10 +469,10 @@
     // ---- Requests ----
 
     fn submit(&mut self, request: NewRequest, reply: oneshot::Sender<Answer>) {
-        let refused = Answer::Refused {
+        let refusal = Answer::Refused {
             retry_after: to_duration(self.settings.max_retry_after),
         };
-        // Errors of `send` are ignored: nobody waits for the answer any more.
+        // `send` fails only if nobody waits for the answer any more.
         if request.cancel_token.is_cancelled() {
             let _ = reply.send(Answer::Failed(Failure::Cancelled));
             return;
@@ -484,7 +484,7 @@
         // The gateway would never answer a request of an unknown class.
         let is_unknown_class = request.class.0 >= self.class_names.len();
         if self.open_requests.len() >= self.max_open_requests || is_unknown_class {
-            let _ = reply.send(refused);
+            let _ = reply.send(refusal);
             return;
         }
         let id = request.id;
@@ -542,20 +542,21 @@
         self.counters.count_answer(class, tenant, &answer);
         // If the client has just disconnected, the result is dropped, which releases it at the engine.
         let _ = reply.send(answer);
-        self.note_if_finished(id);
+        self.schedule_removal_if_finished(id);
     }
 
     /// Schedules the removal of a request that is answered and has no attempt in flight. This happens once: a second
     /// removal could hit a later request with the same id.
-    fn note_if_finished(&mut self, id: RequestId) {
+    fn schedule_removal_if_finished(&mut self, id: RequestId) {
         if let Some(request) = self.open_requests.get_mut(&id)
             && request.is_finished()
-            && !std::mem::replace(&mut request.is_noted_as_finished, true)
+            && !std::mem::replace(&mut request.is_removal_scheduled, true)
         {
-            self.finished.push(id);
+            self.finished_requests.push(id);
         }
     }
 
+    /// Handles a client that has disconnected or cancelled its request, which is answered with this failure.
     fn client_left(&mut self, id: RequestId, failure: Failure) {
         if self
             .open_requests
@@ -567,7 +568,7 @@
         }
     }
 
-    /// Answers a request that the gateway has left without an answer.
+    /// Answers a request for which the gateway has sent no answer.
     fn answer_overdue(&mut self, id: RequestId) {
         if self
             .open_requests
@@ -592,13 +593,13 @@
     }
 
     /// Sets the memory grant of the next attempt, and the priority, which also applies to attempts in flight.
-    fn update_terms(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
+    fn update_attempt_resources(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
         let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
         request.memory_grant_mb = memory_grant(memory_mb);
-        let changed = std::mem::replace(&mut request.priority, priority) != priority;
-        for (attempt_no, attempt) in request.attempts_in_flight().filter(|_| changed) {
+        let has_changed = std::mem::replace(&mut request.priority, priority) != priority;
+        for (attempt_no, attempt) in request.attempts_in_flight().filter(|_| has_changed) {
             send_command(
                 &attempt.mailbox,
                 EngineCommand::Reprioritize(id, attempt_no, priority),
@@ -606,6 +607,7 @@
         }
     }
 
+    /// Sends an attempt of a request to an engine, unless the request or the engine no longer allows it.
     fn send(
         &mut self,
         id: RequestId,
@@ -715,7 +717,7 @@
             work: None,
             load_report: None,
         }));
-        self.note_if_finished(id);
+        self.schedule_removal_if_finished(id);
     }
 
     /// Removes an attempt that is in flight and cancels its token, so that nothing more of it is written.
@@ -828,7 +830,7 @@
         result: AttemptResult,
     ) {
         let now = Instant::now();
-        // Results that cross a cancellation or timeout are ignored: the attempt has its outcome.
+        // A result that arrives after a cancellation or a timeout is ignored: the attempt has its outcome.
         if !self.is_in_flight(engine, id, attempt_no) {
             return;
         }
--- a/broker/src/requests.rs
+++ b/broker/src/requests.rs
@@ -44,8 +44,7 @@
     pub memory_grant_mb: Option<NonZeroU32>,
     /// Attempts by number; `None` once an attempt has its outcome.
     pub attempts: Vec<Option<InFlightAttempt>>,
-    /// The request is scheduled for removal.
-    pub is_noted_as_finished: bool,
+    pub is_removal_scheduled: bool,
 }
 
 impl OpenRequest {
@@ -63,11 +62,11 @@
             idempotency_token: request.idempotency_token,
             order_key: request.order_key,
             cancel_token: request.cancel_token,
-            // The priority of requests for which the gateway sets none.
+            // Used unless the gateway sets a priority.
             priority: 1,
             memory_grant_mb: None,
             attempts: Vec::new(),
-            is_noted_as_finished: false,
+            is_removal_scheduled: false,
         }
     }
 
@@ -75,9 +74,10 @@
         self.attempts.get(attempt_no.0 as usize)?.as_ref()
     }
 
+    /// The attempts in flight, with their numbers.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (AttemptNo, &InFlightAttempt)> {
-        let numbered = self.attempts.iter().enumerate();
-        numbered.filter_map(|(attempt_no, attempt)| {
+        let numbered_attempts = self.attempts.iter().enumerate();
+        numbered_attempts.filter_map(|(attempt_no, attempt)| {
             Some((AttemptNo(attempt_no as u32), attempt.as_ref()?))
         })
     }
--- a/broker/src/shards.rs
+++ b/broker/src/shards.rs
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// Number of maps that the open requests are split into, to keep lock contention between shards low.
-const STRIPES: usize = 64;
-/// A decision that takes longer than this is discarded: its capacity may already be leased to another shard.
+/// Number of maps into which the open requests are split, to keep lock contention between shards low.
+const STRIPE_COUNT: usize = 64;
+/// Sends of a decision that takes longer than this are dropped: the capacity may already be leased to another shard.
 const LEASE_DURATION: Micros = Micros::from_millis(250);
 
 /// An engine's id and the shards that know the engine. The entry is removed with the last of them; otherwise uids of
@@ -25,9 +25,9 @@
 /// State shared by the shards of one dispatcher.
 pub struct ShardLeases {
     lease_table: Mutex<LeaseTable>,
-    /// Per shard: notified when another shard has released capacity that it waits for.
+    /// One per shard, notified when another shard has released capacity that the shard waits for.
     capacity_released: Vec<Notify>,
-    /// The shard of each open request; an id is open at most once over all shards.
+    /// The shard of each open request. An id is open at one shard only.
     open_requests: Vec<Stripe>,
     /// Engine ids by uid, the same at all shards.
     engine_ids: Mutex<HashMap<String, NumberedEngine>>,
@@ -39,9 +39,9 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn lease_terms(shards: usize, max_open_requests: usize, settings: &Settings) -> LeaseTerms {
+fn lease_terms(shard_count: usize, max_open_requests: usize, settings: &Settings) -> LeaseTerms {
     LeaseTerms {
-        shard_count: shards,
+        shard_count,
         lease_duration: LEASE_DURATION,
         redistribution_interval: settings.tick,
         cold_window: settings.overload_window,
@@ -52,16 +52,16 @@
 
 impl ShardLeases {
     pub fn new(
-        shards: usize,
+        shard_count: usize,
         max_open_requests: usize,
         settings: &Settings,
         router: RequestRouter,
     ) -> Arc<ShardLeases> {
-        let terms = lease_terms(shards, max_open_requests, settings);
+        let terms = lease_terms(shard_count, max_open_requests, settings);
         Arc::new(ShardLeases {
             lease_table: Mutex::new(LeaseTable::new(terms)),
-            capacity_released: (0..shards).map(|_| Notify::new()).collect(),
-            open_requests: (0..STRIPES).map(|_| Mutex::default()).collect(),
+            capacity_released: (0..shard_count).map(|_| Notify::new()).collect(),
+            open_requests: (0..STRIPE_COUNT).map(|_| Mutex::default()).collect(),
             engine_ids: Mutex::default(),
             router,
         })
@@ -74,7 +74,8 @@
         notifiers.for_each(Notify::notify_one);
     }
 
-    /// Releases everything of a shard whose broker has died, and with it the actors and connections of its engines.
+    /// Releases the leases, request ids and engine ids of a shard whose broker has died. The actors and connections of
+    /// its engines have ended with the broker.
     pub fn shard_crashed(&self, shard: usize) {
         let waiters = lock(&self.lease_table).remove_crashed_shard(ShardId(shard));
         for stripe in &self.open_requests {
@@ -146,12 +147,13 @@
         self.shared.capacity_released[self.id.0].notified().await;
     }
 
+    /// Records at the router that this shard's broker is running.
     pub fn heartbeat(&self) {
         self.shared.router.heartbeat(self.id.0);
     }
 
     fn stripe(&self, id: RequestId) -> &Stripe {
-        &self.shared.open_requests[(id.0 % STRIPES as u64) as usize]
+        &self.shared.open_requests[(id.0 % STRIPE_COUNT as u64) as usize]
     }
 
     /// Claims a request id for this shard; returns false if the id is open at any shard.
@@ -164,11 +166,13 @@
         true
     }
 
+    /// Releases the claim of a request id.
     pub fn release_request(&self, id: RequestId) {
         lock(self.stripe(id)).remove(&id);
     }
 
-    /// The id of an engine. The first shard that asks sets it, starting from `preferred_id` until a free one is found.
+    /// The id of an engine, the same at all shards. The first call for a uid assigns it: `preferred_id`, or the next id
+    /// that is not in use.
     pub fn engine_id(&self, uid: &str, preferred_id: impl FnOnce() -> u64) -> EngineId {
         let mut engines = lock(&self.shared.engine_ids);
         if let Some(engine) = engines.get_mut(uid) {
@@ -184,7 +188,7 @@
         id
     }
 
-    /// Records that this shard no longer knows the engine.
+    /// Releases the engine's id once no shard knows the engine.
     pub fn forget_engine(&self, uid: &str) {
         let mut engines = lock(&self.shared.engine_ids);
         if let Some(engine) = engines.get_mut(uid) {
--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -1,4 +1,5 @@
-//! The events that the broker gives the gateway: like the simulator's adapter, exactly one outcome per attempt.
+//! Tests of the events that the broker passes to the gateway: exactly one outcome per attempt, as from the simulator's
+//! adapter.
 
 use super::*;
 use bytes::Bytes;
@@ -32,14 +33,14 @@
 
 /// A configuration with this `domain` section in its settings.
 fn config_with(domain: &str) -> BrokerConfig {
-    let facts = r#"{"balancers": 1, "tick": 5, "domain": DOMAIN, "kinds": ["std"], "tenants": [{"name": "acme"}],
+    let settings_json = r#"{"balancers": 1, "tick": 5, "domain": DOMAIN, "kinds": ["std"], "tenants": [{"name": "acme"}],
         "limits": {"cancel": true, "max_attempts": 3}, "services": [{"name": "load", "on_time": 9000, "give_up": 9000}]}"#;
-    let facts = &facts.replace("DOMAIN", domain);
-    let facts: sedgebeam_settings::GatewaySettings =
-        miniserde::json::from_str(facts).expect("settings");
+    let settings_json = &settings_json.replace("DOMAIN", domain);
+    let gateway_settings: sedgebeam_settings::GatewaySettings =
+        miniserde::json::from_str(settings_json).expect("settings");
     let runtime_settings = RuntimeSettings {
-        settings: facts.settings(),
-        names: facts.names(),
+        settings: gateway_settings.settings(),
+        names: gateway_settings.names(),
         max_open_requests: 100,
     };
     BrokerConfig {
@@ -56,7 +57,7 @@
 fn fixture() -> Fixture {
     let (mut broker, _, _) = new(config());
     let (mailbox, commands) = mpsc::channel(16);
-    let known = KnownEngine {
+    let engine = KnownEngine {
         target: <Target as Default>::default(),
         is_ready: true,
         actor: Some(engines::Actor {
@@ -65,7 +66,7 @@
         }),
         ..KnownEngine::default()
     };
-    broker.engines.insert(ENGINE, known);
+    broker.engines.insert(ENGINE, engine);
     let (reply, answer) = oneshot::channel();
     broker.submit(request(), reply);
     broker.events.clear();
@@ -223,10 +224,15 @@
                 AttemptResult::Busy,
             );
         }
-        let full = |attempt_no| (attempt_no, Outcome::Rejected, false);
+        let rejected = |attempt_no| (attempt_no, Outcome::Rejected, false);
         assert_eq!(
             with_attempts_exhausted.outcomes(),
-            [full(0), full(1), full(2), (3, Outcome::NotSent, false)]
+            [
+                rejected(0),
+                rejected(1),
+                rejected(2),
+                (3, Outcome::NotSent, false)
+            ]
         );
 
         let mut after_disconnect = fixture();
@@ -353,8 +359,8 @@
     run_in_runtime(|| {
         let mut fixture = fixture();
         fixture.send();
-        fixture.broker.update_terms(ID, 0.0, 1);
-        fixture.broker.update_terms(ID, 0.0, 3);
+        fixture.broker.update_attempt_resources(ID, 0.0, 1);
+        fixture.broker.update_attempt_resources(ID, 0.0, 3);
         assert_eq!(fixture.command_names(), ["Send", "Reprioritize"]);
     });
 }
@@ -485,15 +491,15 @@
             ListUpdate::Complete,
             vec![target],
         ));
-        let (reply, _gone) = oneshot::channel();
+        let (reply, _answer) = oneshot::channel();
         broker.submit(request(), reply);
         broker.client_left(ID, Failure::Cancelled);
         broker.process_batch(Instant::now());
-        let (reply, mut second_request) = oneshot::channel();
+        let (reply, mut second_answer) = oneshot::channel();
         broker.submit(request(), reply);
         broker.process_batch(Instant::now());
         assert_eq!(
-            second_request.try_recv().err(),
+            second_answer.try_recv().err(),
             Some(oneshot::error::TryRecvError::Empty)
         );
     });
@@ -567,8 +573,8 @@
             other => panic!("no attempt, but {other:?}"),
         };
         let set_memory_grant = |fixture: &mut Fixture, memory_mb| {
-            let terms = Action::attempt_resources(ID, memory_mb, 1);
-            fixture.broker.execute(terms, Instant::now());
+            let resources = Action::attempt_resources(ID, memory_mb, 1);
+            fixture.broker.execute(resources, Instant::now());
         };
         set_memory_grant(&mut fixture, 96.0);
         fixture.send();
@@ -584,7 +590,7 @@
         fixture
             .broker
             .attempt_ended(ENGINE, ID, AttemptNo(1), AttemptResult::Busy);
-        // New settings disable grants; the gateway may set no new terms under them.
+        // New settings disable grants, and the gateway may not replace the grant that it set before.
         fixture.broker.settings.takes_grants = false;
         fixture.send();
         assert_eq!(grant_of(&mut fixture), None);
@@ -596,13 +602,13 @@
     run_in_runtime(|| {
         let mut fixture = fixture();
         for invalid_mb in [0.0, 0.4, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-            fixture.broker.update_terms(ID, invalid_mb, 1);
+            fixture.broker.update_attempt_resources(ID, invalid_mb, 1);
             assert_eq!(
                 fixture.broker.open_requests[&ID].memory_grant_mb, None,
                 "{invalid_mb}"
             );
         }
-        fixture.broker.update_terms(ID, 96.0, 1);
+        fixture.broker.update_attempt_resources(ID, 96.0, 1);
         let granted_mb = fixture.broker.open_requests[&ID].memory_grant_mb;
         assert_eq!(granted_mb.map(u32::from), Some(96));
     });
@@ -734,9 +740,9 @@
         let mut fixture = fixture();
         let mailbox = fixture.broker.engines[&ENGINE].actor.as_ref();
         let mailbox = mailbox.expect("an actor").mailbox.downgrade();
-        let idle_engine = |taken| IdleEngine {
+        let idle_engine = |received_count| IdleEngine {
             mailbox: mailbox.clone(),
-            received_count: taken,
+            received_count,
         };
         let has_actor = |fixture: &Fixture| fixture.broker.engines[&ENGINE].actor.is_some();
         fixture.broker.probe(ENGINE);
@@ -745,20 +751,23 @@
             has_actor(&fixture),
             "the actor has not received the probe yet"
         );
-        let (other, _kept) = mpsc::channel(1);
+        let (other_mailbox, _receiver) = mpsc::channel(1);
         let from_earlier_actor = IdleEngine {
-            mailbox: other.downgrade(),
+            mailbox: other_mailbox.downgrade(),
             received_count: 1,
         };
         fixture.broker.engine_idle(ENGINE, &from_earlier_actor);
-        assert!(has_actor(&fixture), "the report is of an earlier actor");
+        assert!(
+            has_actor(&fixture),
+            "the report comes from an earlier actor"
+        );
         fixture.broker.engine_idle(ENGINE, &idle_engine(1));
         assert!(!has_actor(&fixture));
     });
 }
 
-/// The age of an engine as the gateway gets it, for an engine whose clock gives a start `from_now_ms` from now.
-fn listed_age(listing: ListUpdate, from_now_ms: f64) -> Micros {
+/// The age that the gateway gets for an engine with a listed start time `start_offset_ms` from now.
+fn listed_age(update: ListUpdate, start_offset_ms: f64) -> Micros {
     let config = config();
     let clock = config.clock;
     let (mut broker, _, _) = new(config);
@@ -766,10 +775,10 @@
     let target = Target {
         uid: "s-00000001".to_string(),
         state: "up".to_string(),
-        boot_ms: Some(now + from_now_ms),
+        boot_ms: Some(now + start_offset_ms),
         ..Target::default()
     };
-    broker.update_engine_list(listing, vec![target]);
+    broker.update_engine_list(update, vec![target]);
     let started_at = broker.events.iter().find_map(|event| match event {
         Event::List { engines, .. } => Some(engines[0].started_at),
         _ => None,
@@ -790,9 +799,9 @@
 #[test]
 fn an_engine_whose_clock_is_ahead_counts_as_started_when_listed() {
     run_in_runtime(|| {
-        for listing in [ListUpdate::Saved, ListUpdate::Complete, ListUpdate::Changes] {
-            let age = listed_age(listing, HOUR_MS);
-            assert!(age < Micros::from_millis(1_000), "{listing:?}: {age:?}");
+        for update in [ListUpdate::Saved, ListUpdate::Complete, ListUpdate::Changes] {
+            let age = listed_age(update, HOUR_MS);
+            assert!(age < Micros::from_millis(1_000), "{update:?}: {age:?}");
         }
     });
 }
