--- a/engines/src/connection_slots.rs
+++ b/engines/src/connection_slots.rs
@@ -1,7 +1,7 @@
 //! Limits the number of connections that are open to all engines together.
 //!
-//! The limit per engine does not bound their sum: with hundreds of engines it would use up the file descriptors
-//! that clients, the change log and files need.
+//! The limit per engine does not bound their sum: with hundreds of engines the connections would use up the file
+//! descriptors that clients, the change log and files need.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/engines/src/flight.rs
+++ b/engines/src/flight.rs
@@ -1,8 +1,8 @@
 //! The actor of an engine that speaks Arrow Flight SQL.
 //!
 //! An attempt is polled with PollFlightInfo, which reports its progress, until its result is ready; engines without
-//! PollFlightInfo get GetFlightInfo instead. Its ticket is then redeemed with DoGet. A failed attempt counts as
-//! never run only if the error carries [`NOT_RUN_METADATA`].
+//! PollFlightInfo get GetFlightInfo instead. The ticket of the result is then redeemed with DoGet. A failed attempt
+//! counts as never run only if the error carries [`NOT_RUN_METADATA`].
 
 use crate::NetworkTransport;
 use crate::connection_slots::ConnectionSlot;
@@ -43,14 +43,14 @@
 /// The delay after the first poll; it doubles with each poll. It starts short because most queries are short.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(10);
 const MAX_POLL_DELAY: Duration = Duration::from_millis(500);
-/// Page requests of one attempt that may wait; a reader asks for one page at a time.
+/// Maximum number of page requests of one attempt that wait; a reader asks for one page at a time.
 const PAGE_REQUEST_CAPACITY: usize = 4;
-/// Finished attempts that may wait for the actor.
+/// Maximum number of finished attempts that wait for the actor.
 const FINISHED_CAPACITY: usize = 1024;
-/// The interval of HTTP/2 pings while calls are in flight, and the time limit for their acknowledgement. Without
-/// them a connection that is dead but still open would block its calls and all later ones.
-const KEEP_ALIVE: Duration = Duration::from_millis(700);
-/// Bound on one gRPC message from an engine.
+/// The interval of HTTP/2 pings while calls are in flight, and the time limit for their acknowledgement. Without pings
+/// a connection that is dead but still open would block its calls and all later ones.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(700);
+/// Bound on the size of one gRPC message from an engine.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
 type Client = FlightServiceClient<Channel>;
@@ -66,6 +66,7 @@
     last_used_at: Instant,
 }
 
+/// An attempt whose task is running.
 struct RunningAttempt {
     attempt_no: AttemptNo,
     connection_id: u64,
@@ -139,12 +140,13 @@
                 self.reprioritize(request_id, attempt_no, priority)
             }
             EngineCommand::Probe => self.probe(),
-            EngineCommand::FetchPage(more) => {
-                let running = self.running_attempts.get(&more.request);
-                let running = running.filter(|running| running.attempt_no == more.attempt_no);
+            EngineCommand::FetchPage(page_request) => {
+                let running = self.running_attempts.get(&page_request.request);
+                let running =
+                    running.filter(|running| running.attempt_no == page_request.attempt_no);
                 // If the attempt has ended or its channel is full, the reader's reply channel is closed.
                 if let Some(running) = running
-                    && running.page_requests.try_send(more).is_err()
+                    && running.page_requests.try_send(page_request).is_err()
                 {
                     log::debug!(
                         "{}: dropped a page request: too many wait, or the result has ended",
@@ -207,12 +209,12 @@
     /// Adds an attempt to the connection with the most attempts that has room for one more, or to a new connection.
     fn reserve_stream(&mut self) -> Option<(u64, PendingChannel)> {
         let max_streams = self.settings().max_streams;
-        let with_room = self
+        let available = self
             .connections
             .iter_mut()
             .filter(|(_, connection)| connection.attempts_in_flight < max_streams);
         if let Some((connection_id, connection)) =
-            with_room.max_by_key(|(connection_id, connection)| {
+            available.max_by_key(|(connection_id, connection)| {
                 (connection.attempts_in_flight, **connection_id)
             })
         {
@@ -250,7 +252,7 @@
             self.reserve_stream()
         };
         let Some((connection_id, channel)) = stream else {
-            // `Void` does not count as a failure of the engine.
+            // `NotRun` does not count as a failure of the engine.
             self.reporter
                 .attempt_ended(request_id, attempt_no, AttemptResult::NotRun)
                 .await;
@@ -291,7 +293,7 @@
                     .await;
             }
             let is_connection_broken = is_connection_broken.unwrap_or(false);
-            // An actor that has ended needs no notice.
+            // Sending fails only if the actor has ended.
             let _ = finished.send(to_finished(is_connection_broken)).await;
         };
         supervise::spawn_supervised(format!("attempt at {}", self.endpoint), run, move || {
@@ -328,7 +330,7 @@
             format!("{:016x} {priority}", request_id.0),
         );
         tokio::spawn(async move {
-            // An engine without priorities answers with an error, which does no harm.
+            // Engines that do not support priorities answer with an error, which is ignored.
             let _ = client(channel).do_action(action).await;
         });
     }
@@ -373,8 +375,8 @@
     let address = endpoint.trim_start_matches(super::FLIGHT_SCHEME);
     let endpoint = Endpoint::from_shared(format!("http://{address}"))?
         .connect_timeout(connect_timeout)
-        .http2_keep_alive_interval(KEEP_ALIVE)
-        .keep_alive_timeout(KEEP_ALIVE)
+        .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+        .keep_alive_timeout(KEEP_ALIVE_INTERVAL)
         .tcp_nodelay(true);
     endpoint.connect().await
 }
@@ -414,7 +416,7 @@
 }
 
 /// How an attempt ended, according to its error.
-fn end_of_error(status: &Status) -> AttemptResult {
+fn result_of_error(status: &Status) -> AttemptResult {
     let not_run = status.metadata().contains_key(NOT_RUN_METADATA);
     match status.code() {
         // The channel lost its connection earlier and could not reconnect.
@@ -469,14 +471,14 @@
             }
             Err(status) => {
                 log::debug!("{}: an attempt failed: {status}", self.endpoint);
-                let end = end_of_error(&status);
+                let result = result_of_error(&status);
                 let is_connection_broken =
-                    matches!(end, AttemptResult::Reset | AttemptResult::ConnectFailed);
-                if end != AttemptResult::ConnectFailed {
+                    matches!(result, AttemptResult::Reset | AttemptResult::ConnectFailed);
+                if result != AttemptResult::ConnectFailed {
                     self.metrics.count_forwards(1);
                 }
                 self.reporter
-                    .attempt_ended(request_id, attempt_no, end)
+                    .attempt_ended(request_id, attempt_no, result)
                     .await;
                 is_connection_broken
             }
@@ -499,7 +501,7 @@
             .wire_fields()
             .map(|(name, value)| (name, value.to_string()));
         for (name, value) in fields.into_iter().chain(grant).chain(client_fields) {
-            // A value that is not valid in a header, such as the name of a class, is left out.
+            // Values that are not valid in a header are omitted; the name of a class may be one.
             if let Ok(value) = value.parse() {
                 request.metadata_mut().insert(name, value);
             }
@@ -507,7 +509,7 @@
         request
     }
 
-    /// Runs the statement and opens its result.
+    /// Runs the statement; returns the stream of its result, and the work that the engine reported.
     async fn execute(
         &self,
         mut client: Client,
@@ -536,7 +538,7 @@
         ))
     }
 
-    /// Polls the statement until its result is ready and reports its progress.
+    /// Polls the statement until its result is ready, and reports its progress to the broker.
     async fn poll_until_ready(
         &self,
         client: &mut Client,
@@ -544,7 +546,7 @@
     ) -> Result<FlightInfo, Status> {
         let missing_info = || Status::internal("the engine answered a poll without flight info");
         let (mut next_descriptor, mut delay) = (descriptor.clone(), FIRST_POLL_DELAY);
-        // The engine may run the statement from the first poll on, before a response has the flight info that
+        // The engine may run the statement from the first poll on, before any response contains the flight info that
         // CancelFlightInfo needs.
         let abort_action = || Action::new(ABORT_ACTION, format!("{:016x}", self.attempt.request.0));
         let mut guard = CancelOnDrop(Some((client.clone(), abort_action())));
@@ -588,19 +590,19 @@
         mut page_requests: mpsc::Receiver<PageRequest>,
     ) {
         let (request_id, attempt_no) = (self.attempt.request, self.attempt.attempt_no);
-        let end = match next_page(&mut stream).await {
+        let result = match next_page(&mut stream).await {
             Ok(page) => AttemptResult::Ok {
                 page,
                 work,
                 load: None,
             },
-            Err(status) => end_of_error(&status),
+            Err(status) => result_of_error(&status),
         };
-        let has_more = matches!(&end, AttemptResult::Ok { page, .. } if !page.is_last);
+        let has_more_pages = matches!(&result, AttemptResult::Ok { page, .. } if !page.is_last);
         self.reporter
-            .attempt_ended(request_id, attempt_no, end)
+            .attempt_ended(request_id, attempt_no, result)
             .await;
-        while has_more && let Some(page_request) = page_requests.recv().await {
+        while has_more_pages && let Some(page_request) = page_requests.recv().await {
             let page = match next_page(&mut stream).await {
                 Ok(page) => page,
                 Err(status) => {
@@ -629,7 +631,7 @@
     }
 }
 
-/// The next page. The stream shows its end only after the last rows, so an empty last page follows them.
+/// The next page. The end of the stream is known only after the last rows, so an empty last page follows them.
 async fn next_page(stream: &mut FlightRecordBatchStream) -> Result<Page, Status> {
     match stream.next().await {
         None => Ok(Page {
--- a/engines/src/lib.rs
+++ b/engines/src/lib.rs
@@ -11,7 +11,7 @@
 use sedgebeam_settings::ConnectionSettings;
 use tokio::sync::{mpsc, watch};
 
-/// Commands that may wait in the mailbox of an engine's actor: far more than an engine ever runs at once.
+/// Maximum number of commands in the mailbox of an engine's actor: far more than an engine ever runs at once.
 const MAILBOX_CAPACITY: usize = 4096;
 
 /// Prefix of the endpoints that speak Arrow Flight SQL; all others speak RESP.
@@ -24,25 +24,25 @@
     pub connections: watch::Receiver<ConnectionSettings>,
     /// Counts the attempts that were written to an engine.
     pub metrics: Metrics,
-    /// Shared by all engines; each connection holds one slot.
+    /// Limits the connections to all engines together; each connection holds one slot.
     pub slots: ConnectionSlots,
 }
 
 impl EngineTransport for NetworkTransport {
     fn start(&self, target: &Target, reporter: EngineReporter) -> EngineSender {
-        let (mailbox, incoming) = mpsc::channel(MAILBOX_CAPACITY);
+        let (mailbox, commands) = mpsc::channel(MAILBOX_CAPACITY);
         let (name, endpoint) = (format!("engine {}", target.uid), target.endpoint.clone());
-        let death_reporter = reporter.clone();
-        let report_death = move || {
-            tokio::spawn(async move { death_reporter.actor_died().await });
+        let panic_reporter = reporter.clone();
+        let report_panic = move || {
+            tokio::spawn(async move { panic_reporter.actor_died().await });
         };
         if endpoint.starts_with(FLIGHT_SCHEME) {
-            let actor = flight::run(endpoint, self.clone(), incoming, reporter);
-            supervise::spawn_supervised(name, actor, report_death);
+            let actor = flight::run(endpoint, self.clone(), commands, reporter);
+            supervise::spawn_supervised(name, actor, report_panic);
         } else {
             let weak_mailbox = mailbox.downgrade();
-            let actor = resp::run(endpoint, self.clone(), weak_mailbox, incoming, reporter);
-            supervise::spawn_supervised(name, actor, report_death);
+            let actor = resp::run(endpoint, self.clone(), weak_mailbox, commands, reporter);
+            supervise::spawn_supervised(name, actor, report_panic);
         }
         mailbox
     }
--- a/engines/src/resp/codec.rs
+++ b/engines/src/resp/codec.rs
@@ -7,24 +7,28 @@
 use std::ops::RangeInclusive;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bounds on the parts of an answer: id, status word, fields, and page. A longer part is malformed and is rejected
-/// once its length is announced, before its bytes arrive.
+/// Bounds on the parts of an answer: id, status word, fields, and page. A longer part is rejected as soon as its length
+/// is read, before its bytes arrive.
 const MAX_BULK_BYTES: [usize; 4] = [64, 16, 1024, 6000];
-/// Bound on a line that announces the length of an array or of a bulk string.
+/// Bound on a line with the length of an array or of a bulk string.
 const MAX_LENGTH_LINE_BYTES: usize = 16;
-/// Bound on the pages of a result, which has up to 48,000 bytes; two consecutive pages together
-/// have more than 6,000.
+/// Bound on the pages of a result, which has up to 48,000 bytes; two consecutive pages together have more than 6,000.
 pub const MAX_PAGES: u32 = 17;
 const COLUMNS_PER_ROW: usize = 3;
 
 /// A command to an engine.
 #[derive(Clone, Debug)]
 pub enum Command {
+    /// Starts an attempt.
     Fetch(Attempt),
     Abort(RequestId),
+    /// Changes the priority of a request.
     Reprioritize(RequestId, u8),
+    /// Requests the page with this index.
     More(RequestId, u32),
+    /// No further pages of the result will be requested.
     Done(RequestId),
+    /// A probe with this tag.
     Stats(u64),
     /// Sends nothing; makes the connection check which queued attempts may no longer start.
     RecheckQueue,
@@ -35,10 +39,11 @@
 pub enum ReplySubject {
     Request(RequestId),
     ProbeTag(u64),
-    /// The id has the form of neither; nothing was ever sent under it.
+    /// The id has neither form, so nothing was ever sent with it.
     Unknown,
 }
 
+/// The content of an answer, by its status word.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplyBody {
     Ok {
@@ -47,15 +52,20 @@
         load: Option<LoadReport>,
         rows: Bytes,
     },
+    /// Rejected without running.
     Busy,
+    /// Failed; the request may have run.
     Err,
+    /// Never ran.
     Void,
     Note(Option<Note>),
     Rows {
         page: u32,
         rows: Bytes,
     },
+    /// The answer to a probe: the engine is up.
     Up(Option<LoadReport>),
+    /// The answer to a probe: the engine is down.
     Down,
     /// A complete array with invalid content. The connection is abandoned only if the request is in flight on it, since
     /// a malformed answer to another id may precede a valid answer.
@@ -71,7 +81,7 @@
 #[derive(Default)]
 pub struct RespCodec;
 
-/// The first letter of the id of a probe. It is no hexadecimal digit, so no id of a request starts with it.
+/// The first letter of the id of a probe. It is not a hexadecimal digit, so no request id starts with it.
 const PROBE_TAG_PREFIX: char = 'p';
 
 fn invalid(reason: &str) -> io::Error {
@@ -262,13 +272,14 @@
     subject.unwrap_or(ReplySubject::Unknown)
 }
 
-/// Checks that each row has its line feed and all its columns. Errors inside a cell can't be detected.
+/// Checks that the rows are UTF-8 and that each has its line feed and all its columns. Errors inside a cell can't be
+/// detected.
 fn check_rows(rows: Bytes) -> io::Result<Bytes> {
-    let is_complete = rows.is_empty() || rows.ends_with(b"\n");
+    let ends_with_row = rows.is_empty() || rows.ends_with(b"\n");
     let mut lines = rows.split_inclusive(|byte| *byte == b'\n');
     let has_all_columns =
         |line: &[u8]| line.iter().filter(|byte| **byte == b'\t').count() + 1 == COLUMNS_PER_ROW;
-    if is_complete && lines.all(has_all_columns) && std::str::from_utf8(&rows).is_ok() {
+    if ends_with_row && lines.all(has_all_columns) && std::str::from_utf8(&rows).is_ok() {
         Ok(rows)
     } else {
         Err(invalid("rows are incomplete or malformed"))
--- a/engines/src/resp/codec/tests.rs
+++ b/engines/src/resp/codec/tests.rs
@@ -20,14 +20,14 @@
 #[test]
 fn each_answer_is_decoded_once_it_is_complete() {
     let rows = Bytes::from_static(b"a\tb\tc\n");
-    let busy = LoadReport {
+    let load_report = LoadReport {
         busy_cores_share: Some(0.5),
         ..LoadReport::default()
     };
     let ok = ReplyBody::Ok {
         page_count: 3,
         work_ms: Some(81.5),
-        load: Some(busy),
+        load: Some(load_report),
         rows: rows.clone(),
     };
     let cases = [
@@ -66,7 +66,7 @@
     ];
     for ([status_word, fields, rows], expected) in cases {
         let text = array(&["00000000000000ff", status_word, fields, rows]);
-        let reply = decode(&text).expect("is read").expect("is complete");
+        let reply = decode(&text).expect("decodes").expect("is complete");
         assert_eq!(
             reply,
             Reply {
@@ -79,19 +79,19 @@
             assert_eq!(decode(&text[..length]).expect("is no error"), None);
         }
     }
-    let up = decode(&array(&["p7", "UP", "gauges=cpu:0.5", ""])).expect("is read");
+    let up = decode(&array(&["p7", "UP", "gauges=cpu:0.5", ""])).expect("decodes");
     assert_eq!(
         up,
         Some(Reply {
             subject: ReplySubject::ProbeTag(7),
-            body: ReplyBody::Up(Some(busy))
+            body: ReplyBody::Up(Some(load_report))
         })
     );
 }
 
 #[test]
 fn an_answer_with_an_unknown_id_is_decoded_without_error() {
-    for name in [
+    for id in [
         "zz",
         "p",
         "",
@@ -99,9 +99,9 @@
         "0000000000000000ff",
         "+0000000000000ff",
     ] {
-        let reply = decode(&array(&[name, "OK", "parts=1", "a\tb\tc\n"]));
-        let reply = reply.expect("is read").expect("is complete");
-        assert_eq!(reply.subject, ReplySubject::Unknown, "{name}");
+        let reply = decode(&array(&[id, "OK", "parts=1", "a\tb\tc\n"]));
+        let reply = reply.expect("decodes").expect("is complete");
+        assert_eq!(reply.subject, ReplySubject::Unknown, "{id}");
     }
 }
 
@@ -136,7 +136,7 @@
         &array(&[ID, "OK", "parts=1", "a\tb\tc\na\tb\n"]),
         &array(&[ID, "OK", "parts=1", "a\tb\tc\td\n"]),
     ] {
-        let reply = decode(text).expect("is read").expect("is complete");
+        let reply = decode(text).expect("decodes").expect("is complete");
         assert!(matches!(reply.body, ReplyBody::Malformed(_)), "{text:?}");
     }
 }
--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What the task of a connection reports to the actor of the engine.
+/// An event that the task of a connection reports to the engine's actor.
 #[derive(Debug)]
 pub enum ConnectionEvent {
     Connected,
@@ -38,30 +38,33 @@
     },
 }
 
-/// Commands that may wait in the channel to the task, and again in its write queue, while the connection is being made
-/// or the engine does not read.
+/// Maximum number of commands in the channel to the task, and also in its write queue, while the connection is being
+/// made or the engine does not read.
 const COMMAND_CAPACITY: usize = 256;
-/// Bound on the remembered requests that a connection has carried and must not carry again.
+/// Maximum number of requests that a connection remembers to have carried and must not carry again.
 const MAX_REMEMBERED_REQUESTS: usize = 128;
-/// An answer that is incomplete for this long, or for up to twice as long, is taken to be truncated: engines write each
-/// answer in one go, and their stalls are shorter than this.
+/// An answer that is incomplete for this time, or at most twice this time, counts as truncated: engines write each
+/// answer at once, and their stalls are shorter than this.
 const PARTIAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
-/// The delay after a connect that failed because this host is short of a resource.
+/// The delay before a connect is retried that failed because this host is short of a resource.
 const LOCAL_SHORTAGE_DELAY: Duration = Duration::from_millis(20);
 /// A connection counts as dead if an attempt on it is cancelled after this time and nothing was received since the
 /// attempt was sent.
 const SILENCE_LIMIT: Duration = Duration::from_millis(300);
 
+/// The state of a connection that the engine's actor keeps.
 pub struct Connection {
     pub commands: mpsc::Sender<Command>,
+    /// The connect has succeeded.
     pub is_up: bool,
     /// Takes no new attempts and is closed once none is in flight on it.
     pub is_retiring: bool,
     pub attempts_in_flight: usize,
     pub last_used_at: Instant,
+    /// When the last answer was received.
     pub last_seen_at: Instant,
     /// Identifies the connection to the backoff.
-    pub connect: TrackedConnection,
+    pub tracked_connection: TrackedConnection,
     carried_requests: VecDeque<RequestId>,
     /// Dropping it ends the task, which then writes nothing more.
     _close_on_drop: oneshot::Sender<()>,
@@ -71,7 +74,7 @@
     pub fn open(
         task: ConnectionTask,
         slot: ConnectionSlot,
-        connect: TrackedConnection,
+        tracked_connection: TrackedConnection,
     ) -> Connection {
         let (commands, command_receiver) = mpsc::channel(COMMAND_CAPACITY);
         let (close_on_drop, closed) = oneshot::channel();
@@ -92,13 +95,13 @@
             attempts_in_flight: 0,
             last_used_at: Instant::now(),
             last_seen_at: Instant::now(),
-            connect,
+            tracked_connection,
             carried_requests: VecDeque::new(),
             _close_on_drop: close_on_drop,
         }
     }
 
-    /// Whether it must stay open: it is being made, or attempts are in flight on it.
+    /// Whether the connection must stay open: it is being made, or attempts are in flight on it.
     pub fn is_busy(&self) -> bool {
         self.attempts_in_flight > 0 || !self.is_up
     }
@@ -108,10 +111,10 @@
         self.last_used_at = Instant::now();
     }
 
-    /// Remembers a request of which an attempt has ended here, so that a further attempt is not sent here. A duplicate
-    /// or late answer to the first attempt would be taken for the answer to the further one, and a third would then run
-    /// at the same time as the second.
-    pub fn remember(&mut self, request_id: RequestId) {
+    /// Remembers a request whose attempt has ended on this connection, so that its next attempt uses another one. A
+    /// duplicate or late answer to the first attempt would be taken for the answer to the second, and a third would then
+    /// run at the same time as the second.
+    pub fn remember_request(&mut self, request_id: RequestId) {
         if self.carried_requests.len() >= MAX_REMEMBERED_REQUESTS {
             self.carried_requests.pop_front();
         }
@@ -125,7 +128,7 @@
     /// Releases an attempt that was sent at `sent_at` and has been cancelled.
     pub fn attempt_cancelled(&mut self, request_id: RequestId, sent_at: Instant) {
         self.attempt_ended();
-        self.remember(request_id);
+        self.remember_request(request_id);
         self.is_retiring |= self.last_seen_at < sent_at && sent_at.elapsed() > SILENCE_LIMIT;
     }
 }
@@ -172,7 +175,7 @@
     }
 
     async fn report(&self, event: ConnectionEvent) {
-        // An actor that has ended needs no event.
+        // Sending fails only if the actor has ended.
         let _ = self.events.send((self.id, event)).await;
     }
 
@@ -200,7 +203,7 @@
         Ok(stream)
     }
 
-    /// Retries while the connect fails because this host is short of a resource, which is no failure of the engine.
+    /// Retries while the connect fails because this host is short of a resource, which is not a failure of the engine.
     async fn connect_with_retries(&self) -> io::Result<TcpStream> {
         loop {
             match TcpStream::connect(&self.endpoint).await {
@@ -210,8 +213,8 @@
         }
     }
 
-    /// Writes commands until their channel is closed. Attempts that may no longer start when the socket is ready for them
-    /// are reported as withdrawn. If the connection is reset, attempts of which no byte was written have not run.
+    /// Writes commands until their channel is closed. Attempts that may no longer start are reported as withdrawn. If the
+    /// connection is reset, attempts of which no byte was written have not run.
     async fn write(
         &self,
         write_half: OwnedWriteHalf,
@@ -219,7 +222,7 @@
         write_queue: &mut WriteQueue,
     ) -> io::Result<()> {
         loop {
-            let writable = tokio::select! {
+            let is_writable = tokio::select! {
                 biased;
                 // Commands are received even while the engine does not read: an abort may withdraw a queued attempt.
                 command = commands.recv(), if write_queue.len() < COMMAND_CAPACITY => match command {
@@ -236,7 +239,7 @@
             };
             let withdrawn = write_queue.withdraw();
             let mut written = Written::default();
-            if writable && write_queue.len() > 0 {
+            if is_writable && write_queue.len() > 0 {
                 match write_half.try_write_vectored(&write_queue.slices()) {
                     Ok(count) => written = write_queue.advance(count),
                     Err(error) if should_retry(&error) => {}
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -34,12 +34,13 @@
 use tokio_util::sync::CancellationToken;
 use write_queue::AttemptKey;
 
-/// Events of connections that may wait for the actor; while its channel is full, the tasks of the connections wait.
+/// Maximum number of connection events that wait for the actor. While the channel is full, the tasks of the connections
+/// wait.
 const EVENT_CAPACITY: usize = 1024;
-/// An idle connection is closed after this fraction of the time after which the engine closes it. A command that
-/// crosses the engine's close would look as if it may have run.
+/// Fraction of the engine's idle timeout after which this side closes an idle connection. A command written while the
+/// engine closes the connection would count as one that may have run.
 const IDLE_FRACTION: f64 = 0.7;
-/// Delay of the check for overdue work after the first deadline, so that one check finds all deadlines that are close
+/// Delay of the check for overdue work after the first deadline, so that one check handles all deadlines that are close
 /// together.
 const CHECK_DELAY: Duration = Duration::from_millis(20);
 /// A requested page that has not arrived within this time counts as lost.
@@ -55,8 +56,8 @@
     /// The attempt while its connection is being made; `None` once it is handed to the connection.
     awaiting_connection: Option<Attempt>,
     /// Cancelled when the attempt may no longer be written.
-    cancellation: CancellationToken,
-    /// The good answer, while further pages are still to come.
+    cancel_token: CancellationToken,
+    /// The result, while further pages of it are missing.
     partial_result: Option<PartialResult>,
 }
 
@@ -66,8 +67,8 @@
     requested_at: Instant,
 }
 
-/// A result with pages still to come. It is passed on only when complete: if a page is lost before, another engine can
-/// run the request, where its class allows that.
+/// A result with missing pages. It is reported only when it is complete: if a page is lost before, another engine can run
+/// the request, provided that its class allows that.
 struct PartialResult {
     pages: Vec<Option<Bytes>>,
     work_ms: Option<f64>,
@@ -89,14 +90,14 @@
 /// Why there is no connection for an attempt.
 #[derive(Clone, Copy, Debug)]
 enum NoConnection {
-    /// All connections are full and no more may be opened, which is no failure of the engine.
+    /// All connections are full and no more may be opened, which is not a failure of the engine.
     AtCapacity,
     /// The engine rejected the last connect, and no other connection is proven to work.
     Rejected,
 }
 
 impl NoConnection {
-    fn attempt_end(self) -> AttemptResult {
+    fn attempt_result(self) -> AttemptResult {
         match self {
             NoConnection::AtCapacity => AttemptResult::NotRun,
             NoConnection::Rejected => AttemptResult::ConnectFailed,
@@ -142,10 +143,10 @@
     loop {
         if actor.is_idle() && actor.received_count != reported_count {
             reported_count = actor.received_count;
-            let (mailbox, taken) = (weak_mailbox.clone(), actor.received_count);
+            let (mailbox, received_count) = (weak_mailbox.clone(), actor.received_count);
             let idle_report = EngineReport::Idle(IdleEngine {
                 mailbox,
-                received_count: taken,
+                received_count,
             });
             actor.reporter.send(idle_report).await;
         }
@@ -208,12 +209,12 @@
             && !self.backoff.is_failing()
     }
 
-    /// When to check for overdue work next; `None` while nothing is in flight and no connection is open, because a
-    /// dispatcher has hundreds of engines, most of them idle.
+    /// When to check for overdue work next; `None` while nothing is in flight and no connection is open, so that the
+    /// hundreds of engines of a dispatcher, most of them idle, need no timers.
     fn next_check_at(&self) -> Option<Instant> {
         let settings = self.settings();
-        let pages = self.page_deadlines().map(|(_, due)| due);
-        let aborts = self.abort_deadlines().map(|(_, due)| due);
+        let pages = self.page_deadlines().map(|(_, deadline)| deadline);
+        let aborts = self.abort_deadlines().map(|(_, deadline)| deadline);
         let probe_timeout = to_duration(settings.connect_timeout);
         let probes = self
             .unanswered_probes
@@ -224,7 +225,7 @@
             .connections
             .values()
             .filter(|connection| !connection.is_busy());
-        let closes = idle_connections.map(|connection| {
+        let idle_closes = idle_connections.map(|connection| {
             if connection.is_retiring {
                 Instant::now()
             } else {
@@ -234,7 +235,7 @@
         pages
             .chain(aborts)
             .chain(probes)
-            .chain(closes)
+            .chain(idle_closes)
             .min()
             .map(|first| first + CHECK_DELAY)
     }
@@ -312,7 +313,7 @@
             Err(reason) => {
                 return self
                     .reporter
-                    .attempt_ended(request_id, attempt_no, reason.attempt_end())
+                    .attempt_ended(request_id, attempt_no, reason.attempt_result())
                     .await;
             }
         };
@@ -327,7 +328,7 @@
             attempt_no,
             connection_id,
             sent_at: Instant::now(),
-            cancellation: attempt.cancel_token.clone(),
+            cancel_token: attempt.cancel_token.clone(),
             awaiting_connection: Some(attempt),
             partial_result: None,
         };
@@ -378,7 +379,7 @@
         }
     }
 
-    /// A cancelled attempt is no longer in flight.
+    /// The abort of an attempt has been written, or the attempt was withdrawn: it is no longer in flight.
     async fn abort_written(&mut self, connection_id: ConnectionId, request_id: RequestId) {
         if let Some(abort) = self.pending_aborts.remove(&(connection_id, request_id)) {
             self.reporter
@@ -394,8 +395,8 @@
             .await;
     }
 
-    /// The most recently used idle connection; else a new one, if one may be opened; else the least loaded one.
-    /// A probe (no request) takes the least loaded one even if that is not idle.
+    /// The most recently used idle connection; else a new one, if one may be opened; else the one with the fewest attempts
+    /// in flight. A probe (no request) gets the latter even if it is not idle.
     fn select_connection(
         &mut self,
         request_id: Option<RequestId>,
@@ -422,8 +423,8 @@
     }
 
     /// The connection with the fewest attempts in flight that has room for one more, is not retiring and has not carried
-    /// this request before. While the engine rejects connections, one that is not proven to work carries one attempt at
-    /// a time, because everything written to it may be lost.
+    /// this request before. While the engine rejects connections, an unproven connection carries only one attempt at a
+    /// time, because everything written to it may be lost.
     fn least_loaded(&self, request_id: Option<RequestId>) -> Option<ConnectionId> {
         let (now, max_streams) = (self.backoff_now(), self.settings().max_streams);
         let usable = self.connections.iter().filter(|(_, connection)| {
@@ -431,7 +432,7 @@
                 request_id.is_some_and(|request_id| connection.has_carried(request_id));
             let is_reserved = self.backoff.is_failing()
                 && connection.attempts_in_flight > 0
-                && !self.backoff.is_proven(&connection.connect, now);
+                && !self.backoff.is_proven(&connection.tracked_connection, now);
             !connection.is_retiring
                 && connection.attempts_in_flight < max_streams
                 && !has_carried
@@ -453,7 +454,7 @@
     fn no_connection_reason(&self) -> NoConnection {
         let now = self.backoff_now();
         let is_proven = |connection: &Connection| {
-            !connection.is_retiring && self.backoff.is_proven(&connection.connect, now)
+            !connection.is_retiring && self.backoff.is_proven(&connection.tracked_connection, now)
         };
         if self.connections.values().any(is_proven) {
             NoConnection::AtCapacity
@@ -462,8 +463,8 @@
         }
     }
 
-    /// Opens a connection, if the settings allow one more and a slot is free. If no slot is free and the connection is
-    /// required, other engines are told that slots are short.
+    /// Opens a connection, if the settings allow one more and a slot is free. If no slot is free and the engine has no
+    /// other connection (`is_required`), the actors of other engines close idle connections.
     fn open_connection(&mut self, is_required: bool) -> Option<ConnectionId> {
         let settings = self.settings();
         if self.connections.len() >= settings.max_per_engine {
@@ -484,18 +485,18 @@
             events: self.events.clone(),
             metrics: self.transport.metrics.clone(),
         };
-        let connect = self.backoff.begin(self.backoff_now());
-        let connection = Connection::open(task, slot, connect);
+        let tracked_connection = self.backoff.begin(self.backoff_now());
+        let connection = Connection::open(task, slot, tracked_connection);
         self.connections.insert(connection_id, connection);
         Some(connection_id)
     }
 
-    /// The time for the backoff, in microseconds.
+    /// The current time of the backoff, in microseconds since the actor started.
     fn backoff_now(&self) -> u64 {
         to_micros(self.started_at.elapsed()).0
     }
 
-    fn backoff_pauses(&self) -> BackoffConfig {
+    fn backoff_config(&self) -> BackoffConfig {
         BackoffConfig::new(self.settings().connect_timeout.0)
     }
 
@@ -508,15 +509,15 @@
     async fn abort(&mut self, request_id: RequestId, attempt_no: AttemptNo) {
         let in_flight = match self.attempts_in_flight.entry(request_id) {
             Entry::Occupied(entry) if entry.get().attempt_no == attempt_no => entry.remove(),
-            // It has ended.
+            // The attempt has ended.
             _ => return self.reporter.abort_confirmed(request_id, attempt_no).await,
         };
         if in_flight.awaiting_connection.is_some() {
             self.release_from(in_flight.connection_id);
             return self.reporter.abort_confirmed(request_id, attempt_no).await;
         }
-        in_flight.cancellation.cancel();
-        // If the result has begun to arrive, its remaining pages are declined; otherwise the request is aborted.
+        in_flight.cancel_token.cancel();
+        // If the first page has arrived, `Done` declines the others; otherwise the request is aborted.
         let is_answered = in_flight.partial_result.is_some();
         let command = if is_answered {
             Command::Done(request_id)
@@ -526,8 +527,8 @@
         let is_queued = self.send_command(in_flight.connection_id, command);
         if let Some(connection) = self.connections.get_mut(&in_flight.connection_id) {
             connection.attempt_cancelled(request_id, in_flight.sent_at);
-            // Without the command the engine would continue to run the request; it aborts all of them once the
-            // connection is closed.
+            // Without the command the engine would continue to run the request. When the connection is closed, the engine
+            // aborts all requests on it.
             connection.is_retiring |= !is_queued;
         }
         if is_answered {
@@ -553,12 +554,12 @@
         in_flight.filter(|in_flight| in_flight.connection_id == connection_id)
     }
 
-    /// Ends an attempt that was answered on this connection.
+    /// Removes an attempt from this connection and reports its result.
     async fn end_attempt(
         &mut self,
         connection_id: ConnectionId,
         request_id: RequestId,
-        end: AttemptResult,
+        result: AttemptResult,
     ) {
         if self.in_flight_on(connection_id, request_id).is_none() {
             return;
@@ -568,12 +569,12 @@
         };
         if let Some(connection) = self.connections.get_mut(&connection_id) {
             connection.attempt_ended();
-            if !matches!(end, AttemptResult::Ok { .. }) {
-                connection.remember(request_id);
+            if !matches!(result, AttemptResult::Ok { .. }) {
+                connection.remember_request(request_id);
             }
         }
         self.reporter
-            .attempt_ended(request_id, in_flight.attempt_no, end)
+            .attempt_ended(request_id, in_flight.attempt_no, result)
             .await;
     }
 
@@ -600,12 +601,12 @@
         let page_count = result.pages.len() as u32;
         result.last_page_at = Instant::now();
         in_flight.partial_result = Some(result);
-        let are_requested = (1..page_count)
+        let all_requested = (1..page_count)
             .all(|page| self.send_command(connection_id, Command::More(request_id, page)));
-        if are_requested {
+        if all_requested {
             self.report_if_complete(connection_id, request_id).await;
         } else {
-            self.abandon(connection_id, "it takes no more commands");
+            self.abandon(connection_id, "it accepts no more commands");
         }
     }
 
@@ -625,7 +626,7 @@
         });
         let Some(page) = page else {
             // The page was never requested, so this answer and those that follow can't be trusted.
-            return self.abandon(connection_id, "a page that was not requested");
+            return self.abandon(connection_id, "a page arrived that was not requested");
         };
         if page.is_none() {
             *page = Some(rows);
@@ -668,11 +669,14 @@
     async fn handle_event(&mut self, connection_id: ConnectionId, event: ConnectionEvent) {
         match event {
             ConnectionEvent::Connected => {
-                let (now, pauses) = (self.backoff_now(), self.backoff_pauses());
+                let (now, backoff_config) = (self.backoff_now(), self.backoff_config());
                 if let Some(connection) = self.connections.get_mut(&connection_id) {
                     connection.is_up = true;
-                    self.backoff
-                        .record_connected(&connection.connect, now, &pauses);
+                    self.backoff.record_connected(
+                        &connection.tracked_connection,
+                        now,
+                        &backoff_config,
+                    );
                 }
                 let waiting = self
                     .attempts_in_flight
@@ -747,7 +751,7 @@
                 self.end_attempt(connection_id, request_id, AttemptResult::NotRun)
                     .await
             }
-            // Also sent for a lost page.
+            // Engines also send this for a lost page.
             ReplyBody::Err => {
                 self.end_attempt(connection_id, request_id, AttemptResult::Error)
                     .await
@@ -770,9 +774,12 @@
             return;
         };
         connection.last_seen_at = Instant::now();
-        if let Some(failed) = self.backoff.record_response(&mut connection.connect) {
+        if let Some(failed_count) = self
+            .backoff
+            .record_response(&mut connection.tracked_connection)
+        {
             log::info!(
-                "connecting to {} succeeds again after {failed} failed connects",
+                "connecting to {} succeeds again after {failed_count} failed connects",
                 self.endpoint
             );
         }
@@ -786,17 +793,19 @@
         error: Option<io::Error>,
     ) {
         if let Some(connection) = self.connections.remove(&connection_id) {
-            self.connect_ended(connection.connect, error);
+            self.connect_ended(connection.tracked_connection, error);
         }
         self.end_attempts_on(connection_id, unwritten).await;
     }
 
     /// Logs each end of a proven connection, and of a series of failed connects only the first.
-    fn connect_ended(&mut self, connect: TrackedConnection, error: Option<io::Error>) {
-        let (now, pauses) = (self.backoff_now(), self.backoff_pauses());
-        let ended = self.backoff.record_end(connect, now, &pauses);
+    fn connect_ended(&mut self, tracked_connection: TrackedConnection, error: Option<io::Error>) {
+        let (now, backoff_config) = (self.backoff_now(), self.backoff_config());
+        let connection_end = self
+            .backoff
+            .record_end(tracked_connection, now, &backoff_config);
         let reason = error.map_or("its task panicked".to_string(), |error| error.to_string());
-        match ended {
+        match connection_end {
             ConnectionEnd::Proven => log::info!("connection to {} ended: {reason}", self.endpoint),
             ConnectionEnd::FirstFailure => log::info!(
                 "connecting to {} failed: {reason}; further failures are counted, not logged",
@@ -808,28 +817,29 @@
 
     /// Ends all attempts that were in flight on a closed connection.
     async fn end_attempts_on(&mut self, connection_id: ConnectionId, unwritten: &[RequestId]) {
-        let lost = self
+        let lost_attempts = self
             .attempts_in_flight
             .extract_if(|_, in_flight| in_flight.connection_id == connection_id);
-        let lost: Vec<(RequestId, InFlightAttempt)> = lost.collect();
-        for (request_id, in_flight) in lost {
+        let lost_attempts: Vec<(RequestId, InFlightAttempt)> = lost_attempts.collect();
+        for (request_id, in_flight) in lost_attempts {
             let is_answered = in_flight.partial_result.is_some();
             let never_ran = !is_answered
                 && (in_flight.awaiting_connection.is_some() || unwritten.contains(&request_id));
-            let end = if never_ran {
+            let result = if never_ran {
                 AttemptResult::ConnectFailed
             } else {
                 AttemptResult::Reset
             };
             self.reporter
-                .attempt_ended(request_id, in_flight.attempt_no, end)
+                .attempt_ended(request_id, in_flight.attempt_no, result)
                 .await;
         }
-        let aborted = self
+        let aborted_attempts = self
             .pending_aborts
             .extract_if(|(abort_connection_id, _), _| *abort_connection_id == connection_id);
-        let aborted: Vec<((ConnectionId, RequestId), PendingAbort)> = aborted.collect();
-        for ((_, request_id), abort) in aborted {
+        let aborted_attempts: Vec<((ConnectionId, RequestId), PendingAbort)> =
+            aborted_attempts.collect();
+        for ((_, request_id), abort) in aborted_attempts {
             self.reporter
                 .abort_confirmed(request_id, abort.attempt_no)
                 .await;
@@ -841,7 +851,8 @@
     fn abandon(&mut self, connection_id: ConnectionId, reason: &str) {
         if let Some(connection) = self.connections.remove(&connection_id) {
             log::info!("connection to {} abandoned: {reason}", self.endpoint);
-            self.backoff.record_local_close(connection.connect);
+            self.backoff
+                .record_local_close(connection.tracked_connection);
         }
     }
 
@@ -851,7 +862,8 @@
             .connections
             .extract_if(|_, connection| !connection.is_busy() && should_close(connection));
         for (_, connection) in closing {
-            self.backoff.record_local_close(connection.connect);
+            self.backoff
+                .record_local_close(connection.tracked_connection);
         }
     }
 
@@ -861,7 +873,7 @@
     async fn return_unsent(&mut self) {
         self.attempts_in_flight
             .values()
-            .for_each(|in_flight| in_flight.cancellation.cancel());
+            .for_each(|in_flight| in_flight.cancel_token.cancel());
         let connection_ids = self.connections.keys().copied();
         for connection_id in connection_ids.collect::<Vec<_>>() {
             self.send_command(connection_id, Command::RecheckQueue);
@@ -892,12 +904,12 @@
             should_close
         });
         let is_overdue = |deadline: &(ConnectionId, Instant)| now >= deadline.1;
-        let without_page: Vec<_> = self.page_deadlines().filter(is_overdue).collect();
-        for (connection_id, _) in without_page {
+        let overdue_pages: Vec<_> = self.page_deadlines().filter(is_overdue).collect();
+        for (connection_id, _) in overdue_pages {
             self.abandon(connection_id, "a page did not arrive in time");
         }
-        let without_abort: Vec<_> = self.abort_deadlines().filter(is_overdue).collect();
-        for (connection_id, _) in without_abort {
+        let overdue_aborts: Vec<_> = self.abort_deadlines().filter(is_overdue).collect();
+        for (connection_id, _) in overdue_aborts {
             self.abandon(connection_id, "an abort was not written in time");
         }
         let probe_timeout = to_duration(self.settings().connect_timeout);
@@ -932,11 +944,11 @@
         if self.unanswered_probes.remove(&tag).is_none() {
             return;
         }
-        let probe = match body {
+        let probe_result = match body {
             ReplyBody::Up(load) => ProbeResult::Up(load),
             _ => ProbeResult::Down,
         };
-        self.reporter.send(EngineReport::Probed(probe)).await;
+        self.reporter.send(EngineReport::Probed(probe_result)).await;
     }
 }
 
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -26,8 +26,8 @@
 /// Bound on one dispatcher's concurrent connects that are not yet proven to work.
 const MAX_UNPROVEN_CONNECTS: usize = 8;
 
-/// Bound on one dispatcher's connects within `period` to an engine that rejects all: the concurrent ones at first, and one
-/// after each pause. A pause is at least half of its upper bound.
+/// Bound on one dispatcher's connects within `period` to an engine that rejects all: the concurrent ones at the start, and
+/// one after each pause. A pause is at least half of its upper bound.
 fn max_connects(period: Duration) -> usize {
     let (mut connects, mut elapsed, mut max_pause) =
         (MAX_UNPROVEN_CONNECTS, Duration::ZERO, CONNECT_TIMEOUT);
@@ -100,7 +100,7 @@
 
     /// The largest number of fetches of one request.
     fn max_fetches(&self) -> usize {
-        let fetches = self.counts.fetches.lock().expect("no test has failed");
+        let fetches = self.counts.fetches.lock().expect("no test panicked");
         fetches.values().copied().max().unwrap_or(0)
     }
 }
@@ -131,7 +131,7 @@
         let id = &command[1];
         let status_word = match command[0].as_str() {
             "fetch" => {
-                let mut fetches = counts.fetches.lock().expect("no test has failed");
+                let mut fetches = counts.fetches.lock().expect("no test panicked");
                 *fetches.entry(id.clone()).or_default() += 1;
                 behavior.borrow().status_word
             }
@@ -255,19 +255,19 @@
         };
         self.sent.push((request, attempt_no));
         let queued = self.mailbox.try_send(EngineCommand::Send(attempt));
-        queued.expect("room in the mailbox");
+        queued.expect("the mailbox has room");
     }
 
     fn abort(&mut self, request: RequestId, attempt_no: AttemptNo) {
         let queued = self
             .mailbox
             .try_send(EngineCommand::Abort(request, attempt_no));
-        queued.expect("room in the mailbox");
+        queued.expect("the mailbox has room");
     }
 
     fn probe(&mut self) {
         let queued = self.mailbox.try_send(EngineCommand::Probe);
-        queued.expect("room in the mailbox");
+        queued.expect("the mailbox has room");
     }
 
     fn receive_reports(&mut self) {
@@ -275,9 +275,9 @@
             match message {
                 BrokerMessage::EngineReport(
                     _,
-                    EngineReport::AttemptEnded(request, attempt_no, end),
+                    EngineReport::AttemptEnded(request, attempt_no, result),
                 ) => {
-                    self.ends.push((request, attempt_no, end));
+                    self.ends.push((request, attempt_no, result));
                 }
                 BrokerMessage::EngineReport(
                     _,
@@ -460,7 +460,7 @@
     let engine = MockEngine::start(REJECTS_ALL).await;
     let mut dispatcher = Dispatcher::start(&engine);
     dispatcher.send_for(Duration::from_secs(10)).await;
-    let failed = engine.accepts();
+    let failed_count = engine.accepts();
     assert_eq!(
         log_lines_about(&engine).len(),
         1,
@@ -473,7 +473,7 @@
     let lines = log_lines_about(&engine);
     assert_eq!(lines.len(), 2, "{lines:?}");
     assert!(
-        lines[1].contains(&format!("after {failed} failed connects")),
+        lines[1].contains(&format!("after {failed_count} failed connects")),
         "{lines:?}"
     );
     // Attempts are spread over several connections again.
@@ -709,7 +709,9 @@
 impl ManualEngine {
     fn start() -> ManualEngine {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a socket");
-        listener.set_nonblocking(true).expect("a setting");
+        listener
+            .set_nonblocking(true)
+            .expect("the socket becomes nonblocking");
         ManualEngine { listener }
     }
 
@@ -720,7 +722,9 @@
     async fn accept(&self) -> std::net::TcpStream {
         for _ in 0..MAX_POLLS {
             if let Ok((stream, _)) = self.listener.accept() {
-                stream.set_nonblocking(true).expect("a setting");
+                stream
+                    .set_nonblocking(true)
+                    .expect("the socket becomes nonblocking");
                 return stream;
             }
             yield_now().await;
@@ -729,7 +733,7 @@
     }
 }
 
-/// Reads all available bytes, of which it appends the end to `last_bytes`; returns whether the connection is closed.
+/// Reads all available bytes and keeps the last 1,024 of them in `last_bytes`; returns whether the connection is closed.
 fn read_all(stream: &mut std::net::TcpStream, last_bytes: &mut Vec<u8>) -> bool {
     let mut buffer = vec![0; 1 << 20];
     loop {
@@ -845,7 +849,7 @@
         yield_now().await;
     }
     let malformed = b"*3\r\n$16\r\n0000000000000007\r\n$4\r\nWHAT\r\n$1\r\n-\r\n";
-    io::Write::write_all(&mut stream, malformed).expect("room");
+    io::Write::write_all(&mut stream, malformed).expect("the socket accepts the answer");
     dispatcher.wait_for_ends().await;
     assert!(
         read_all(&mut stream, &mut last_bytes),
--- a/engines/src/resp/write_queue.rs
+++ b/engines/src/resp/write_queue.rs
@@ -1,7 +1,7 @@
 //! Commands queued for the socket of an engine. An attempt may be withdrawn until the socket accepts its first byte.
 //!
-//! Otherwise an engine that stops reading for a while would later be sent attempts whose client has disconnected, that
-//! were cancelled, or that should not start because the engine is listed as draining by then.
+//! Otherwise an engine that stops reading for a while would later receive attempts that were cancelled, whose client has
+//! disconnected, or that must not start because the engine is by then listed as draining.
 
 use super::codec::{Command, RespCodec, put_fetch};
 use bytes::{Buf, Bytes, BytesMut};
@@ -11,12 +11,13 @@
 use std::io::{self, IoSlice};
 use tokio_util::codec::Encoder;
 
-/// Bound on the commands that are passed to the socket in one write.
+/// Maximum number of commands that are passed to the socket in one write.
 const MAX_FRAMES_PER_WRITE: usize = 16;
 
 /// Identifies an attempt.
 pub type AttemptKey = (RequestId, AttemptNo);
 
+/// A command that is not completely written.
 struct Frame {
     /// The unwritten bytes. For an unstarted attempt, its encoding when it was last offered to the socket; empty before.
     bytes: Bytes,
@@ -35,6 +36,7 @@
     pub aborted_requests: Vec<RequestId>,
 }
 
+/// The commands of one connection that are not completely written, in order.
 #[derive(Default)]
 pub struct WriteQueue {
     frames: VecDeque<Frame>,
--- a/engines/src/resp/write_queue/tests.rs
+++ b/engines/src/resp/write_queue/tests.rs
@@ -22,7 +22,7 @@
 }
 
 /// The queued bytes as text.
-fn text(queue: &mut WriteQueue) -> String {
+fn queued_text(queue: &mut WriteQueue) -> String {
     let slices = queue.slices();
     let bytes: Vec<u8> = slices.iter().flat_map(|slice| slice.to_vec()).collect();
     String::from_utf8_lossy(&bytes).into_owned()
@@ -34,10 +34,10 @@
     let fetch = Command::Fetch(attempt(Duration::from_millis(1_500)));
     queue.push(fetch).expect("is encoded");
     advance(Duration::from_millis(500)).await;
-    let queued_text = text(&mut queue);
-    assert!(queued_text.contains("ms=1000,"), "{queued_text}");
+    let encoded = queued_text(&mut queue);
+    assert!(encoded.contains("ms=1000,"), "{encoded}");
     // Once its first byte is written, the rest of the message stays the same as time passes.
     assert_eq!(queue.advance(1).started_attempts, 1);
     advance(Duration::from_millis(300)).await;
-    assert_eq!(text(&mut queue), queued_text[1..]);
+    assert_eq!(queued_text(&mut queue), encoded[1..]);
 }
