--- a/fronts/src/connection_drain.rs
+++ b/fronts/src/connection_drain.rs
@@ -1,4 +1,4 @@
-//! Closes kept client connections during a drain: tells each connection whether and when it must close.
+//! Closes existing client connections during a drain: determines for each one whether and when it must close.
 
 use sedgebeam_operation::drain::idle_close_at;
 use sedgebeam_operation::{DrainState, ExistingConnections};
@@ -10,7 +10,7 @@
 #[derive(Clone)]
 pub struct DrainWatcher {
     drain_state: watch::Receiver<DrainState>,
-    /// The moment from which the drain counts its times.
+    /// The instant from which the drain's times are counted.
     epoch: Instant,
 }
 
@@ -34,8 +34,9 @@
 pub struct ConnectionDrain {
     drain_state: watch::Receiver<DrainState>,
     epoch: Instant,
-    /// Time since the epoch.
+    /// When the connection was accepted, as time since the epoch.
     accepted_at: Duration,
+    /// From 0 to 1; spreads the closing times of idle connections.
     jitter: f64,
 }
 
--- a/fronts/src/flight.rs
+++ b/fronts/src/flight.rs
@@ -1,7 +1,7 @@
 //! The Arrow Flight SQL front.
 //!
-//! GetFlightInfo parses a statement and issues a ticket; DoGet redeems the ticket, once, and runs the statement.
-//! The request's fields are in a comment ahead of the statement, as on the PostgreSQL front, or in the call's metadata.
+//! GetFlightInfo parses a statement and issues a ticket; DoGet redeems the ticket, once, and runs the statement. The
+//! request's fields are in a comment ahead of the statement, as on the PostgreSQL front, or in the call's metadata.
 
 use super::retry_delay::RetryDelay;
 use super::{FrontContext, failure_message, statement};
@@ -33,11 +33,13 @@
 use tonic::{Code, Request, Response, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
+/// Bound on the size of one gRPC message from a client.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Tickets that may be outstanding at once: issued, or redeemed by a call that has not ended.
+/// Maximum number of outstanding tickets: issued, or redeemed by a call that has not ended.
 const MAX_TICKETS: usize = 4096;
 /// The prefix of the metadata keys that carry request fields.
 const FIELD_KEY_PREFIX: &str = "sedgebeam-";
+/// The type of the action that cancels a ticket.
 const CANCEL_FLIGHT_INFO: &str = "CancelFlightInfo";
 
 type FlightStream = <Front as FlightService>::DoGetStream;
@@ -48,7 +50,7 @@
     Redeemed(CancellationToken, Instant),
 }
 
-/// The outstanding tickets by their number.
+/// The outstanding tickets by their numbers.
 #[derive(Default)]
 struct TicketTable {
     tickets: HashMap<u64, TicketState>,
@@ -64,6 +66,7 @@
     }
 }
 
+/// The Flight SQL service; clones share one table of tickets.
 #[derive(Clone)]
 pub struct Front {
     front_context: FrontContext,
@@ -71,8 +74,8 @@
 }
 
 impl Front {
-    /// Each worker serves a clone of one front, so that a ticket can be redeemed on any worker.
-    /// Ticket numbers continue from `seed`.
+    /// Each worker must serve a clone of one front, so that a ticket can be redeemed on any worker. Ticket numbers
+    /// continue from `seed`.
     pub fn new(front_context: FrontContext, seed: u64) -> Front {
         let ticket_table = TicketTable {
             last_number: seed,
@@ -94,7 +97,7 @@
     Status::invalid_argument(message)
 }
 
-/// The timeout of the call itself, from the gRPC header `grpc-timeout`.
+/// The timeout of the call, from the gRPC header `grpc-timeout`.
 fn call_timeout(metadata: &MetadataMap) -> Option<Duration> {
     let text = metadata.get("grpc-timeout")?.to_str().ok()?;
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
@@ -177,7 +180,7 @@
                 &runtime_settings.settings,
             )));
         }
-        // The step is odd, so that no number repeats soon.
+        // The step is odd, so no number repeats before all others were used.
         table.last_number = table.last_number.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let number = table.last_number;
         table
@@ -186,20 +189,20 @@
         Ok(number)
     }
 
-    /// Takes the request of a ticket, once: a second DoGet must not run it again.
+    /// Returns the request of a ticket, only once: a second DoGet must not run it again.
     fn redeem(&self, handle: &[u8]) -> Result<(NewRequest, RedeemedTicket), Status> {
         let number = ticket_number(handle)?;
         let mut table = self.ticket_table();
-        let unknown = || Status::not_found("this ticket was never given, or is over");
-        match table.tickets.remove(&number).ok_or_else(unknown)? {
+        let unknown_ticket = || Status::not_found("this ticket was never given, or is over");
+        match table.tickets.remove(&number).ok_or_else(unknown_ticket)? {
             TicketState::Issued(request) => {
-                let cancellation = request.cancel_token.clone();
-                let redeemed = TicketState::Redeemed(cancellation.clone(), request.deadline);
+                let cancel_token = request.cancel_token.clone();
+                let redeemed = TicketState::Redeemed(cancel_token.clone(), request.deadline);
                 table.tickets.insert(number, redeemed);
                 let ticket = RedeemedTicket {
                     front: self.clone(),
                     number,
-                    cancellation,
+                    cancel_token,
                 };
                 Ok((*request, ticket))
             }
@@ -228,21 +231,21 @@
         let state = self.ticket_table().tickets.remove(&number);
         match state.ok_or_else(|| Status::not_found("this ticket is over"))? {
             TicketState::Issued(_) => {}
-            TicketState::Redeemed(cancellation, _) => cancellation.cancel(),
+            TicketState::Redeemed(cancel_token, _) => cancel_token.cancel(),
         }
         Ok(())
     }
 
-    /// Submits a request and waits for its answer. Dropping the call meanwhile withdraws the request.
+    /// Submits a request and waits for its answer. Dropping the future meanwhile cancels the request.
     async fn run_request(
         &self,
         request: NewRequest,
-        cancellation: &CancellationToken,
+        cancel_token: &CancellationToken,
     ) -> Result<ResultPages, Status> {
         let pending = self.front_context.router.submit(request).await;
         let answer = tokio::select! {
             answer = pending => answer,
-            () = cancellation.cancelled() => return Err(failure_status(Failure::Cancelled)),
+            () = cancel_token.cancelled() => return Err(failure_status(Failure::Cancelled)),
         };
         match answer {
             Answer::Rows(result) => Ok(result),
@@ -259,11 +262,11 @@
     Ok(u64::from_be_bytes(handle))
 }
 
-/// A ticket whose call has not ended; dropping it removes it from the table.
+/// A ticket whose call has not ended. Dropping it removes the ticket from the table.
 struct RedeemedTicket {
     front: Front,
     number: u64,
-    cancellation: CancellationToken,
+    cancel_token: CancellationToken,
 }
 
 impl Drop for RedeemedTicket {
@@ -274,13 +277,13 @@
 
 type BatchResult = Result<RecordBatch, FlightError>;
 
-/// The status that ends a stream whose client has not taken the complete result in time.
+/// The status that ends a stream whose client has not read the complete result before its deadline.
 fn deadline_exceeded() -> Status {
     Status::deadline_exceeded("the result was not taken before its deadline")
 }
 
-/// Streams a result to the client page by page, until the request's deadline. Only a complete result ends
-/// without an error.
+/// Streams a result to the client page by page, until the request's deadline. Only a complete result ends without an
+/// error.
 fn stream_result(result: ResultPages, ticket: RedeemedTicket) -> impl Stream<Item = BatchResult> {
     let (sender, receiver) = mpsc::channel(1);
     let task = read_pages(result, ticket, sender);
@@ -297,7 +300,7 @@
     })
 }
 
-/// Reads the pages of a result as the client takes them, and sends `None` at its end.
+/// Reads the pages of a result as the client reads them, and sends `None` after the last one.
 async fn read_pages(
     mut result: ResultPages,
     ticket: RedeemedTicket,
@@ -306,22 +309,23 @@
     let deadline = result.deadline();
     loop {
         let next_batch = tokio::select! {
-                    biased;
-         () = batches.closed() => return,
-        () = ticket.cancellation.cancelled() => Err(failure_status(Failure::Cancelled)),
-        page = result.next() => match page {
-        Ok(page) => page.as_ref().map(arrow::page_to_batch).transpose(),
-        Err(ResultLost) => Err(result_lost()),
-                    },
-                };
-        let has_more = matches!(next_batch, Ok(Some(_)));
-        let sent = timeout_at(deadline, batches.send(next_batch)).await;
-        if !has_more || !matches!(sent, Ok(Ok(()))) {
+            biased;
+            () = batches.closed() => return,
+            () = ticket.cancel_token.cancelled() => Err(failure_status(Failure::Cancelled)),
+            page = result.next() => match page {
+                Ok(page) => page.as_ref().map(arrow::page_to_batch).transpose(),
+                Err(ResultLost) => Err(result_lost()),
+            },
+        };
+        let has_more_pages = matches!(next_batch, Ok(Some(_)));
+        let send_result = timeout_at(deadline, batches.send(next_batch)).await;
+        if !has_more_pages || !matches!(send_result, Ok(Ok(()))) {
             return;
         }
     }
 }
 
+/// The status of a result whose further pages can't be fetched.
 fn result_lost() -> Status {
     Status::data_loss("the rest of the result was lost with its engine")
 }
@@ -359,7 +363,7 @@
             new_request.deadline = new_request.deadline.min(Instant::now() + timeout);
         }
         let result = self
-            .run_request(new_request, &redeemed.cancellation)
+            .run_request(new_request, &redeemed.cancel_token)
             .await?;
         let encoder = FlightDataEncoderBuilder::new().with_schema(arrow::schema());
         let data = encoder
@@ -374,8 +378,8 @@
         request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
         let new_request = self.parse_request(update.query, request.metadata())?;
-        let cancellation = new_request.cancel_token.clone();
-        let mut result = self.run_request(new_request, &cancellation).await?;
+        let cancel_token = new_request.cancel_token.clone();
+        let mut result = self.run_request(new_request, &cancel_token).await?;
         let mut row_count = 0;
         while let Some(page) = result.next().await.map_err(|ResultLost| result_lost())? {
             row_count += page.rows.iter().filter(|byte| **byte == b'\n').count();
--- a/fronts/src/flight/tests.rs
+++ b/fronts/src/flight/tests.rs
@@ -19,8 +19,8 @@
         (Duration::ZERO, None),
     ] {
         let request = front.parse_request(STATEMENT.to_string(), &MetadataMap::new());
-        let cancellation = CancellationToken::new();
-        let answer = front.run_request(request.expect("the request is valid"), &cancellation);
+        let cancel_token = CancellationToken::new();
+        let answer = front.run_request(request.expect("the request is valid"), &cancel_token);
         let (answer, ()) = tokio::join!(answer, refuse_next_request(&mut broker, retry_after));
         assert_eq!(retry_delay(&answer.expect_err("is refused")), expected);
     }
--- a/fronts/src/incoming.rs
+++ b/fronts/src/incoming.rs
@@ -1,5 +1,5 @@
-//! Connections of Flight SQL clients, limited in number: each holds a permit until it is dropped.
-//! A connection whose HTTP/2 preface is not complete in time is closed; it would keep its permit forever.
+//! Connections of Flight SQL clients, limited in number: each holds a permit until it is dropped. A connection whose
+//! HTTP/2 preface is not complete in time is closed; otherwise it would keep its permit forever.
 
 use futures::stream::{Stream, StreamExt};
 use sedgebeam_sockets::{SocketStream, set_nodelay};
@@ -14,7 +14,7 @@
 use tokio::time::{Sleep, sleep};
 use tonic::transport::server::Connected;
 
-/// The pause after a failed accept, so that the loop does not spin when there are no file descriptors.
+/// The pause after a failed accept, so that the loop does not spin while no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The length of the HTTP/2 client preface.
@@ -46,7 +46,7 @@
 /// A connection with its permit, not yet served by any worker.
 pub type AcceptedConnection = (TcpStream, OwnedSemaphorePermit);
 
-/// The connections of a listener, at most `max_connections` at once; further ones wait in the listen queue.
+/// The connections of a listener, at most `max_connections` at once; further ones wait in the accept queue.
 pub fn accept_connections(
     listener: TcpListener,
     max_connections: usize,
@@ -74,8 +74,8 @@
     accepted.map(|(stream, permit)| Ok(FlightConnection::new(stream, permit)))
 }
 
-/// A connection on its way from the worker that accepted it to the one that serves it. Its socket is
-/// registered with the runtime of neither.
+/// A connection that is handed from the worker that accepted it to the one that serves it. Its socket is registered
+/// with neither runtime.
 pub struct TransferredConnection {
     stream: std::net::TcpStream,
     permit: OwnedSemaphorePermit,
--- a/fronts/src/lib.rs
+++ b/fronts/src/lib.rs
@@ -12,7 +12,7 @@
 
 use sedgebeam_port::{Failure, RequestRouter};
 
-/// What every front needs.
+/// State that all fronts use.
 #[derive(Clone)]
 pub struct FrontContext {
     pub router: RequestRouter,
--- a/fronts/src/pg/codec.rs
+++ b/fronts/src/pg/codec.rs
@@ -1,11 +1,11 @@
-//! The codec of the PostgreSQL protocol 3.0, as far as clients of a dispatcher use it.
+//! The codec of the PostgreSQL protocol 3.0, limited to the messages that clients of a dispatcher use.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use sedgebeam_port::Page;
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest startup packet.
+/// Bound on the length of a startup packet.
 const MAX_STARTUP_BYTES: usize = 10_000;
 /// The number of columns of every result.
 pub const COLUMN_COUNT: usize = 3;
@@ -45,6 +45,7 @@
     ReadyForQuery,
 }
 
+/// The fields of an ErrorResponse.
 #[derive(Clone, Debug)]
 pub struct ErrorFields {
     /// The SQLSTATE code.
@@ -53,9 +54,11 @@
     pub hint: Option<String>,
 }
 
+/// Decodes the messages of one connection and encodes the answers.
 pub struct PgCodec {
     /// The startup packet has been read.
     is_started: bool,
+    /// Bound on the length of a message after the startup.
     max_message_bytes: usize,
 }
 
@@ -173,7 +176,7 @@
         bytes.put_u16(COLUMN_COUNT as u16);
         for column in 1..=COLUMN_COUNT {
             put_string(bytes, &format!("column{column}"));
-            // No table OID or column number; type text (OID 25), of variable size, without modifier, in text format.
+            // No table OID and no column number; type text (OID 25) of variable size, no modifier, text format.
             bytes.put_u32(0);
             bytes.put_u16(0);
             bytes.put_u32(25);
@@ -235,7 +238,7 @@
             ServerMessage::RowDescription => put_row_description(bytes),
             ServerMessage::DataRows(page) => {
                 let lines = page.rows.split(|byte| *byte == b'\n');
-                // Whatever follows the last line feed is not a row.
+                // Text after the last line feed is not a row.
                 let row_count = page.rows.iter().filter(|byte| **byte == b'\n').count();
                 lines
                     .take(row_count)
--- a/fronts/src/pg/inbox.rs
+++ b/fronts/src/pg/inbox.rs
@@ -1,14 +1,14 @@
 //! Messages that a client sent while its session was busy, each with the time at which it was received.
 //!
-//! A client's time limit counts from the last byte of its command. A command that was received while an earlier one
-//! was in progress has been waiting since then, not since the session began to process it.
+//! A client's time limit counts from the last byte of its command, so the time that a command waits behind an earlier
+//! one counts too.
 
 use super::codec::ClientMessage;
 use std::collections::VecDeque;
 use std::io;
 use tokio::time::Instant;
 
-/// Messages that a client may have sent ahead of the answer to an earlier one.
+/// Maximum number of messages that a client may send ahead of the answer to an earlier one.
 const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// A message, and when its last byte was read.
@@ -38,7 +38,7 @@
 }
 
 impl Inbox {
-    /// The queued statements may not be longer together than one message may be.
+    /// Creates an inbox; `max_statement_bytes` limits the total length of the queued statements.
     pub fn new(max_statement_bytes: usize) -> Inbox {
         Inbox {
             queue: VecDeque::new(),
--- a/fronts/src/pg/mod.rs
+++ b/fronts/src/pg/mod.rs
@@ -11,7 +11,7 @@
 use super::{FrontContext, failure_message, statement};
 use bytes::Bytes;
 use codec::{ClientMessage, ErrorFields, PgCodec, ServerMessage};
-use futures::{FutureExt, Sink, SinkExt, Stream as Messages, StreamExt};
+use futures::{FutureExt, Sink, SinkExt, Stream, StreamExt};
 use inbox::{Inbox, ReceivedMessage};
 use sedgebeam_port::{Answer, Failure, RequestRouter, ResultLost, ResultPages, SessionKey};
 use sedgebeam_sockets::SocketStream;
@@ -28,21 +28,21 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// A connection that has not completed its startup by then is closed.
+/// A connection that has not completed its startup within this time is closed.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
-/// A message that is still incomplete after this time, or at the latest after twice this time, ends its session.
+/// A message that is incomplete for this time, or at most twice this time, ends its session.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Base of the pause before reading on after a rejected statement. It doubles with each consecutive rejection, so that a
-/// client that resends the same statement at once takes no time from the others.
+/// Base of the pause after a rejected statement. The pause doubles with each consecutive rejection, so that a client
+/// that resends the same statement at once does not slow down the others.
 const BASE_REJECTION_PAUSE: Duration = Duration::from_millis(10);
-/// A client that does not take a short answer within this time is considered disconnected. Its request has been
-/// answered, but its session would keep the slot from other clients.
+/// A client that does not read a short answer within this time is considered disconnected. Its request is answered,
+/// but its session would keep a slot that other clients need.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Commands that are refused one by one when a session ends before it has processed them.
+/// Maximum number of unprocessed commands that are refused one by one when a session ends.
 const MAX_REFUSED_COMMANDS: usize = 1024;
-/// How long a closed connection may take to receive its last message and close its side.
+/// Time limit for the client to receive the last message of a closed connection and to close its side.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How much a client may still send meanwhile.
+/// Bound on the bytes that a client may still send meanwhile.
 const MAX_LINGER_BYTES: u64 = 64 * 1024;
 /// This many consecutive rejections end the session; with the pauses between them they fit into the 3 s within which
 /// the client must get an answer.
@@ -50,19 +50,20 @@
 
 type PgConnection = Framed<SocketStream, PgCodec>;
 
-/// What all sessions share.
+/// State that all sessions share.
 #[derive(Clone)]
 pub struct SessionContext {
     pub front_context: FrontContext,
     /// The longest message that a client may send.
     pub max_message_bytes: usize,
-    /// A permit is held by each connection that is being closed without a slot: rejected ones and evicted sessions.
+    /// Limits the connections that are being closed without a slot: rejected ones and evicted sessions. Each holds a
+    /// permit.
     pub lingering_closes: Arc<Semaphore>,
 }
 
 impl SessionContext {
-    /// Closes a connection that has no slot. At the limit of lingering connections it does only what needs no waiting:
-    /// it refuses the commands received so far, and as that leaves no unread bytes, the close is not a reset.
+    /// Closes a connection that has no slot. Without a free permit `closing` runs only as far as it gets without
+    /// waiting: it refuses the commands received so far. That leaves no unread bytes, so the close is not a reset.
     async fn close_without_slot(&self, closing: impl Future<Output = ()>) {
         match self.lingering_closes.try_acquire() {
             Ok(_permit) => closing.await,
@@ -121,7 +122,7 @@
             if ended.is_ok() {
                 session.refuse_first_command().await;
             }
-            // From now on it is among the first to be evicted for a new session.
+            // From now on the session is among the first to be evicted for a new one.
             session.slot.set_state(SessionState::Unproven);
             let mut closing = std::pin::pin!(linger_and_close(session.connection));
             tokio::select! {
@@ -141,7 +142,8 @@
     Draining,
 }
 
-/// Rejects a connection. It may carry a cancel request for another session, which needs no slot and is served.
+/// Rejects a connection. If it carries a cancel request for another session, that is executed, because it needs no
+/// slot.
 pub async fn reject_connection(
     stream: TcpStream,
     session_context: &SessionContext,
@@ -156,7 +158,7 @@
         RejectReason::NoFreeSlot => no_slot_error(&front_context.router),
         RejectReason::Draining => draining_error(&front_context.router),
     };
-    // With a limit of 0 bytes the codec fails on every message behind the startup packet.
+    // With a limit of 0 bytes the codec fails on every message after the startup packet.
     let mut connection = Framed::new(SocketStream::new(stream), PgCodec::new(0));
     let rejection = async {
         connection.send(ServerMessage::ErrorResponse(error)).await?;
@@ -176,9 +178,9 @@
     linger_and_close(connection).await;
 }
 
-/// Closes a connection without a reset: flushes what was written, then reads and drops what the client still sends
-/// until it closes its side, for a limited time. Closing a socket with unread bytes resets the connection, and the client
-/// loses what it has not read yet.
+/// Closes a connection without a reset: flushes it, then reads and drops what the client still sends until it closes
+/// its side, for a limited time. Closing a socket with unread bytes resets the connection, and the client loses what it
+/// has not read yet.
 async fn linger_and_close(mut connection: PgConnection) {
     let lingering = async {
         SinkExt::close(&mut connection).await?;
@@ -245,7 +247,7 @@
 impl Session {
     async fn run(&mut self) -> io::Result<()> {
         let started = timeout(STARTUP_TIMEOUT, self.startup()).await;
-        // Errors of the startup are not reported to the client: one that uses another protocol could not read them.
+        // Errors of the startup are not reported to the client: it may use another protocol and could not read them.
         if !started.map_err(timed_out)?.map_err(io::Error::other)? {
             return Ok(());
         }
@@ -274,7 +276,7 @@
         Ok(())
     }
 
-    /// Runs the startup; false if the connection was opened for something else than a session.
+    /// Runs the startup; false if no session follows, for example after a cancel request.
     async fn startup(&mut self) -> io::Result<bool> {
         while let Some(message) = self.connection.next().await {
             match message? {
@@ -374,7 +376,7 @@
         }
     }
 
-    /// Refuses the first command of a session that has received none: it may be on its way.
+    /// Sends a refusal to a client whose session has received no command, because the first one may be in transit.
     async fn refuse_first_command(&mut self) {
         if self.is_started && !self.command_received && !self.client_closed {
             // Sending fails if the client has disconnected; the session ends either way.
@@ -417,14 +419,15 @@
         self.send(ServerMessage::ErrorResponse(error)).await
     }
 
-    /// Sends a short message, and waits until the client has taken it.
+    /// Sends a short message, and waits until it is written to the socket.
     async fn send(&mut self, message: ServerMessage) -> io::Result<()> {
         timeout(WRITE_TIMEOUT, self.connection.send(message))
             .await
             .map_err(timed_out)?
     }
 
-    /// Rejects a statement and pauses before the next one; false if the session has to end or the client has disconnected.
+    /// Rejects a statement and pauses before the next one; false if the session has to end or the client has
+    /// disconnected.
     async fn reject_statement(&mut self, code: &'static str, message: String) -> io::Result<bool> {
         let error = ErrorFields {
             code,
@@ -443,8 +446,8 @@
         Ok(self.wait_while_reading(pause).await?.is_some())
     }
 
-    /// Answers messages of the extended query protocol: with one error, and ReadyForQuery at the next Sync. False if the
-    /// client has disconnected or the connection has to close.
+    /// Answers messages of the extended query protocol: with one error, and ReadyForQuery at the next Sync. False if
+    /// the client has disconnected or the connection has to close.
     async fn reject_unsupported(&mut self, unsupported: &ClientMessage) -> io::Result<bool> {
         let message = format!("only simple queries are served here, not {unsupported:?}");
         let error = ErrorFields {
@@ -467,7 +470,7 @@
     /// Runs a query and answers it; false if the client has disconnected or the session has to end.
     async fn run_query(&mut self, text: Bytes, received_at: Instant) -> io::Result<bool> {
         if is_blank(&text) {
-            // The platform sends an empty query to check whether the dispatcher takes work.
+            // The platform sends an empty query to check whether the dispatcher accepts work.
             let message = if self.drain.accepts_work() {
                 ServerMessage::EmptyQueryResponse
             } else {
@@ -488,7 +491,8 @@
                     return Ok(false);
                 }
                 let router = self.front_context.router.clone();
-                // The submission is part of the wait: the client may disconnect before a shard has taken the request.
+                // The submission is part of the wait: the client may disconnect before a shard has received the
+                // request.
                 let answer = async move { router.submit(request).await.await };
                 match self.wait_while_reading(answer).await? {
                     Some(answer) => answer,
@@ -522,7 +526,7 @@
         Ok(self.slot.set_state(SessionState::Idle) && !self.drain.closes_after_answer())
     }
 
-    /// Sends a result page by page as the client takes them.
+    /// Sends a result page by page as the client reads them.
     async fn send_result(&mut self, mut result: ResultPages) -> io::Result<()> {
         let mut row_count = 0;
         let deadline = result.deadline();
@@ -532,7 +536,7 @@
                 Ok(Some(page)) => {
                     row_count += page.rows.iter().filter(|byte| **byte == b'\n').count() as u64;
                     self.connection.feed(ServerMessage::DataRows(page)).await?;
-                    // A client that has not taken the page by its deadline is considered disconnected.
+                    // A client that has not read the page by the deadline is considered disconnected.
                     let flushed = timeout_at(deadline, self.flush_while_reading()).await;
                     flushed.map_err(io::Error::other)??;
                 }
@@ -559,8 +563,8 @@
     }
 }
 
-/// Runs a future as far as it gets without waiting; its output if it completes. Tokio's cooperative budget does not
-/// apply: it could leave received bytes unread.
+/// Polls a future once; returns its output if it completes without waiting. Tokio's cooperative budget does not apply,
+/// because it could leave received bytes unread.
 fn poll_once<T>(future: impl Future<Output = T>) -> Option<T> {
     unconstrained(future).now_or_never()
 }
@@ -572,8 +576,8 @@
     )
 }
 
-/// The next message; `None` if the client has disconnected. Fails if a message stays incomplete for too long: it would
-/// otherwise hold its session, and the memory of the bytes received so far, forever.
+/// The next message; `None` if the client has disconnected. Fails if a message stays incomplete for too long: otherwise
+/// it would occupy its session, and the memory of the bytes received so far, forever.
 async fn read_message(connection: &mut PgConnection) -> io::Result<Option<ClientMessage>> {
     let mut is_partial = false;
     loop {
--- a/fronts/src/pg/tests.rs
+++ b/fronts/src/pg/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of refusals and of messages sent ahead, over real sockets: the front alone, with the test in place of the broker.
+//! Tests of refusals and of messages sent ahead, over real sockets. The tests act as the broker.
 
 use super::*;
 use crate::connection_drain::DrainWatcher;
@@ -162,7 +162,7 @@
             let mut drain = Drain::new(false);
             drain.set_prepared();
             drain.start_lame_duck(Duration::ZERO);
-            // The platform sends an empty query to check whether the dispatcher takes work.
+            // The platform sends an empty query to check whether the dispatcher accepts work.
             let error = refusal_of(&router, drain, ";", None).await;
             assert_eq!(
                 error,
@@ -256,7 +256,7 @@
             .await
             .expect("writes");
         run_all_tasks().await;
-        // The pause after the rejection; the command has been there during all of it.
+        // The pause after the rejection, during all of which the command waits.
         tokio::time::advance(2 * BASE_REJECTION_PAUSE).await;
         run_all_tasks().await;
         let (request, _reply) = next_request(&mut broker).await;
@@ -317,7 +317,7 @@
     });
 }
 
-/// The client closes its connection during the pause after a rejected statement, with a valid command still unprocessed.
+/// The client closes its connection during the pause after a rejected statement, while a valid command is unprocessed.
 #[test]
 fn no_command_is_submitted_for_a_client_that_disconnected_during_a_pause() {
     run(async {
@@ -334,7 +334,7 @@
         assert!(
             !std::iter::from_fn(|| broker.try_recv().ok())
                 .any(|message| matches!(message, sedgebeam_port::BrokerMessage::Submit(..))),
-            "its command is submitted"
+            "the command of the disconnected client is submitted"
         );
     });
 }
--- a/fronts/src/retry_delay.rs
+++ b/fronts/src/retry_delay.rs
@@ -1,18 +1,18 @@
-//! The delay that a refusal suggests to its client before the next try.
+//! The delay that a refusal suggests to its client before a retry.
 
 use sedgebeam_core::{Micros, Settings};
 use sedgebeam_port::clock::to_duration;
 use std::time::Duration;
 
-/// The delay suggested by refusals for which no queue computed one.
+/// The delay suggested by refusals that no queue decided on.
 const DEFAULT_RETRY_DELAY: Micros = Micros::from_millis(1000);
 
-/// How long a refused client should wait before it tries again: at least 1 ms.
+/// The delay before the retry of a refused request: at least 1 ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryDelay(Duration);
 
 impl RetryDelay {
-    /// `None` below 1 ms, the shortest delay that can be sent to a client; zero means that none is suggested.
+    /// `None` below 1 ms, the shortest delay that can be sent to a client. A `retry_after` of zero suggests none.
     pub fn new(retry_after: Duration) -> Option<RetryDelay> {
         (retry_after >= Duration::from_millis(1)).then_some(RetryDelay(retry_after))
     }
--- a/fronts/src/session_slots.rs
+++ b/fronts/src/session_slots.rs
@@ -1,8 +1,8 @@
-//! Limits the number of client sessions. When all slots are taken, a new session evicts another: first one
-//! that has sent nothing answerable, then the one that has been idle longest, never one with a request in flight.
+//! Limits the number of client sessions. When all slots are in use, a new session evicts another: first one that has
+//! sent no request that could be answered, then the one that has been idle longest, never one with a request in flight.
 //!
-//! Without eviction, hundreds of silent connections, or clients that never close theirs, left no slot for
-//! regular clients.
+//! Without eviction, hundreds of silent connections, or of clients that never close theirs, left no slot for regular
+//! clients.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,16 +11,19 @@
 /// The state of a session. Sessions are evicted in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SessionState {
-    /// It has sent no request yet that could be answered.
+    /// The session has sent no request yet that could be answered.
     Unproven,
+    /// The last request is answered.
     Idle,
+    /// A request is in flight; the session is not evicted.
     Busy,
 }
 
+/// A session that holds a slot.
 struct Entry {
     state: SessionState,
     /// The sequence number of the change to this state.
-    changed_at: u64,
+    state_sequence: u64,
     eviction: CancellationToken,
 }
 
@@ -28,7 +31,7 @@
 struct SlotTable {
     max_sessions: usize,
     entries: HashMap<u64, Entry>,
-    /// The ids of all sessions that may be evicted, the next one first.
+    /// The ids of all sessions that may be evicted, by their state and its sequence number: the first is evicted next.
     eviction_order: BTreeMap<(SessionState, u64), u64>,
     last_sequence: u64,
 }
@@ -40,8 +43,9 @@
         let Some(entry) = self.entries.get_mut(&id) else {
             return false;
         };
-        self.eviction_order.remove(&(entry.state, entry.changed_at));
-        (entry.state, entry.changed_at) = (state, sequence);
+        self.eviction_order
+            .remove(&(entry.state, entry.state_sequence));
+        (entry.state, entry.state_sequence) = (state, sequence);
         if state != SessionState::Busy {
             self.eviction_order.insert((state, sequence), id);
         }
@@ -50,7 +54,8 @@
 
     fn remove(&mut self, id: u64) {
         if let Some(entry) = self.entries.remove(&id) {
-            self.eviction_order.remove(&(entry.state, entry.changed_at));
+            self.eviction_order
+                .remove(&(entry.state, entry.state_sequence));
         }
     }
 
@@ -66,6 +71,7 @@
     }
 }
 
+/// The slots of all sessions; clones share one table.
 #[derive(Clone)]
 pub struct SessionSlots {
     table: Arc<Mutex<SlotTable>>,
@@ -82,7 +88,7 @@
         }
     }
 
-    /// Changes the limit. Sessions above it are not evicted at once: a request may be on its way to any of them.
+    /// Changes the limit. Sessions above it are not evicted at once: a request to any of them may be in transit.
     pub fn set_max_sessions(&self, max_sessions: usize) {
         self.table().max_sessions = max_sessions;
     }
@@ -109,7 +115,7 @@
         let eviction = CancellationToken::new();
         let entry = Entry {
             state: SessionState::Unproven,
-            changed_at: id,
+            state_sequence: id,
             eviction: eviction.clone(),
         };
         table.entries.insert(id, entry);
@@ -170,11 +176,11 @@
             "its slot was evicted"
         );
         assert!(busy.set_state(SessionState::Busy));
-        let last = acquire();
+        let newest = acquire();
         assert!(is_evicted(&second) && !is_evicted(&first));
-        assert!(first.set_state(SessionState::Busy) && last.set_state(SessionState::Busy));
+        assert!(first.set_state(SessionState::Busy) && newest.set_state(SessionState::Busy));
         assert!(slots.acquire().is_none(), "all sessions are busy");
-        drop(last);
+        drop(newest);
         assert!(!slots.acquire().expect("a released slot").1);
     }
 }
--- a/fronts/src/statement.rs
+++ b/fronts/src/statement.rs
@@ -1,5 +1,5 @@
-//! Parses statements with their request fields in a leading comment, for both fronts, and finds the table group
-//! that a statement names.
+//! Parses statements with their request fields in a leading comment, for both fronts, and finds the table group that a
+//! statement names.
 
 use bytes::Bytes;
 use sedgebeam_core::{RequestId, TableGroupId};
@@ -17,13 +17,13 @@
     "from", "into", "join", "update", "table", "only", "using", "copy",
 ];
 
-/// Estimates above these bounds are implausible and rejected: 10,000 s of work, 1 TB of memory.
+/// Estimates above these bounds are implausible and are rejected: 10,000 s of work, 1 TB of memory.
 const MAX_WORK_MS: f64 = 1e7;
 const MAX_MEMORY_MB: f64 = 1e6;
-/// The largest `limit` of a request, as a multiple of the `give_up` time of its class.
+/// Bound on the `limit` of a request, as a multiple of the `give_up` time of its class.
 const MAX_LIMIT_TO_GIVE_UP: f64 = 2.0;
 
-/// The longest field value that is forwarded to engines unchanged, in bytes.
+/// Bound on the length of a field value that is forwarded to engines unchanged.
 const MAX_FORWARDED_BYTES: usize = 128;
 
 /// Why a statement is rejected; the message is sent to the client.
@@ -52,7 +52,7 @@
     let pairs: Option<Vec<(&str, &str)>> = pairs.collect();
     let pairs = pairs
         .ok_or_else(|| InvalidStatement("the comment holds no pairs of fields".to_string()))?;
-    // A repeated field is rejected: an engine might use the other one of the two values.
+    // A repeated field is rejected: an engine might use another one of its values than the dispatcher.
     let is_repeated = |(index, (name, _)): (usize, &(&str, &str))| {
         let earlier = &pairs[..index];
         earlier.iter().any(|(known, _)| known == name)
@@ -91,7 +91,7 @@
     }
     let number = |name: &str, max: f64| match field(name).map(str::parse::<f64>) {
         None => Ok(0.0),
-        // NaN is in no range.
+        // No range contains NaN.
         Some(Ok(value)) if (0.0..=max).contains(&value) => Ok(value),
         Some(_) => Err(invalid_field(name)),
     };
@@ -146,13 +146,14 @@
     id.map(RequestId)
 }
 
-/// Splits a text into the content of its leading comment and the statement behind it.
+/// Splits a text into the content of its leading comment and the statement after it.
 fn split_fields(text: &str) -> Option<(&str, &str)> {
     let rest = text.trim_start().strip_prefix("/*")?;
     let (fields, statement) = rest.split_once("*/")?;
     Some((fields.trim(), statement.trim_start()))
 }
 
+/// A token of a statement; only names and dots matter for the table group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Token<'a> {
     Name(&'a str),
@@ -160,8 +161,8 @@
     Other,
 }
 
-/// The number of the table group, which is part of the schema's name: that of the first qualified name behind a
-/// table keyword, or, if there is none, of the first qualified name.
+/// The number of the table group, taken from the schema's name: that of the first qualified name after a table keyword,
+/// or, if there is none, of the first qualified name.
 pub fn table_group(statement: &str) -> Option<u64> {
     let tokens: Vec<Token> = Tokenizer(statement).collect();
     let mut first_number = None;
@@ -186,7 +187,7 @@
     first_number
 }
 
-/// The number behind the last underscore of a schema's name.
+/// The number after the last underscore of a schema's name; the staging schema has none.
 fn schema_number(schema: &str) -> Option<u64> {
     if schema.eq_ignore_ascii_case(STAGING_SCHEMA) {
         return None;
@@ -196,8 +197,8 @@
     number.parse().ok().filter(|_| is_number)
 }
 
-/// Splits the rest of a statement into names, dots and other tokens. A string is one token; comments and white
-/// space are skipped.
+/// Splits the rest of a statement into names, dots and other tokens. A string is one token; comments and white space
+/// are skipped.
 struct Tokenizer<'a>(&'a str);
 
 impl<'a> Tokenizer<'a> {
@@ -207,17 +208,17 @@
         consumed
     }
 
-    /// Consumes up to and including `end`, searched from this offset; everything if it does not occur.
-    fn consume_through(&mut self, from: usize, end: &str) -> &'a str {
-        let position = self.0[from..].find(end);
-        self.consume(position.map_or(self.0.len(), |position| from + position + end.len()))
+    /// Consumes up to and including the first `end` after the offset `search_start`; everything if there is none.
+    fn consume_through(&mut self, search_start: usize, end: &str) -> &'a str {
+        let position = self.0[search_start..].find(end);
+        self.consume(position.map_or(self.0.len(), |position| search_start + position + end.len()))
     }
 
-    /// Consumes a quoted string. A doubled quote does not end it, nor, with `escapes`, one behind a backslash.
-    fn consume_quoted(&mut self, quote: char, escapes: bool) -> &'a str {
+    /// Consumes a quoted string. A doubled quote does not end it, nor, with `has_escapes`, a quote after a backslash.
+    fn consume_quoted(&mut self, quote: char, has_escapes: bool) -> &'a str {
         let mut chars = self.0.char_indices().skip(1).peekable();
         while let Some((position, char)) = chars.next() {
-            if escapes && char == '\\' {
+            if has_escapes && char == '\\' {
                 chars.next();
             } else if char == quote && chars.next_if(|(_, next)| *next == quote).is_none() {
                 return self.consume(position + 1);
--- a/fronts/src/statement/tests.rs
+++ b/fronts/src/statement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the fields ahead of statements and of the table groups that statements name.
+//! Tests of the request fields in the comment ahead of a statement, and of the table group that a statement names.
 
 use super::*;
 
@@ -59,37 +59,37 @@
         let text = Bytes::copy_from_slice(text.as_bytes());
         parse(&text, Instant::now(), &names, None).map_err(|InvalidStatement(message)| message)
     };
-    let good = "/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500,cpu=820.0 */ SELECT 1";
-    let request = parsed(good).expect("the statement is valid");
+    let valid = "/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500,cpu=820.0 */ SELECT 1";
+    let request = parsed(valid).expect("the statement is valid");
     assert_eq!(request.id, RequestId(0x9b1f_03aa_5c7e_2d41));
     assert_eq!(request.work.0, 820_000);
     assert_eq!(&request.statement[..], b"SELECT 1");
     for (text, expected) in [
-        (good.replace("lookup", "other"), "verb"),
-        (good.replace("9b1f", "9b1fx"), "txn"),
-        (good.replace("9b1f", "9b1f9b1f"), "txn"),
-        (good.replace("9b1f", ""), "txn"),
-        (good.replace("9b1f", "+b1f"), "txn"),
-        (good.replace("9b1f", "9B1F"), "txn"),
-        (good.replace("txn=9b1f03aa5c7e2d41,", ""), "txn"),
-        (good.replace("limit=1500,", ""), "limit"),
-        (good.replace("1500", "5001"), "limit"),
-        (good.replace("cpu=820.0", "verb=report"), "verb"),
-        (good.replace("cpu=820.0", "cpu"), "pairs"),
-        (good.replace("820.0", "-1"), "cpu"),
-        (good.replace("820.0", "1e300"), "cpu"),
-        (good.replace("cpu=820.0", "memory=1e12"), "memory"),
-        (good.replace("SELECT 1", " "), "no statement"),
-        (good.replace("1500", "0"), "limit"),
-        (good.replace("1500", "-1"), "limit"),
-        (good.replace("1500", "NaN"), "limit"),
-        (good.replace("820.0", "inf"), "cpu"),
-        (format!("/* second=0,{}", &good[3..]), "second"),
-        (format!("/* second=,{}", &good[3..]), "second"),
-        (format!("/* second=true,{}", &good[3..]), "second"),
-        (format!("/* second=11,{}", &good[3..]), "second"),
-        (format!("/* second=1,second=1,{}", &good[3..]), "second"),
-        (good.replace("*/", ""), "no comment"),
+        (valid.replace("lookup", "other"), "verb"),
+        (valid.replace("9b1f", "9b1fx"), "txn"),
+        (valid.replace("9b1f", "9b1f9b1f"), "txn"),
+        (valid.replace("9b1f", ""), "txn"),
+        (valid.replace("9b1f", "+b1f"), "txn"),
+        (valid.replace("9b1f", "9B1F"), "txn"),
+        (valid.replace("txn=9b1f03aa5c7e2d41,", ""), "txn"),
+        (valid.replace("limit=1500,", ""), "limit"),
+        (valid.replace("1500", "5001"), "limit"),
+        (valid.replace("cpu=820.0", "verb=report"), "verb"),
+        (valid.replace("cpu=820.0", "cpu"), "pairs"),
+        (valid.replace("820.0", "-1"), "cpu"),
+        (valid.replace("820.0", "1e300"), "cpu"),
+        (valid.replace("cpu=820.0", "memory=1e12"), "memory"),
+        (valid.replace("SELECT 1", " "), "no statement"),
+        (valid.replace("1500", "0"), "limit"),
+        (valid.replace("1500", "-1"), "limit"),
+        (valid.replace("1500", "NaN"), "limit"),
+        (valid.replace("820.0", "inf"), "cpu"),
+        (format!("/* second=0,{}", &valid[3..]), "second"),
+        (format!("/* second=,{}", &valid[3..]), "second"),
+        (format!("/* second=true,{}", &valid[3..]), "second"),
+        (format!("/* second=11,{}", &valid[3..]), "second"),
+        (format!("/* second=1,second=1,{}", &valid[3..]), "second"),
+        (valid.replace("*/", ""), "no comment"),
         ("SELECT 1".to_string(), "no comment"),
     ] {
         let message = parsed(&text).expect_err(&text);
@@ -122,11 +122,14 @@
         give_up: vec![millis_to_micros(2500.0)],
         ..Names::default()
     };
-    let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    for (field, token) in [(String::new(), None), (format!(",unique={key}"), Some(key))] {
+    let token = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+    for (field, expected) in [
+        (String::new(), None),
+        (format!(",unique={token}"), Some(token)),
+    ] {
         let text = format!("/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500{field} */ SELECT 1");
         let request = parse(&Bytes::from(text), Instant::now(), &names, None)
             .expect("the statement is valid");
-        assert_eq!(request.idempotency_token.as_deref(), token);
+        assert_eq!(request.idempotency_token.as_deref(), expected);
     }
 }
--- a/fronts/src/test_router.rs
+++ b/fronts/src/test_router.rs
@@ -1,4 +1,4 @@
-//! A request router for tests; the test takes the part of its broker.
+//! A request router for tests, which act as its broker.
 
 use sedgebeam_core::{Class, Micros, Settings};
 use sedgebeam_operation::Metrics;
@@ -60,6 +60,6 @@
     retry_after: Duration,
 ) {
     let (_, reply) = next_request(broker).await;
-    let refused = Answer::Refused { retry_after };
-    reply.send(refused).expect("the front waits for the answer");
+    let refusal = Answer::Refused { retry_after };
+    reply.send(refusal).expect("the front waits for the answer");
 }
