--- a/arrow/src/lib.rs
+++ b/arrow/src/lib.rs
@@ -18,7 +18,7 @@
     Arc::new(Schema::new(columns))
 }
 
-/// Converts a page to a record batch. Missing cells of a row become nulls; the last column takes any further tabs.
+/// Converts a page to a record batch. Missing cells of a row become nulls; further tabs become part of the last column.
 pub fn page_to_batch(page: &Page) -> Result<RecordBatch, Status> {
     let text = std::str::from_utf8(&page.rows)
         .map_err(|_| Status::data_loss("a page that is not UTF-8"))?;
@@ -34,18 +34,18 @@
         .map_err(|error| Status::internal(error.to_string()))
 }
 
-/// Converts a record batch to the text of a page.
+/// Converts a record batch to the text of a page: columns separated by tabs, each row ended by a line feed.
 pub fn batch_to_rows(batch: &RecordBatch) -> Result<Bytes, Status> {
-    let text = |index: usize| {
+    let text_column = |index: usize| {
         let column = batch.columns().get(index);
         let column = column.and_then(|column| column.as_string_opt::<i32>());
         column.ok_or_else(|| Status::data_loss("a result that is not of three text columns"))
     };
-    // A further column would be dropped silently.
+    // Without this check a further column would be dropped silently.
     if batch.num_columns() != COLUMN_COUNT {
         return Err(Status::data_loss("a result that is not of three columns"));
     }
-    let columns = [text(0)?, text(1)?, text(2)?];
+    let columns = [text_column(0)?, text_column(1)?, text_column(2)?];
     let mut rows = BytesMut::new();
     for row in 0..batch.num_rows() {
         for (column_index, column) in columns.iter().enumerate() {
--- a/sockets/src/errors.rs
+++ b/sockets/src/errors.rs
@@ -3,7 +3,7 @@
 use rustix::io::Errno;
 use std::io;
 
-/// Errors of a shortage on this machine: of descriptors, memory, buffers or ports.
+/// Errors that mean a shortage on this machine: of file descriptors, memory, buffers or ports.
 const LOCAL_SHORTAGES: [Errno; 6] = [
     Errno::MFILE,
     Errno::NFILE,
--- a/sockets/src/listen.rs
+++ b/sockets/src/listen.rs
@@ -7,9 +7,9 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{Instant, sleep};
 
-/// Time between two attempts.
+/// Time between two attempts to open a listener.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// A restarted dispatcher has to be ready within ten seconds, so the failure is reported before that.
+/// Time after which a failure is reported: a restarted dispatcher has to be ready within ten seconds.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Length of the accept queue, larger than the number of connections that the process may hold. The system drops
--- a/sockets/src/stream.rs
+++ b/sockets/src/stream.rs
@@ -1,8 +1,8 @@
 //! Streams that are read and written until the system reports that the call would block.
 //!
 //! Tokio's own reads and writes treat a short call as a sign that the socket is drained or full, and wait for the next
-//! edge-triggered event. If the call was short for another reason, no event follows, and the data left in the socket is
-//! never read. Here only the error "would block" clears the readiness.
+//! edge-triggered event. If the call was short for another reason, no event follows, and the rest of the data in the
+//! socket is never read. Here only the error "would block" clears the readiness.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Whether a call transferred nothing and is to be repeated once the socket is ready.
+/// Whether a call transferred nothing and must be repeated once the socket is ready.
 pub fn should_retry(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/sockets/tests/listen.rs
+++ b/sockets/tests/listen.rs
@@ -1,10 +1,10 @@
-//! The accept queue of a listener while its owner accepts nothing.
+//! Tests of the accept queue of a listener whose process accepts no connections.
 
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// More clients than connect at the same moment to a process that is stopped.
-const CLIENTS: usize = 300;
+/// More clients than connect at once to a process that is stopped.
+const CLIENT_COUNT: usize = 300;
 
 /// The system drops the connection attempts of clients while the queue is full; they retry only after a second.
 #[test]
@@ -19,7 +19,7 @@
     let address = listener.local_addr().expect("an address");
     // Nothing is accepted, so a full queue stays full; the timeout only bounds the test.
     let connects =
-        (0..CLIENTS).map(|_| TcpStream::connect_timeout(&address, Duration::from_secs(5)));
+        (0..CLIENT_COUNT).map(|_| TcpStream::connect_timeout(&address, Duration::from_secs(5)));
     let connected: Vec<TcpStream> = connects.map_while(Result::ok).collect();
-    assert_eq!(connected.len(), CLIENTS);
+    assert_eq!(connected.len(), CLIENT_COUNT);
 }
