--- a/engines/src/resp/connection.rs
+++ b/engines/src/resp/connection.rs
@@ -112,8 +112,8 @@
     }
 
     /// Remembers a request whose attempt has ended on this connection, so that its next attempt uses another one. A
-    /// duplicate or late answer to the first attempt would be taken for the answer to the second, and a third would then
-    /// run at the same time as the second.
+    /// duplicate or late answer to the first attempt would be taken for the answer to the second, and a third would
+    /// then run at the same time as the second.
     pub fn remember_request(&mut self, request_id: RequestId) {
         if self.carried_requests.len() >= MAX_REMEMBERED_REQUESTS {
             self.carried_requests.pop_front();
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Writes commands until their channel is closed. Attempts that may no longer start are reported as withdrawn. If the
-    /// connection is reset, attempts of which no byte was written have not run.
+    /// Writes commands until their channel is closed. Attempts that may no longer start are reported as withdrawn. If
+    /// the connection is reset, attempts of which no byte was written have not run.
     async fn write(
         &self,
         write_half: OwnedWriteHalf,
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -3,7 +3,8 @@
 //!
 //! Connects are limited (see `sedgebeam_fleet::reconnect`); otherwise an engine that rejects connections would get a
 //! connect for each attempt. While connects are held back, attempts share the connections that are proven to work. If
-//! there is none, an attempt ends at once as not run and as a failed connect, so that the gateway chooses other engines.
+//! there is none, an attempt ends at once as not run and as a failed connect, so that the gateway chooses other
+//! engines.
 
 mod codec;
 mod connection;
@@ -67,8 +68,8 @@
     requested_at: Instant,
 }
 
-/// A result with missing pages. It is reported only when it is complete: if a page is lost before, another engine can run
-/// the request, provided that its class allows that.
+/// A result with missing pages. It is reported only when it is complete: if a page is lost before, another engine can
+/// run the request, provided that its class allows that.
 struct PartialResult {
     pages: Vec<Option<Bytes>>,
     work_ms: Option<f64>,
@@ -124,8 +125,8 @@
     received_count: u64,
 }
 
-/// Runs the actor of the engine at `endpoint` until its mailbox is closed and it has nothing in flight. `weak_mailbox` is
-/// a sender of that mailbox, for the report that the actor is idle.
+/// Runs the actor of the engine at `endpoint` until its mailbox is closed and it has nothing in flight. `weak_mailbox`
+/// is a sender of that mailbox, for the report that the actor is idle.
 pub async fn run(
     endpoint: String,
     transport: NetworkTransport,
@@ -154,7 +155,8 @@
         tokio::select! {
             command = mailbox.recv() => match command {
                 Some(command) => {
-                    // Pending events come first: the connection of an attempt may be up, so that it is no longer unsent.
+                    // Pending events come first: the connection of an attempt may be up, so that it is no longer
+                    // unsent.
                     while let Ok((connection_id, event)) = incoming_events.try_recv() {
                         actor.handle_event(connection_id, event).await;
                     }
@@ -338,8 +340,8 @@
         }
     }
 
-    /// Hands an attempt to its connection, which is up. Until then the attempt stays here: it may be cancelled, and must
-    /// not be written after another attempt has answered its request.
+    /// Hands an attempt to its connection, which is up. Until then the attempt stays here: it may be cancelled, and
+    /// must not be written after another attempt has answered its request.
     async fn write(&mut self, request_id: RequestId) {
         let Some(in_flight) = self.attempts_in_flight.get_mut(&request_id) else {
             return;
@@ -395,8 +397,8 @@
             .await;
     }
 
-    /// The most recently used idle connection; else a new one, if one may be opened; else the one with the fewest attempts
-    /// in flight. A probe (no request) gets the latter even if it is not idle.
+    /// The most recently used idle connection; else a new one, if one may be opened; else the one with the fewest
+    /// attempts in flight. A probe (no request) gets the latter even if it is not idle.
     fn select_connection(
         &mut self,
         request_id: Option<RequestId>,
@@ -422,9 +424,9 @@
         }
     }
 
-    /// The connection with the fewest attempts in flight that has room for one more, is not retiring and has not carried
-    /// this request before. While the engine rejects connections, an unproven connection carries only one attempt at a
-    /// time, because everything written to it may be lost.
+    /// The connection with the fewest attempts in flight that has room for one more, is not retiring and has not
+    /// carried this request before. While the engine rejects connections, an unproven connection carries only one
+    /// attempt at a time, because everything written to it may be lost.
     fn least_loaded(&self, request_id: Option<RequestId>) -> Option<ConnectionId> {
         let (now, max_streams) = (self.backoff_now(), self.settings().max_streams);
         let usable = self.connections.iter().filter(|(_, connection)| {
@@ -527,8 +529,8 @@
         let is_queued = self.send_command(in_flight.connection_id, command);
         if let Some(connection) = self.connections.get_mut(&in_flight.connection_id) {
             connection.attempt_cancelled(request_id, in_flight.sent_at);
-            // Without the command the engine would continue to run the request. When the connection is closed, the engine
-            // aborts all requests on it.
+            // Without the command the engine would continue to run the request. When the connection is closed, the
+            // engine aborts all requests on it.
             connection.is_retiring |= !is_queued;
         }
         if is_answered {
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -26,8 +26,8 @@
 /// Bound on one dispatcher's concurrent connects that are not yet proven to work.
 const MAX_UNPROVEN_CONNECTS: usize = 8;
 
-/// Bound on one dispatcher's connects within `period` to an engine that rejects all: the concurrent ones at the start, and
-/// one after each pause. A pause is at least half of its upper bound.
+/// Bound on one dispatcher's connects within `period` to an engine that rejects all: the concurrent ones at the start,
+/// and one after each pause. A pause is at least half of its upper bound.
 fn max_connects(period: Duration) -> usize {
     let (mut connects, mut elapsed, mut max_pause) =
         (MAX_UNPROVEN_CONNECTS, Duration::ZERO, CONNECT_TIMEOUT);
@@ -300,7 +300,8 @@
             .await;
     }
 
-    /// Polls until `is_done` returns true. Yielding instead of sleeping keeps the paused clock from advancing by itself.
+    /// Polls until `is_done` returns true. Yielding instead of sleeping keeps the paused clock from advancing by
+    /// itself.
     async fn wait_for(&mut self, is_done: impl Fn(&Dispatcher) -> bool) {
         for _ in 0..MAX_POLLS {
             self.receive_reports();
@@ -733,7 +734,8 @@
     }
 }
 
-/// Reads all available bytes and keeps the last 1,024 of them in `last_bytes`; returns whether the connection is closed.
+/// Reads all available bytes and keeps the last 1,024 of them in `last_bytes`; returns whether the connection is
+/// closed.
 fn read_all(stream: &mut std::net::TcpStream, last_bytes: &mut Vec<u8>) -> bool {
     let mut buffer = vec![0; 1 << 20];
     loop {
--- a/engines/src/resp/write_queue.rs
+++ b/engines/src/resp/write_queue.rs
@@ -1,7 +1,7 @@
 //! Commands queued for the socket of an engine. An attempt may be withdrawn until the socket accepts its first byte.
 //!
-//! Otherwise an engine that stops reading for a while would later receive attempts that were cancelled, whose client has
-//! disconnected, or that must not start because the engine is by then listed as draining.
+//! Otherwise an engine that stops reading for a while would later receive attempts that were cancelled, whose client
+//! has disconnected, or that must not start because the engine is by then listed as draining.
 
 use super::codec::{Command, RespCodec, put_fetch};
 use bytes::{Buf, Bytes, BytesMut};
@@ -19,7 +19,8 @@
 
 /// A command that is not completely written.
 struct Frame {
-    /// The unwritten bytes. For an unstarted attempt, its encoding when it was last offered to the socket; empty before.
+    /// The unwritten bytes. For an unstarted attempt, its encoding when it was last offered to the socket; empty
+    /// before.
     bytes: Bytes,
     /// The attempt that this frame starts; `None` once its first byte is written.
     unstarted_attempt: Option<Attempt>,
