--- a/broker/src/engines.rs
+++ b/broker/src/engines.rs
@@ -77,15 +77,15 @@
         };
     }
 
-    /// Has the actor return attempts that are not yet written.
+    /// Tells the actor to return the attempts that are not yet written.
     fn return_unsent(&self) {
         if let Some(actor) = &self.actor {
             send_command(&actor.mailbox, EngineCommand::ReturnUnsent);
         }
     }
 
-    /// Drops the actor that has reported to be idle, unless more commands were sent to it meanwhile: then it reports
-    /// again.
+    /// Drops an actor that has reported to be idle. If more commands were sent to it meanwhile, it is kept and will
+    /// report again.
     fn release_idle_actor(&mut self, idle_engine: &IdleEngine) {
         let has_received_all = |actor: &Actor| {
             let mailbox = idle_engine.mailbox.upgrade();
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Handles the report of an idle actor: it ends unless it was sent another command meanwhile.
+    /// Handles the report of an idle actor, which is ended unless another command was sent to it meanwhile.
     pub(super) fn engine_idle(&mut self, engine: EngineId, idle_engine: &IdleEngine) {
         if let Some(known_engine) = self.engines.get_mut(&engine) {
             known_engine.release_idle_actor(idle_engine);
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -54,7 +54,7 @@
     AnswerTimeout(RequestId, Instant),
 }
 
-/// The actor's state.
+/// The broker's state.
 pub struct Broker {
     gateway: Gateway,
     settings: Settings,
@@ -93,6 +93,7 @@
 #[derive(Clone)]
 pub struct BrokerConfig {
     pub runtime_settings: Arc<RuntimeSettings>,
+    /// Seed of the gateway's random numbers.
     pub seed: u64,
     pub clock: Clock,
     pub metrics: Metrics,
@@ -616,7 +617,7 @@
         starts_by: Option<Micros>,
         now: Instant,
     ) {
-        // The client has left, but `ClientLeft` is still waiting behind other messages.
+        // The client has left, but `ClientLeft` is still queued in the mailbox.
         if self
             .open_requests
             .get(&id)
@@ -817,7 +818,7 @@
             .get(&id)
             .is_none_or(|request| now >= request.deadline);
         if !deadline_passed {
-            log::warn!("request {:016x}: an abort is not confirmed", id.0);
+            log::warn!("request {:016x}: an abort was not confirmed in time", id.0);
         }
         self.abort_confirmed(id, attempt_no);
     }
--- a/engines/src/resp/codec.rs
+++ b/engines/src/resp/codec.rs
@@ -34,7 +34,7 @@
     RecheckQueue,
 }
 
-/// What an answer refers to, according to its id.
+/// The subject of an answer, according to its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplySubject {
     Request(RequestId),
@@ -72,12 +72,14 @@
     Malformed(String),
 }
 
+/// An answer of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     pub subject: ReplySubject,
     pub body: ReplyBody,
 }
 
+/// Encodes commands and decodes answers.
 #[derive(Default)]
 pub struct RespCodec;
 
@@ -169,7 +171,7 @@
     }
 }
 
-/// Parses a line with a prefix and a length; returns the length and the position behind the line, or `None` while the
+/// Parses a line with a prefix and a length; returns the length and the position after the line, or `None` while the
 /// line is incomplete.
 fn parse_length_line(
     bytes: &[u8],
--- a/engines/src/resp/mod.rs
+++ b/engines/src/resp/mod.rs
@@ -2,7 +2,7 @@
 //! attempts are spread over as many connections as the settings allow.
 //!
 //! Connects are limited (see `sedgebeam_fleet::reconnect`); otherwise an engine that rejects connections would get a
-//! connect for each attempt. While connects are held back, attempts share the connections that are proven to work. If
+//! connect for each attempt. While no connect is permitted, attempts share the connections that are proven to work. If
 //! there is none, an attempt ends at once as not run and as a failed connect, so that the gateway chooses other
 //! engines.
 
@@ -452,7 +452,7 @@
         best.map(|(connection_id, _)| *connection_id)
     }
 
-    /// Why an attempt has no connection while connects are held back.
+    /// Why an attempt has no connection while the backoff permits no connect.
     fn no_connection_reason(&self) -> NoConnection {
         let now = self.backoff_now();
         let is_proven = |connection: &Connection| {
--- a/fronts/src/pg/mod.rs
+++ b/fronts/src/pg/mod.rs
@@ -42,7 +42,7 @@
 const MAX_REFUSED_COMMANDS: usize = 1024;
 /// Time limit for the client to receive the last message of a closed connection and to close its side.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bound on the bytes that a client may still send meanwhile.
+/// Bound on the bytes that a client may still send within `LINGER_TIMEOUT`.
 const MAX_LINGER_BYTES: u64 = 64 * 1024;
 /// This many consecutive rejections end the session; with the pauses between them they fit into the 3 s within which
 /// the client must get an answer.
--- a/fronts/src/pg/tests.rs
+++ b/fronts/src/pg/tests.rs
@@ -95,7 +95,8 @@
     (client, drain_sender)
 }
 
-/// The error that answers a query right behind the startup. With a broker, the broker refuses it with this retry delay.
+/// The error that answers a query right after the startup. If a broker is given, it refuses the query with this retry
+/// delay.
 async fn refusal_of(
     router: &RequestRouter,
     drain: Drain,
--- a/port/src/answer.rs
+++ b/port/src/answer.rs
@@ -25,6 +25,7 @@
     Failed(Failure),
 }
 
+/// Why a request has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// There is no result; the request may have run.
--- a/port/src/clock.rs
+++ b/port/src/clock.rs
@@ -33,6 +33,7 @@
     }
 }
 
+/// Converts a duration; one that is too long becomes the maximum.
 pub fn to_micros(duration: Duration) -> Micros {
     Micros(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
--- a/port/src/engine.rs
+++ b/port/src/engine.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether the attempt is cancelled or too late to start. Checked just before its first byte is written, because
-    /// the attempt may have waited for a connection or behind data that the engine was not reading.
+    /// the attempt may have waited for a connection, or for the engine to read earlier data.
     pub fn is_stale(&self) -> bool {
         self.cancel_token.is_cancelled() || Instant::now() >= self.starts_by
     }
@@ -140,14 +140,19 @@
     pub received_count: u64,
 }
 
+/// How a probe ended.
 #[derive(Clone, Debug)]
 pub enum ProbeResult {
+    /// The engine is up, with its load report if it sent one.
     Up(Option<LoadReport>),
+    /// The engine answered that it is down, or with an error.
     Down,
     TimedOut,
+    /// There was no connection for the probe.
     ConnectFailed,
 }
 
+/// The sender of the mailbox of an engine's actor.
 pub type EngineSender = mpsc::Sender<EngineCommand>;
 
 /// Starts the actors of engines.
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -9,6 +9,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+/// The sender of a broker's mailbox.
 pub type BrokerSender = mpsc::Sender<BrokerMessage>;
 
 /// A client's request, independent of the client protocol.
@@ -35,7 +36,7 @@
     /// The session by which the request can be cancelled, if the client protocol supports that.
     pub session: Option<SessionKey>,
     /// Cancelled when the client disconnects or cancels the request. Nothing is sent from then on, even while
-    /// [`BrokerMessage::ClientLeft`] waits behind other messages of the broker.
+    /// [`BrokerMessage::ClientLeft`] is still queued in the broker's mailbox.
     pub cancel_token: CancellationToken,
 }
 
--- a/port/src/request_router.rs
+++ b/port/src/request_router.rs
@@ -77,7 +77,8 @@
     }
 }
 
-/// The broker that a request goes to; for an ordered request also the guard that makes it the next one there.
+/// The broker that a request is submitted to. For an ordered request also the guard that keeps later ones waiting until
+/// it is submitted.
 struct Route<'router> {
     broker: Option<BrokerSender>,
     _submit_guard: Option<MutexGuard<'router, ()>>,
--- a/port/src/supervise.rs
+++ b/port/src/supervise.rs
@@ -1,4 +1,4 @@
-//! Supervised tasks: a panic is logged and reported to whatever depends on the task.
+//! Supervised tasks: a panic is logged and passed to a callback, so that what depends on the task can recover.
 
 use std::future::Future;
 use tokio::runtime::Handle;
@@ -40,7 +40,7 @@
     })
 }
 
-/// Spawns a task that the dispatcher can't run without: a panic ends the process.
+/// Spawns a task that the dispatcher needs in order to run: a panic ends the process with exit code 1.
 pub fn spawn_critical<F>(name: &str, task: F) -> JoinHandle<Option<F::Output>>
 where
     F: Future + Send + 'static,
