--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -35,7 +35,7 @@
 
 /// Capacity of the broker's mailbox; senders wait while it is full.
 const MAILBOX_CAPACITY: usize = 4096;
-/// How long the last usage report of a peer process counts. A peer process reports ten times a second.
+/// How long a usage report of a peer process stays valid. Peer processes report ten times a second.
 const PEER_USAGE_LIFETIME: Micros = Micros::from_millis(1000);
 /// An aborted attempt gets its outcome after this time even if the engine's actor does not confirm the abort. It is
 /// longer than the actor needs to close a connection on which the abort can't be written.
@@ -54,7 +54,7 @@
     AnswerTimeout(RequestId, Instant),
 }
 
-/// The actor's state.
+/// The broker's state.
 pub struct Broker {
     gateway: Gateway,
     settings: Settings,
@@ -67,6 +67,7 @@
     /// Another shard has released capacity that this one may be waiting for.
     capacity_released: bool,
     clock: Clock,
+    /// Sends to the broker's own mailbox.
     own_sender: BrokerSender,
     open_requests: HashMap<RequestId, OpenRequest>,
     engines: BTreeMap<EngineId, KnownEngine>,
@@ -76,12 +77,13 @@
     drained: BTreeSet<String>,
     counters: Tally,
     metrics: Metrics,
-    /// The engine metrics as last reported.
+    /// The engine metrics that were reported last.
     reported_engines: metrics::ShardEngines,
     /// Events for the gateway's next batch.
     events: Vec<Event>,
     /// Requests that are answered and have no attempt in flight, removed after the next batch.
-    finished: Vec<RequestId>,
+    finished_requests: Vec<RequestId>,
+    /// Timers by their time and the order in which they were set.
     timers: BTreeMap<(Instant, u64), BrokerTimer>,
     timer_count: u64,
     last_batch_at: Option<Instant>,
@@ -91,6 +93,7 @@
 #[derive(Clone)]
 pub struct BrokerConfig {
     pub runtime_settings: Arc<RuntimeSettings>,
+    /// Seed of the gateway's random numbers.
     pub seed: u64,
     pub clock: Clock,
     pub metrics: Metrics,
@@ -106,14 +109,14 @@
     let RuntimeSettings {
         settings,
         names,
-        max_open_requests: most_open,
+        max_open_requests,
     } = (*config.runtime_settings).clone();
     let broker = Broker {
         gateway: Gateway::new(settings.clone(), config.seed),
         class_names: class_names(&settings),
         settings,
         names,
-        max_open_requests: most_open,
+        max_open_requests,
         engine_transport: config.engine_transport,
         shard: config.shard,
         capacity_released: false,
@@ -127,7 +130,7 @@
         metrics: config.metrics,
         reported_engines: metrics::ShardEngines::default(),
         events: Vec::new(),
-        finished: Vec::new(),
+        finished_requests: Vec::new(),
         timers: BTreeMap::new(),
         timer_count: 0,
         last_batch_at: None,
@@ -141,7 +144,7 @@
 }
 
 /// Converts the usage of peer processes to that of a shard, with classes in the order of this process's settings.
-fn peer_usage(usage: &HandoverState, classes: &[Arc<str>], until: Micros) -> ShardUsage {
+fn peer_usage(usage: &HandoverState, classes: &[Arc<str>], valid_until: Micros) -> ShardUsage {
     let engines = usage.engines.iter();
     let class_usage = |name: &Arc<str>| {
         let class = usage.classes.iter().find(|class| *class.name == **name);
@@ -152,7 +155,7 @@
             .map(|engine| (engine.engine, engine.usage.clone()))
             .collect(),
         classes: classes.iter().map(class_usage).collect(),
-        all_ended_by: until,
+        all_ended_by: valid_until,
         ..ShardUsage::default()
     }
 }
@@ -209,7 +212,7 @@
             .min()
     }
 
-    /// Whether there is anything for the gateway to process.
+    /// Whether there are events for the gateway, or capacity was released.
     fn has_pending_events(&self) -> bool {
         self.capacity_released || !self.events.is_empty()
     }
@@ -228,15 +231,15 @@
             match first.remove() {
                 BrokerTimer::Gateway(timer) => self.events.push(Event::Timer(timer)),
                 // A finished request's id may have been reused by a request with another deadline.
-                BrokerTimer::AttemptTimeout(id, deadline, number)
+                BrokerTimer::AttemptTimeout(id, deadline, attempt_no)
                     if self.is_open_with_deadline(id, deadline) =>
                 {
-                    self.attempt_timed_out(id, number, now);
+                    self.attempt_timed_out(id, attempt_no, now);
                 }
-                BrokerTimer::AbortTimeout(id, deadline, number)
+                BrokerTimer::AbortTimeout(id, deadline, attempt_no)
                     if self.is_open_with_deadline(id, deadline) =>
                 {
-                    self.abort_timed_out(id, number, now);
+                    self.abort_timed_out(id, attempt_no, now);
                 }
                 BrokerTimer::AnswerTimeout(id, deadline)
                     if self.is_open_with_deadline(id, deadline) =>
@@ -270,7 +273,7 @@
                 query.remaining = remaining;
             }
         }
-        let finished = std::mem::take(&mut self.finished);
+        let finished_requests = std::mem::take(&mut self.finished_requests);
         events.iter().for_each(|event| log::trace!("{event:?}"));
         let (actions, is_valid) = self.decide(now, events);
         for action in actions {
@@ -282,7 +285,7 @@
                 action => self.execute(action, now),
             }
         }
-        for id in finished {
+        for id in finished_requests {
             self.open_requests.remove(&id);
             if let Some(shard) = &self.shard {
                 shard.release_request(id);
@@ -293,10 +296,10 @@
 
     /// Updates the metrics of discovered and ejected engines if they have changed.
     fn update_engine_metrics(&mut self) {
-        let avoided = self.gateway.ejected_engines().into_iter();
+        let ejected = self.gateway.ejected_engines().into_iter();
         let engines = metrics::ShardEngines {
             discovered: self.engines.len(),
-            ejected: avoided.map(|(id, until)| (id.0, until.0)).collect(),
+            ejected: ejected.map(|(id, until)| (id.0, until.0)).collect(),
         };
         if engines != self.reported_engines {
             let shard = self.shard.as_ref().map_or(0, Shard::index);
@@ -318,7 +321,7 @@
         self.gateway.update_siblings(lease.siblings);
         let actions = self.gateway.handle(at, events);
         let usage = self.gateway.publish();
-        let is_valid = shard.settle(lease.id, self.clock.micros(Instant::now()), usage);
+        let is_valid = shard.commit(lease.id, self.clock.micros(Instant::now()), usage);
         if !is_valid {
             log::warn!("the lease expired before the decision was complete; its sends are dropped");
         }
@@ -334,9 +337,9 @@
         now: Instant,
     ) {
         if let Some(request) = self.open_requests.get_mut(&id) {
-            let number = AttemptNo(request.attempts.len() as u32);
+            let attempt_no = AttemptNo(request.attempts.len() as u32);
             request.attempts.push(None);
-            self.report_outcome(id, number, engine_id, outcome, now, now);
+            self.report_outcome(id, attempt_no, engine_id, outcome, now, now);
         }
     }
 
@@ -346,7 +349,7 @@
                 request,
                 memory_mb,
                 priority,
-            } => self.update_terms(request, memory_mb, priority),
+            } => self.update_attempt_resources(request, memory_mb, priority),
             Action::Send {
                 request,
                 engine,
@@ -369,7 +372,7 @@
                 self.set_timer(at, BrokerTimer::Gateway(timer));
             }
             Action::Probe { engine } => self.probe(engine),
-            // The change log is followed by a task of its own.
+            // A separate task follows the change log.
             Action::SubscribeToEngineList => {}
             Action::Log(text) => log::info!("{text}"),
         }
@@ -379,17 +382,20 @@
         match message {
             BrokerMessage::Submit(request, reply) => self.submit(request, reply),
             BrokerMessage::ClientLeft(id) => self.client_left(id, Failure::Cancelled),
-            BrokerMessage::EngineReport(engine, EngineReport::AttemptEnded(id, number, result)) => {
-                self.attempt_ended(engine, id, number, result);
+            BrokerMessage::EngineReport(
+                engine,
+                EngineReport::AttemptEnded(id, attempt_no, result),
+            ) => {
+                self.attempt_ended(engine, id, attempt_no, result);
             }
-            BrokerMessage::EngineReport(engine, EngineReport::AbortConfirmed(id, number)) => {
-                if self.is_in_flight(engine, id, number) {
-                    self.abort_confirmed(id, number);
+            BrokerMessage::EngineReport(engine, EngineReport::AbortConfirmed(id, attempt_no)) => {
+                if self.is_in_flight(engine, id, attempt_no) {
+                    self.abort_confirmed(id, attempt_no);
                 }
             }
-            BrokerMessage::EngineReport(engine, EngineReport::Note(id, number, note)) => {
-                if self.is_in_flight(engine, id, number) && !self.is_aborting(id, number) {
-                    self.events.push(Event::Note(id, number, note));
+            BrokerMessage::EngineReport(engine, EngineReport::Note(id, attempt_no, note)) => {
+                if self.is_in_flight(engine, id, attempt_no) && !self.is_aborting(id, attempt_no) {
+                    self.events.push(Event::Note(id, attempt_no, note));
                 }
             }
             BrokerMessage::EngineReport(engine, EngineReport::Probed(probe)) => {
@@ -400,9 +406,7 @@
                 self.engine_idle(engine, &idle_engine)
             }
             BrokerMessage::EngineActorDied(engine) => self.engine_actor_died(engine),
-            BrokerMessage::EngineList(listing, targets) => {
-                self.update_engine_list(listing, targets)
-            }
+            BrokerMessage::EngineList(update, targets) => self.update_engine_list(update, targets),
             BrokerMessage::GetHandoverState(reply) => {
                 // The requester may have stopped waiting.
                 let _ = reply.send(self.gateway.handover_state());
@@ -416,7 +420,7 @@
                 self.set_peer_process_usage(&usage, may_use_cold_engines)
             }
             BrokerMessage::Shutdown => self.events.push(Event::Shutdown),
-            // The sender is dropped after the call, which the requester waits for.
+            // The requester waits until `_applied` is dropped, which happens after the call.
             BrokerMessage::Reconfigure(runtime_settings, _applied) => {
                 self.reconfigure(&runtime_settings)
             }
@@ -466,10 +470,10 @@
     // ---- Requests ----
 
     fn submit(&mut self, request: NewRequest, reply: oneshot::Sender<Answer>) {
-        let refused = Answer::Refused {
+        let refusal = Answer::Refused {
             retry_after: to_duration(self.settings.max_retry_after),
         };
-        // Errors of `send` are ignored: nobody waits for the answer any more.
+        // `send` fails only if nobody waits for the answer any more.
         if request.cancel_token.is_cancelled() {
             let _ = reply.send(Answer::Failed(Failure::Cancelled));
             return;
@@ -481,7 +485,7 @@
         // The gateway would never answer a request of an unknown class.
         let is_unknown_class = request.class.0 >= self.class_names.len();
         if self.open_requests.len() >= self.max_open_requests || is_unknown_class {
-            let _ = reply.send(refused);
+            let _ = reply.send(refusal);
             return;
         }
         let id = request.id;
@@ -511,7 +515,7 @@
             remaining: Micros(0),
             work: request.work,
             memory_mb: request.memory_mb,
-            table_group: request.group,
+            table_group: request.table_group,
             is_retry: request.is_retry,
         }));
         let slack = to_duration(self.settings.answer_slack);
@@ -539,20 +543,21 @@
         self.counters.count_answer(class, tenant, &answer);
         // If the client has just disconnected, the result is dropped, which releases it at the engine.
         let _ = reply.send(answer);
-        self.note_if_finished(id);
+        self.schedule_removal_if_finished(id);
     }
 
     /// Schedules the removal of a request that is answered and has no attempt in flight. This happens once: a second
     /// removal could hit a later request with the same id.
-    fn note_if_finished(&mut self, id: RequestId) {
+    fn schedule_removal_if_finished(&mut self, id: RequestId) {
         if let Some(request) = self.open_requests.get_mut(&id)
             && request.is_finished()
-            && !std::mem::replace(&mut request.is_noted_as_finished, true)
+            && !std::mem::replace(&mut request.is_removal_scheduled, true)
         {
-            self.finished.push(id);
+            self.finished_requests.push(id);
         }
     }
 
+    /// Handles a client that has disconnected or cancelled its request, which is answered with this failure.
     fn client_left(&mut self, id: RequestId, failure: Failure) {
         if self
             .open_requests
@@ -564,7 +569,7 @@
         }
     }
 
-    /// Answers a request that the gateway has left without an answer.
+    /// Answers a request for which the gateway has sent no answer.
     fn answer_overdue(&mut self, id: RequestId) {
         if self
             .open_requests
@@ -580,29 +585,30 @@
 
     /// Whether the attempt is in flight at this engine. An attempt with the same number of an earlier request with the
     /// same id may have been sent to another engine.
-    fn is_in_flight(&self, engine: EngineId, id: RequestId, number: AttemptNo) -> bool {
+    fn is_in_flight(&self, engine: EngineId, id: RequestId, attempt_no: AttemptNo) -> bool {
         let attempt = self
             .open_requests
             .get(&id)
-            .and_then(|request| request.attempt_in_flight(number));
+            .and_then(|request| request.attempt_in_flight(attempt_no));
         attempt.is_some_and(|attempt| attempt.engine == engine)
     }
 
     /// Sets the memory grant of the next attempt, and the priority, which also applies to attempts in flight.
-    fn update_terms(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
+    fn update_attempt_resources(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
         let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
         request.memory_grant_mb = memory_grant(memory_mb);
-        let changed = std::mem::replace(&mut request.priority, priority) != priority;
-        for (number, attempt) in request.attempts_in_flight().filter(|_| changed) {
+        let has_changed = std::mem::replace(&mut request.priority, priority) != priority;
+        for (attempt_no, attempt) in request.attempts_in_flight().filter(|_| has_changed) {
             send_command(
                 &attempt.mailbox,
-                EngineCommand::Reprioritize(id, number, priority),
+                EngineCommand::Reprioritize(id, attempt_no, priority),
             );
         }
     }
 
+    /// Sends an attempt of a request to an engine, unless the request or the engine no longer allows it.
     fn send(
         &mut self,
         id: RequestId,
@@ -611,7 +617,7 @@
         starts_by: Option<Micros>,
         now: Instant,
     ) {
-        // The client has left, but `ClientLeft` is still waiting behind other messages.
+        // The client has left, but `ClientLeft` is still queued in the mailbox.
         if self
             .open_requests
             .get(&id)
@@ -627,9 +633,9 @@
             .engines
             .get_mut(&engine_id)
             .filter(|engine| engine.is_ready);
-        let number = AttemptNo(request.attempts.len() as u32);
+        let attempt_no = AttemptNo(request.attempts.len() as u32);
         let max_attempts = self.settings.max_attempts;
-        let attempts_exhausted = max_attempts > 0 && number.0 >= max_attempts;
+        let attempts_exhausted = max_attempts > 0 && attempt_no.0 >= max_attempts;
         let has_attempt_in_flight =
             !self.settings.second_copies && request.attempts_in_flight().next().is_some();
         let is_obsolete = request.reply.is_none()
@@ -651,7 +657,7 @@
         };
         let attempt = Attempt {
             request: id,
-            number,
+            attempt_no,
             class: self.class_names[request.class.0].clone(),
             deadline: now + timeout,
             priority: request.priority,
@@ -686,7 +692,7 @@
         let deadline = request.deadline;
         self.set_timer(
             now + timeout,
-            BrokerTimer::AttemptTimeout(id, deadline, number),
+            BrokerTimer::AttemptTimeout(id, deadline, attempt_no),
         );
     }
 
@@ -694,7 +700,7 @@
     fn report_outcome(
         &mut self,
         id: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
         engine: EngineId,
         outcome: Outcome,
         sent_at: Instant,
@@ -704,7 +710,7 @@
         let request = self.open_requests.get(&id);
         self.events.push(Event::Ended(AttemptEnded {
             request: id,
-            attempt: number,
+            attempt: attempt_no,
             engine,
             outcome,
             elapsed: to_micros(ended_at - sent_at),
@@ -712,28 +718,34 @@
             work: None,
             load_report: None,
         }));
-        self.note_if_finished(id);
+        self.schedule_removal_if_finished(id);
     }
 
     /// Removes an attempt that is in flight and cancels its token, so that nothing more of it is written.
-    fn remove_attempt(&mut self, id: RequestId, number: AttemptNo) -> Option<InFlightAttempt> {
+    fn remove_attempt(&mut self, id: RequestId, attempt_no: AttemptNo) -> Option<InFlightAttempt> {
         let request = self.open_requests.get_mut(&id)?;
-        let attempt = request.attempts.get_mut(number.0 as usize)?.take()?;
+        let attempt = request.attempts.get_mut(attempt_no.0 as usize)?.take()?;
         attempt.cancel_token.cancel();
         Some(attempt)
     }
 
-    fn cancel_attempt(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        self.abort_attempt(id, number, Outcome::Cancelled, now);
+    fn cancel_attempt(&mut self, id: RequestId, attempt_no: AttemptNo, now: Instant) {
+        self.abort_attempt(id, attempt_no, Outcome::Cancelled, now);
     }
 
-    fn attempt_timed_out(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        self.abort_attempt(id, number, Outcome::TimedOut, now);
+    fn attempt_timed_out(&mut self, id: RequestId, attempt_no: AttemptNo, now: Instant) {
+        self.abort_attempt(id, attempt_no, Outcome::TimedOut, now);
     }
 
     /// Aborts an attempt that is in flight. If another attempt may follow, the outcome is reported only after the
     /// engine's actor has confirmed the abort, because two attempts of one request must not be in flight together.
-    fn abort_attempt(&mut self, id: RequestId, number: AttemptNo, outcome: Outcome, now: Instant) {
+    fn abort_attempt(
+        &mut self,
+        id: RequestId,
+        attempt_no: AttemptNo,
+        outcome: Outcome,
+        now: Instant,
+    ) {
         let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
@@ -741,7 +753,7 @@
         let is_final_attempt =
             request.reply.is_none() || now >= request.deadline || effect == Effect::Once;
         let deadline = request.deadline;
-        let attempt = request.attempts.get_mut(number.0 as usize);
+        let attempt = request.attempts.get_mut(attempt_no.0 as usize);
         let Some(attempt) = attempt.and_then(Option::as_mut) else {
             return;
         };
@@ -753,30 +765,33 @@
             outcome,
             aborted_at: now,
         });
-        send_command(&attempt.mailbox, EngineCommand::Abort(id, number));
+        send_command(&attempt.mailbox, EngineCommand::Abort(id, attempt_no));
         if is_final_attempt {
-            self.abort_confirmed(id, number);
+            self.abort_confirmed(id, attempt_no);
         } else {
             // No attempt follows after the deadline.
             let expires_at = deadline.min(now + ABORT_TIMEOUT);
-            self.set_timer(expires_at, BrokerTimer::AbortTimeout(id, deadline, number));
+            self.set_timer(
+                expires_at,
+                BrokerTimer::AbortTimeout(id, deadline, attempt_no),
+            );
         }
     }
 
-    fn is_aborting(&self, id: RequestId, number: AttemptNo) -> bool {
+    fn is_aborting(&self, id: RequestId, attempt_no: AttemptNo) -> bool {
         let attempt = self
             .open_requests
             .get(&id)
-            .and_then(|request| request.attempt_in_flight(number));
+            .and_then(|request| request.attempt_in_flight(attempt_no));
         attempt.is_some_and(|attempt| attempt.abort.is_some())
     }
 
     /// Removes an aborted attempt and reports its outcome.
-    fn abort_confirmed(&mut self, id: RequestId, number: AttemptNo) {
-        if !self.is_aborting(id, number) {
+    fn abort_confirmed(&mut self, id: RequestId, attempt_no: AttemptNo) {
+        if !self.is_aborting(id, attempt_no) {
             return;
         }
-        if let Some(attempt) = self.remove_attempt(id, number)
+        if let Some(attempt) = self.remove_attempt(id, attempt_no)
             && let Some(PendingAbort {
                 outcome,
                 aborted_at,
@@ -784,7 +799,7 @@
         {
             self.report_outcome(
                 id,
-                number,
+                attempt_no,
                 attempt.engine,
                 outcome,
                 attempt.sent_at,
@@ -794,8 +809,8 @@
     }
 
     /// Ends an aborted attempt whose abort is not confirmed in time, so that its request can go on.
-    fn abort_timed_out(&mut self, id: RequestId, number: AttemptNo, now: Instant) {
-        if !self.is_aborting(id, number) {
+    fn abort_timed_out(&mut self, id: RequestId, attempt_no: AttemptNo, now: Instant) {
+        if !self.is_aborting(id, attempt_no) {
             return;
         }
         let deadline_passed = self
@@ -803,32 +818,32 @@
             .get(&id)
             .is_none_or(|request| now >= request.deadline);
         if !deadline_passed {
-            log::warn!("request {:016x}: an abort is not confirmed", id.0);
+            log::warn!("request {:016x}: an abort was not confirmed in time", id.0);
         }
-        self.abort_confirmed(id, number);
+        self.abort_confirmed(id, attempt_no);
     }
 
     fn attempt_ended(
         &mut self,
         engine: EngineId,
         id: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
         result: AttemptResult,
     ) {
         let now = Instant::now();
-        // Results that cross a cancellation or timeout are ignored: the attempt has its outcome.
-        if !self.is_in_flight(engine, id, number) {
+        // A result that arrives after a cancellation or a timeout is ignored: the attempt has its outcome.
+        if !self.is_in_flight(engine, id, attempt_no) {
             return;
         }
-        if self.is_aborting(id, number) {
-            return self.abort_confirmed(id, number);
+        if self.is_aborting(id, attempt_no) {
+            return self.abort_confirmed(id, attempt_no);
         }
-        let Some(attempt) = self.remove_attempt(id, number) else {
+        let Some(attempt) = self.remove_attempt(id, attempt_no) else {
             return;
         };
         let outcome = match result {
             AttemptResult::Ok { page, work, load } => {
-                return self.attempt_succeeded(id, number, attempt, page, work, load);
+                return self.attempt_succeeded(id, attempt_no, attempt, page, work, load);
             }
             AttemptResult::Busy => Outcome::Rejected,
             AttemptResult::Error => Outcome::Error,
@@ -836,14 +851,14 @@
             AttemptResult::ConnectFailed => Outcome::ConnectFailed,
             AttemptResult::Reset => Outcome::Reset,
         };
-        self.report_outcome(id, number, engine, outcome, attempt.sent_at, now);
+        self.report_outcome(id, attempt_no, engine, outcome, attempt.sent_at, now);
     }
 
     /// Answers the request with the result of its first successful attempt.
     fn attempt_succeeded(
         &mut self,
         id: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
         attempt: InFlightAttempt,
         page: Page,
         work: Option<Micros>,
@@ -852,12 +867,12 @@
         let Some(request) = self.open_requests.get(&id) else {
             return;
         };
-        let pages = ResultPages::new(page, request.deadline, attempt.mailbox, id, number);
+        let pages = ResultPages::new(page, request.deadline, attempt.mailbox, id, attempt_no);
         self.send_answer(id, Answer::Rows(pages));
         self.counters.count_attempt(Outcome::Ok);
         self.events.push(Event::Ended(AttemptEnded {
             request: id,
-            attempt: number,
+            attempt: attempt_no,
             engine: attempt.engine,
             outcome: Outcome::Ok,
             elapsed: to_micros(attempt.sent_at.elapsed()),
--- a/engines/src/resp/tests.rs
+++ b/engines/src/resp/tests.rs
@@ -26,8 +26,8 @@
 /// Bound on one dispatcher's concurrent connects that are not yet proven to work.
 const MAX_UNPROVEN_CONNECTS: usize = 8;
 
-/// Bound on one dispatcher's connects within `period` to an engine that rejects all: the concurrent ones at first, and one
-/// after each pause. A pause is at least half of its upper bound.
+/// Bound on one dispatcher's connects within `period` to an engine that rejects all: the concurrent ones at the start,
+/// and one after each pause. A pause is at least half of its upper bound.
 fn max_connects(period: Duration) -> usize {
     let (mut connects, mut elapsed, mut max_pause) =
         (MAX_UNPROVEN_CONNECTS, Duration::ZERO, CONNECT_TIMEOUT);
@@ -100,7 +100,7 @@
 
     /// The largest number of fetches of one request.
     fn max_fetches(&self) -> usize {
-        let fetches = self.counts.fetches.lock().expect("no test has failed");
+        let fetches = self.counts.fetches.lock().expect("no test panicked");
         fetches.values().copied().max().unwrap_or(0)
     }
 }
@@ -131,7 +131,7 @@
         let id = &command[1];
         let status_word = match command[0].as_str() {
             "fetch" => {
-                let mut fetches = counts.fetches.lock().expect("no test has failed");
+                let mut fetches = counts.fetches.lock().expect("no test panicked");
                 *fetches.entry(id.clone()).or_default() += 1;
                 behavior.borrow().status_word
             }
@@ -234,15 +234,15 @@
         self.send_attempt(RequestId(self.sent.len() as u64), AttemptNo(0));
     }
 
-    fn send_attempt(&mut self, request: RequestId, number: AttemptNo) {
-        self.send_statement(request, number, Bytes::from_static(b"SELECT 1"));
+    fn send_attempt(&mut self, request: RequestId, attempt_no: AttemptNo) {
+        self.send_statement(request, attempt_no, Bytes::from_static(b"SELECT 1"));
     }
 
-    fn send_statement(&mut self, request: RequestId, number: AttemptNo, statement: Bytes) {
+    fn send_statement(&mut self, request: RequestId, attempt_no: AttemptNo, statement: Bytes) {
         let timeout = Duration::from_secs(60);
         let attempt = Attempt {
             request,
-            number,
+            attempt_no,
             class: "lookup".into(),
             deadline: Instant::now() + timeout,
             priority: 1,
@@ -253,19 +253,21 @@
             cancel_token: CancellationToken::new(),
             starts_by: Instant::now() + timeout,
         };
-        self.sent.push((request, number));
+        self.sent.push((request, attempt_no));
         let queued = self.mailbox.try_send(EngineCommand::Send(attempt));
-        queued.expect("room in the mailbox");
+        queued.expect("the mailbox has room");
     }
 
-    fn abort(&mut self, request: RequestId, number: AttemptNo) {
-        let queued = self.mailbox.try_send(EngineCommand::Abort(request, number));
-        queued.expect("room in the mailbox");
+    fn abort(&mut self, request: RequestId, attempt_no: AttemptNo) {
+        let queued = self
+            .mailbox
+            .try_send(EngineCommand::Abort(request, attempt_no));
+        queued.expect("the mailbox has room");
     }
 
     fn probe(&mut self) {
         let queued = self.mailbox.try_send(EngineCommand::Probe);
-        queued.expect("room in the mailbox");
+        queued.expect("the mailbox has room");
     }
 
     fn receive_reports(&mut self) {
@@ -273,12 +275,15 @@
             match message {
                 BrokerMessage::EngineReport(
                     _,
-                    EngineReport::AttemptEnded(request, number, end),
+                    EngineReport::AttemptEnded(request, attempt_no, result),
                 ) => {
-                    self.ends.push((request, number, end));
+                    self.ends.push((request, attempt_no, result));
                 }
-                BrokerMessage::EngineReport(_, EngineReport::AbortConfirmed(request, number)) => {
-                    self.cancelled.push((request, number));
+                BrokerMessage::EngineReport(
+                    _,
+                    EngineReport::AbortConfirmed(request, attempt_no),
+                ) => {
+                    self.cancelled.push((request, attempt_no));
                 }
                 BrokerMessage::EngineReport(_, EngineReport::Probed(probe)) => {
                     self.probes.push(probe)
@@ -295,7 +300,8 @@
             .await;
     }
 
-    /// Polls until `is_done` returns true. Yielding instead of sleeping keeps the paused clock from advancing by itself.
+    /// Polls until `is_done` returns true. Yielding instead of sleeping keeps the paused clock from advancing by
+    /// itself.
     async fn wait_for(&mut self, is_done: impl Fn(&Dispatcher) -> bool) {
         for _ in 0..MAX_POLLS {
             self.receive_reports();
@@ -455,7 +461,7 @@
     let engine = MockEngine::start(REJECTS_ALL).await;
     let mut dispatcher = Dispatcher::start(&engine);
     dispatcher.send_for(Duration::from_secs(10)).await;
-    let failed = engine.accepts();
+    let failed_count = engine.accepts();
     assert_eq!(
         log_lines_about(&engine).len(),
         1,
@@ -468,7 +474,7 @@
     let lines = log_lines_about(&engine);
     assert_eq!(lines.len(), 2, "{lines:?}");
     assert!(
-        lines[1].contains(&format!("after {failed} failed connects")),
+        lines[1].contains(&format!("after {failed_count} failed connects")),
         "{lines:?}"
     );
     // Attempts are spread over several connections again.
@@ -572,8 +578,8 @@
     let engine = MockEngine::start(one_connection).await;
     let mut dispatcher = Dispatcher::start(&engine);
     let mut ends = Vec::new();
-    for number in 0..3 {
-        dispatcher.send_attempt(RequestId(7), AttemptNo(number));
+    for attempt_no in 0..3 {
+        dispatcher.send_attempt(RequestId(7), AttemptNo(attempt_no));
         dispatcher.wait_for_ends().await;
         ends.push(dispatcher.last_end().clone());
     }
@@ -704,7 +710,9 @@
 impl ManualEngine {
     fn start() -> ManualEngine {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a socket");
-        listener.set_nonblocking(true).expect("a setting");
+        listener
+            .set_nonblocking(true)
+            .expect("the socket becomes nonblocking");
         ManualEngine { listener }
     }
 
@@ -715,7 +723,9 @@
     async fn accept(&self) -> std::net::TcpStream {
         for _ in 0..MAX_POLLS {
             if let Ok((stream, _)) = self.listener.accept() {
-                stream.set_nonblocking(true).expect("a setting");
+                stream
+                    .set_nonblocking(true)
+                    .expect("the socket becomes nonblocking");
                 return stream;
             }
             yield_now().await;
@@ -724,7 +734,8 @@
     }
 }
 
-/// Reads all available bytes, of which it appends the end to `last_bytes`; returns whether the connection is closed.
+/// Reads all available bytes and keeps the last 1,024 of them in `last_bytes`; returns whether the connection is
+/// closed.
 fn read_all(stream: &mut std::net::TcpStream, last_bytes: &mut Vec<u8>) -> bool {
     let mut buffer = vec![0; 1 << 20];
     loop {
@@ -840,7 +851,7 @@
         yield_now().await;
     }
     let malformed = b"*3\r\n$16\r\n0000000000000007\r\n$4\r\nWHAT\r\n$1\r\n-\r\n";
-    io::Write::write_all(&mut stream, malformed).expect("room");
+    io::Write::write_all(&mut stream, malformed).expect("the socket accepts the answer");
     dispatcher.wait_for_ends().await;
     assert!(
         read_all(&mut stream, &mut last_bytes),
--- a/port/src/clock.rs
+++ b/port/src/clock.rs
@@ -13,6 +13,7 @@
 }
 
 impl Clock {
+    /// Reads the system clock once; from then on only the monotonic clock counts.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         Clock {
@@ -21,15 +22,18 @@
         }
     }
 
+    /// The Unix time of an instant.
     pub fn micros(&self, instant: Instant) -> Micros {
         self.start_unix + to_micros(instant.saturating_duration_since(self.start_instant))
     }
 
+    /// The instant of a Unix time.
     pub fn instant(&self, micros: Micros) -> Instant {
         self.start_instant + to_duration(micros - self.start_unix)
     }
 }
 
+/// Converts a duration; one that is too long becomes the maximum.
 pub fn to_micros(duration: Duration) -> Micros {
     Micros(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
--- a/port/src/engine.rs
+++ b/port/src/engine.rs
@@ -16,7 +16,9 @@
     /// Aborts an attempt. Unless the attempt has already ended, its only later report is
     /// [`EngineReport::AbortConfirmed`].
     Abort(RequestId, AttemptNo),
+    /// Changes the priority of an attempt.
     Reprioritize(RequestId, AttemptNo, u8),
+    /// Asks the engine for a load report; the answer is [`EngineReport::Probed`].
     Probe,
     FetchPage(PageRequest),
     /// The result is no longer needed; no further pages will be fetched.
@@ -27,16 +29,16 @@
 
 /// Converts a memory grant to whole megabytes; `None` if the amount is not finite, negative or below 1 MB.
 pub fn memory_grant(memory_mb: f64) -> Option<NonZeroU32> {
-    let finite = Some(memory_mb).filter(|amount| amount.is_finite());
+    let finite_mb = Some(memory_mb).filter(|amount| amount.is_finite());
     // The cast saturates: negative amounts become zero.
-    NonZeroU32::new(finite? as u32)
+    NonZeroU32::new(finite_mb? as u32)
 }
 
 /// An attempt to run a request on one engine.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub request: RequestId,
-    pub number: AttemptNo,
+    pub attempt_no: AttemptNo,
     pub class: Arc<str>,
     /// When the broker stops waiting for the attempt.
     pub deadline: Instant,
@@ -50,7 +52,7 @@
     pub order_key: Option<Arc<str>>,
     /// Cancelled when the attempt is aborted or its client disconnects.
     pub cancel_token: CancellationToken,
-    /// Latest start: after this its deadline has passed, or engines no longer deduplicate it as a repeat.
+    /// Latest time to start. After it the deadline has passed, or engines no longer recognize the attempt as a repeat.
     pub starts_by: Instant,
 }
 
@@ -63,14 +65,15 @@
             .filter_map(|(name, value)| Some((name, value.as_deref()?)))
     }
 
-    /// Time until the deadline in whole milliseconds, at least 1; sent to the engine with the first byte.
+    /// Time until the deadline in whole milliseconds, at least 1. The engine gets the value of the time at which the
+    /// attempt's first byte is written.
     pub fn remaining_ms(&self) -> u128 {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         remaining.as_millis().max(1)
     }
 
     /// Whether the attempt is cancelled or too late to start. Checked just before its first byte is written, because
-    /// the attempt may have waited for a connection or behind data that the engine was not reading.
+    /// the attempt may have waited for a connection, or for the engine to read earlier data.
     pub fn is_stale(&self) -> bool {
         self.cancel_token.is_cancelled() || Instant::now() >= self.starts_by
     }
@@ -80,7 +83,8 @@
 #[derive(Debug)]
 pub struct PageRequest {
     pub request: RequestId,
-    pub number: AttemptNo,
+    pub attempt_no: AttemptNo,
+    /// Index of the page, counted from 0; the first page needs no request.
     pub page: u32,
     pub reply: oneshot::Sender<Page>,
 }
@@ -96,7 +100,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptResult {
     Ok {
+        /// The first page of the result.
         page: Page,
+        /// The work that the engine reported for the attempt.
         work: Option<Micros>,
         load: Option<LoadReport>,
     },
@@ -134,14 +140,19 @@
     pub received_count: u64,
 }
 
+/// How a probe ended.
 #[derive(Clone, Debug)]
 pub enum ProbeResult {
+    /// The engine is up, with its load report if it sent one.
     Up(Option<LoadReport>),
+    /// The engine answered that it is down, or with an error.
     Down,
     TimedOut,
+    /// There was no connection for the probe.
     ConnectFailed,
 }
 
+/// The sender of the mailbox of an engine's actor.
 pub type EngineSender = mpsc::Sender<EngineCommand>;
 
 /// Starts the actors of engines.
@@ -150,7 +161,7 @@
     fn engine_listed(&self, _target: &Target) {}
 
     /// Starts the actor of an engine. The actor ends once all senders of its mailbox are dropped.
-    fn start(&self, target: &Target, reports: EngineReporter) -> EngineSender;
+    fn start(&self, target: &Target, reporter: EngineReporter) -> EngineSender;
 }
 
 /// Sends the reports of one engine's actor to the broker.
@@ -176,21 +187,21 @@
     pub async fn attempt_ended(
         &self,
         request: RequestId,
-        number: AttemptNo,
+        attempt_no: AttemptNo,
         result: AttemptResult,
     ) {
-        self.send(EngineReport::AttemptEnded(request, number, result))
+        self.send(EngineReport::AttemptEnded(request, attempt_no, result))
             .await;
     }
 
-    pub async fn abort_confirmed(&self, request: RequestId, number: AttemptNo) {
-        self.send(EngineReport::AbortConfirmed(request, number))
+    pub async fn abort_confirmed(&self, request: RequestId, attempt_no: AttemptNo) {
+        self.send(EngineReport::AbortConfirmed(request, attempt_no))
             .await;
     }
 
     /// Reports that the engine's actor panicked; its attempts in flight may have run.
     pub async fn actor_died(&self) {
-        // As in `send`.
+        // The channel closes only when the process is ending.
         let _ = self
             .broker
             .send(BrokerMessage::EngineActorDied(self.engine))
--- a/port/src/request.rs
+++ b/port/src/request.rs
@@ -9,6 +9,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+/// The sender of a broker's mailbox.
 pub type BrokerSender = mpsc::Sender<BrokerMessage>;
 
 /// A client's request, independent of the client protocol.
@@ -19,9 +20,12 @@
     pub tenant: Option<String>,
     /// When the client stops waiting.
     pub deadline: Instant,
+    /// The client's estimate of the work; zero if it gave none.
     pub work: Micros,
+    /// The client's estimate of the memory; zero if it gave none.
     pub memory_mb: f64,
-    pub group: TableGroupId,
+    /// The table group that the statement names; zero if it names none.
+    pub table_group: TableGroupId,
     pub statement: Bytes,
     /// The client marked the request as a retry.
     pub is_retry: bool,
@@ -32,11 +36,11 @@
     /// The session by which the request can be cancelled, if the client protocol supports that.
     pub session: Option<SessionKey>,
     /// Cancelled when the client disconnects or cancels the request. Nothing is sent from then on, even while
-    /// [`BrokerMessage::ClientLeft`] waits behind other messages of the broker.
+    /// [`BrokerMessage::ClientLeft`] is still queued in the broker's mailbox.
     pub cancel_token: CancellationToken,
 }
 
-/// Identifies a session to those who may cancel its request.
+/// Identifies a session in cancel requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SessionKey(pub u64);
 
@@ -47,7 +51,9 @@
     /// The client disconnected or cancelled the request.
     ClientLeft(RequestId),
     EngineReport(EngineId, EngineReport),
+    /// The actor of an engine panicked; its attempts in flight may have run.
     EngineActorDied(EngineId),
+    /// An update of the engine list.
     EngineList(ListUpdate, Vec<Target>),
     /// Asks for the gateway's handover state.
     GetHandoverState(oneshot::Sender<HandoverState>),
