--- a/dispatcher/src/admin.rs
+++ b/dispatcher/src/admin.rs
@@ -27,7 +27,7 @@
 
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 const MAX_BODY_BYTES: usize = 16 * 1024;
-/// A connection without a complete request for this long is closed, as connections are few.
+/// A connection that sends no complete request for this long is closed, because few connections are allowed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 #[derive(Debug, PartialEq, Eq)]
@@ -234,7 +234,7 @@
     Ok(())
 }
 
-/// The status and the body for an error.
+/// Returns the status and the body of the response to a failed request.
 fn error_response(admin_error: &AdminError) -> (u16, String) {
     let (status, error) = match admin_error {
         AdminError::Invalid(reason) => (400, reason.as_str()),
--- a/dispatcher/src/change_log.rs
+++ b/dispatcher/src/change_log.rs
@@ -31,7 +31,7 @@
         Change { seq: 0, fleet }
     }
 
-    fn listing(&self) -> ListUpdate {
+    fn list_update(&self) -> ListUpdate {
         match self.fleet.is_complete {
             Some(true) => ListUpdate::Complete,
             _ => ListUpdate::Changes,
@@ -50,6 +50,7 @@
 /// The position reached in the change log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChangeLogPosition {
+    /// The sequence number of the last change that the brokers have received.
     pub seq: u64,
     /// Every event that the log held at the time of the request has been received.
     pub caught_up: bool,
@@ -68,50 +69,57 @@
 
 /// Applies changes in order to an empty list; returns the resulting engine list.
 pub fn fold_changes(changes: Vec<Change>) -> Vec<Target> {
-    let mut list: Vec<Target> = Vec::new();
+    let mut engine_list: Vec<Target> = Vec::new();
     for change in changes {
-        apply_update(&mut list, change.listing(), &change.fleet.targets);
+        apply_update(
+            &mut engine_list,
+            change.list_update(),
+            &change.fleet.targets,
+        );
     }
-    list
+    engine_list
 }
 
-/// Follows the change log at its current address, forever. Without an address, waits for one.
+/// Follows the change log at its current address; never returns. Without an address, waits for one.
 pub async fn follow(
     mut address: watch::Receiver<Option<SocketAddr>>,
     position: watch::Sender<ChangeLogPosition>,
     router: RequestRouter,
-    mut pauses: RetryBackoff,
+    mut backoff: RetryBackoff,
 ) {
     let mut follower = Follower::new(position.borrow().seq);
     loop {
         let previous_seq = position.borrow().seq;
-        let Some(current) = *address.borrow_and_update() else {
+        let Some(current_address) = *address.borrow_and_update() else {
             address_changed(&mut address).await;
             continue;
         };
         tokio::select! {
-         biased;
-        // Connects to the new address and continues from the sequence number reached.
-        () = address_changed(&mut address) => pauses.reset(),
-        ended = listen(current, &position, &router, &mut follower) => match ended {
-        Ok(()) => log::info!("the change log closed the connection after change {}", position.borrow().seq),
-        Err(error) => log::warn!("the change log after {}: {error}", position.borrow().seq),
-        },
+            biased;
+            // Connects to the new address and continues from the sequence number reached.
+            () = address_changed(&mut address) => backoff.reset(),
+            result = listen(current_address, &position, &router, &mut follower) => match result {
+                Ok(()) => log::info!(
+                    "the change log closed the connection after change {}",
+                    position.borrow().seq
+                ),
+                Err(error) => log::warn!("the change log after {}: {error}", position.borrow().seq),
+            },
         }
         if position.borrow().seq > previous_seq {
-            pauses.reset();
+            backoff.reset();
         }
         tokio::select! {
-         () = address_changed(&mut address) => {
-        pauses.reset();
-        sleep(pauses.next_delay()).await;
-                    }
-                    () = sleep(pauses.next_delay()) => {}
-                }
+            () = address_changed(&mut address) => {
+                backoff.reset();
+                sleep(backoff.next_delay()).await;
+            }
+            () = sleep(backoff.next_delay()) => {}
+        }
     }
 }
 
-/// Waits until the address of the change log changes; forever once its sender is dropped.
+/// Waits until the address of the change log changes; never returns once its sender is dropped.
 async fn address_changed(address: &mut watch::Receiver<Option<SocketAddr>>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
@@ -125,9 +133,9 @@
     router: &RequestRouter,
     follower: &mut Follower,
 ) -> io::Result<()> {
-    let timed_out = |_| io::Error::new(io::ErrorKind::TimedOut, "no data in time");
+    let timeout_error = |_| io::Error::new(io::ErrorKind::TimedOut, "no data in time");
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-    let stream = stream.map_err(timed_out)??;
+    let stream = stream.map_err(timeout_error)??;
     set_nodelay(&stream);
     let mut stream = SocketStream::new(stream);
     let last_event_id = follower.resume_after();
@@ -148,14 +156,14 @@
                     position.send_modify(|position| position.caught_up = true);
                 }
                 let next_event = timeout(SILENCE_TIMEOUT - CAUGHT_UP_SILENCE, events.next());
-                next_event.await.map_err(timed_out)?
+                next_event.await.map_err(timeout_error)?
             }
         };
         let Some(event) = event else { return Ok(()) };
         let Some(change) = event? else { continue };
-        let (seq, listing) = (change.seq, change.listing());
-        let next = follower.handle_event(seq, listing, change.fleet.targets);
-        if next == FollowerAction::Reconnect {
+        let (seq, list_update) = (change.seq, change.list_update());
+        let action = follower.handle_event(seq, list_update, change.fleet.targets);
+        if action == FollowerAction::Reconnect {
             let retry = if follower.is_rebuilding() {
                 "asking for the whole list"
             } else {
@@ -164,38 +172,44 @@
             let reason = format!("{seq} follows {}: {retry}", position.borrow().seq);
             return Err(io::Error::other(reason));
         }
-        if !update_brokers(next, position, router, follower).await {
+        if !update_brokers(action, position, router, follower).await {
             return Ok(());
         }
     }
 }
 
-/// Sends the brokers the update that follows from an event, if any; false if they have ended.
+/// Sends the brokers the update that the action asks for, if any; returns false if they have ended.
 async fn update_brokers(
-    next: FollowerAction,
+    action: FollowerAction,
     position: &watch::Sender<ChangeLogPosition>,
     router: &RequestRouter,
     follower: &mut Follower,
 ) -> bool {
-    let FollowerAction::Publish(seq, listing, targets) = next else {
+    let FollowerAction::Publish(seq, list_update, targets) = action else {
         return true;
     };
-    if router.update_engine_list(listing, targets).await.is_err() {
+    if router
+        .update_engine_list(list_update, targets)
+        .await
+        .is_err()
+    {
         return false;
     }
-    // Only now: if this future is dropped while it waits for a broker, the update counts as not sent.
+    // Marked after the update is sent: if this future is dropped while it waits for a broker, the update counts as not
+    // sent.
     follower.mark_published(seq);
     position.send_modify(|position| position.seq = seq);
     true
 }
 
-/// Decodes the HTTP response of the change log: its head, and then its server-sent events. A keep-alive comment is `None`.
+/// Decodes the HTTP response of the change log: its head, and then its server-sent events. Yields `None` for a
+/// keep-alive comment.
 #[derive(Default)]
 struct EventDecoder {
     /// The head of the response has been read.
     has_head: bool,
     is_chunked: bool,
-    /// Remaining bytes of the current chunk, with the CRLF after it.
+    /// Remaining bytes of the current chunk and of the CRLF after it.
     chunk_remaining: usize,
     /// Received text of the body that is not decoded yet.
     text: Vec<u8>,
@@ -245,7 +259,7 @@
                     self.chunk_remaining.saturating_sub(CHUNK_END_BYTES),
                     self.chunk_remaining,
                 );
-                let part = bytes.split_to(
+                let piece = bytes.split_to(
                     if text_bytes > 0 {
                         text_bytes
                     } else {
@@ -253,9 +267,9 @@
                     }
                     .min(bytes.len()),
                 );
-                self.chunk_remaining -= part.len();
+                self.chunk_remaining -= piece.len();
                 if text_bytes > 0 {
-                    self.text.extend_from_slice(&part);
+                    self.text.extend_from_slice(&piece);
                 }
                 continue;
             }
@@ -326,8 +340,8 @@
     fn decode_seqs(text: &str, piece_bytes: usize) -> io::Result<Vec<u64>> {
         let (mut decoder, mut bytes, mut seqs) =
             (EventDecoder::default(), BytesMut::new(), Vec::new());
-        for part in text.as_bytes().chunks(piece_bytes) {
-            bytes.extend_from_slice(part);
+        for piece in text.as_bytes().chunks(piece_bytes) {
+            bytes.extend_from_slice(piece);
             while let Some(event) = decoder.decode(&mut bytes)? {
                 seqs.extend(event.map(|change| change.seq));
             }
@@ -340,9 +354,9 @@
         let body = format!(": hello\nid: 41\ndata: {DATA}\n\n:\n\nid: 41\r\ndata: {DATA}\r\n\r\n");
         let plain = format!("{HEAD}\r\n{body}");
         let mut chunked = format!("{HEAD}Transfer-Encoding: chunked\r\n\r\n");
-        for part in body.as_bytes().chunks(50) {
-            let part = std::str::from_utf8(part).expect("ASCII");
-            chunked.push_str(&format!("{:x}\r\n{part}\r\n", part.len()));
+        for chunk in body.as_bytes().chunks(50) {
+            let chunk = std::str::from_utf8(chunk).expect("ASCII");
+            chunked.push_str(&format!("{:x}\r\n{chunk}\r\n", chunk.len()));
         }
         for text in [plain, chunked] {
             for piece_bytes in [1, 7, 4096] {
@@ -374,10 +388,10 @@
             state: state.to_string(),
             ..<Target as Default>::default()
         };
-        let change = |all, targets| Change {
+        let change = |is_complete, targets| Change {
             seq: 0,
             fleet: Fleet {
-                is_complete: all,
+                is_complete,
                 targets,
             },
         };
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the configuration and applies defaults; no other module does.
+//! Reads and checks the configuration and applies its defaults; no other module does this.
 //!
 //! `file` reads JSON files and finds the faulty key, `keys` declares the keys and the precedence of the files, `checks`
 //! turns their values into settings or an error, and `limits` derives sizes from the stated limits.
@@ -44,8 +44,10 @@
     pub control_listen: Option<SocketAddr>,
     /// The descriptor of the listening socket for PostgreSQL clients, where the platform passes one.
     pub inherited_socket: Option<i32>,
+    /// The address of the change log that lists the engines.
     pub change_log_address: Option<SocketAddr>,
     pub known_changes: KnownChanges,
+    /// Seed of random choices, such as session keys and retry delays.
     pub seed: u64,
     /// The division of the file descriptors among their uses.
     pub descriptor_budget: DescriptorBudget,
@@ -53,17 +55,19 @@
     pub max_message_bytes: usize,
     pub settings: Settings,
     pub names: Names,
+    /// Limits on engine connections and open requests; `max_per_engine` applies to each shard.
     pub connection_limits: ConnectionSettings,
-    /// Threads that serve connections. Where there are several, the first `shards` of them have a shard of the gateway each.
+    /// Threads that serve connections. If there are several, each of the first `shards` has a shard of the gateway.
     pub workers: usize,
+    /// Whether each worker thread is pinned to a core.
     pub pin_workers: bool,
     /// Shards of the gateway, each on one worker.
     pub shards: usize,
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may open.
     pub max_descriptors: usize,
     /// The platform's file as it was read; null without one.
     pub platform_config: Value,
-    /// The text of that file; empty without one.
+    /// The text of the platform's file; empty without one.
     pub platform_config_text: String,
 }
 
@@ -92,7 +96,7 @@
     build(environment, File::read("PROXY_CONFIG", path)?, own_path)
 }
 
-/// The same with the text of the platform's file that another process has in use.
+/// Like `load`, with the text of the platform's file that another process uses.
 pub fn load_from_text(
     environment: &Environment,
     platform_config_text: String,
@@ -148,16 +152,17 @@
         config_error("workers", reason)
     })?;
     let engine_count = change_log::fold_changes(known_changes.changes.clone()).len();
-    let stated = settings_keys.connections();
+    let stated_limits = settings_keys.connections();
     // At least one for each shard, however many dispatchers share an engine.
-    let stated_max = stated.max_per_engine.max(shards);
+    let stated_max_per_engine = stated_limits.max_per_engine.max(shards);
     let max_per_engine =
-        limits::max_connections_per_engine(descriptor_budget.engines, engine_count).min(stated_max);
+        limits::max_connections_per_engine(descriptor_budget.engines, engine_count)
+            .min(stated_max_per_engine);
     let connection_limits = ConnectionSettings {
-        max_open_requests: limits.max_open_requests(stated.max_open_requests),
+        max_open_requests: limits.max_open_requests(stated_limits.max_open_requests),
         max_total: descriptor_budget.engines,
         max_per_engine: checks::connections_per_shard(max_per_engine, shards)?,
-        ..stated
+        ..stated_limits
     };
     let listen = checks::address("listen", keys.listen.as_deref())?;
     let (platform_config_text, platform_config) = match platform_file {
--- a/dispatcher/src/config/checks.rs
+++ b/dispatcher/src/config/checks.rs
@@ -18,7 +18,7 @@
 const MAX_GIVE_UP: Micros = Micros::from_millis(86_400_000);
 /// The shortest time between two decisions where the settings state none.
 const DEFAULT_TICK: Micros = Micros::from_millis(5);
-/// The highest descriptor that can't be a passed socket.
+/// The highest descriptor that can't be an inherited socket.
 const STANDARD_ERROR_DESCRIPTOR: i32 = 2;
 
 pub(super) fn address(key: &str, text: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-/// The changes known at the start: those of the change log, and one for the engines that the file lists itself.
+/// The changes known at the start: those under `known`, and one for the engines that the file lists under `engines`.
 pub(super) fn known_changes(
     keys: Option<KnownKeys>,
     engines: Option<Vec<Target>>,
@@ -169,6 +169,6 @@
             );
             Err(config_error("workers", reason))
         }
-        share => Ok(share),
+        per_shard => Ok(per_shard),
     }
 }
--- a/dispatcher/src/config/error.rs
+++ b/dispatcher/src/config/error.rs
@@ -3,6 +3,7 @@
 /// An invalid or missing key.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError {
+    /// The path of the key, such as `settings.tick`, or the environment variable or option at fault.
     pub key: String,
     pub reason: String,
 }
--- a/dispatcher/src/config/file.rs
+++ b/dispatcher/src/config/file.rs
@@ -5,7 +5,7 @@
 use miniserde::{Deserialize, json};
 use std::path::Path;
 
-/// A file. It is read once, so that a replacement in the meantime can't mix two versions.
+/// A configuration file. It is read once, so that a replacement in the meantime can't mix two versions.
 pub(super) struct File<'a> {
     /// The environment variable or option that gives its path.
     origin: &'a str,
--- a/dispatcher/src/config/limits.rs
+++ b/dispatcher/src/config/limits.rs
@@ -2,7 +2,7 @@
 
 use super::keys::LimitKeys;
 
-/// Limits where the file states none, and the lowest that take effect.
+/// Defaults of the limits that the file may state, and their lower bounds.
 const DEFAULT_MEMORY_MB: f64 = 256.0;
 const MIN_MEMORY_MB: f64 = 16.0;
 const DEFAULT_DESCRIPTORS: u64 = 1024;
@@ -12,7 +12,7 @@
 const MIN_MESSAGE_BYTES: usize = 16 * 1024;
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
-/// Concurrent open requests for each megabyte of memory.
+/// Maximum number of open requests for each megabyte of memory.
 const OPEN_REQUESTS_PER_MB: f64 = 64.0;
 /// New engines for which connections are kept free.
 const SPARE_ENGINES: usize = 2;
@@ -41,13 +41,13 @@
         }
     }
 
-    /// The longest message that a session accepts; bounds the memory if all sessions send one of this length at once.
+    /// The longest message that a session accepts. Bounds the memory in use when all sessions send such a message at once.
     pub fn max_message_bytes(&self, sessions: usize) -> usize {
-        let share = self.memory_mb * BYTES_PER_MB * MESSAGE_MEMORY_SHARE / sessions as f64;
-        (share as usize).clamp(MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES)
+        let session_bytes = self.memory_mb * BYTES_PER_MB * MESSAGE_MEMORY_SHARE / sessions as f64;
+        (session_bytes as usize).clamp(MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES)
     }
 
-    /// The number of concurrent open requests: that of the settings, or fewer if the memory does not suffice.
+    /// The maximum number of open requests: that of the settings, or fewer if the memory does not suffice.
     pub fn max_open_requests(&self, settings_max: usize) -> usize {
         settings_max.min((self.memory_mb * OPEN_REQUESTS_PER_MB) as usize)
     }
--- a/dispatcher/src/control_socket.rs
+++ b/dispatcher/src/control_socket.rs
@@ -12,7 +12,7 @@
 use sedgebeam_sockets::{SocketStream, listen};
 use std::collections::VecDeque;
 use std::io;
-use std::net::{SocketAddr, TcpListener as Bound};
+use std::net::{SocketAddr, TcpListener as StdTcpListener};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -23,8 +23,8 @@
 
 /// Time limit for receiving a command line, and again for sending its answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bounds of the lingering close: after the answer, further input is read and discarded. A close with unread input resets
-/// the connection, and the caller could lose its answer.
+/// Bounds of the lingering close, in which further input is read and discarded after the answer. A close with unread
+/// input resets the connection, and the caller could lose its answer.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_LINGERING_CLOSE_BYTES: u64 = 64 * 1024;
 /// Pause after a failed accept, so that a lack of descriptors doesn't make the loop spin.
@@ -36,8 +36,7 @@
     pub drain_manager: DrainManager,
     pub metrics: Metrics,
     pub clock: Clock,
-    /// Concurrent callers without an answer. Beyond that, the one that has been without a complete line for longest is
-    /// disconnected.
+    /// Concurrent callers without an answer. Beyond that, the oldest one without a complete line is disconnected.
     pub max_callers: usize,
     /// Permits for callers in their lingering close.
     pub lingering_closes: Arc<Semaphore>,
@@ -52,7 +51,7 @@
         .build()?;
     let run = move || {
         let result = runtime.block_on(async { tokio::spawn(serve(listener, context)).await });
-        // Without this socket the platform's front would take the dispatcher for dead, with no trace of the reason.
+        // Without this socket the platform's front would consider the dispatcher dead, and nothing would show the reason.
         log::error!("the control socket failed: {result:?}");
         std::process::exit(1);
     };
@@ -64,27 +63,33 @@
 }
 
 /// Serves callers; returns only on an error.
-async fn serve(listener: Bound, context: ControlContext) -> io::Result<()> {
+async fn serve(listener: StdTcpListener, context: ControlContext) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
     let mut callers = FuturesUnordered::new();
-    let mut without_line: VecDeque<CancellationToken> = VecDeque::new();
+    // The callers without a complete line, oldest first.
+    let mut evictable_callers: VecDeque<CancellationToken> = VecDeque::new();
     // Each caller without an answer holds a clone.
-    let caller_count = Arc::new(());
+    let caller_guard = Arc::new(());
     loop {
-        without_line.retain(|eviction| !eviction.is_cancelled());
-        let is_full = Arc::strong_count(&caller_count) > context.max_callers;
+        evictable_callers.retain(|eviction| !eviction.is_cancelled());
+        let is_full = Arc::strong_count(&caller_guard) > context.max_callers;
         tokio::select! {
             biased;
             Some(()) = callers.next() => {}
             // When all callers have sent their line, further ones wait in the accept queue until an answer is sent.
-            accepted = listener.accept(), if !is_full || !without_line.is_empty() => match accepted {
+            accepted = listener.accept(), if !is_full || !evictable_callers.is_empty() => match accepted {
                 Ok((stream, _)) => {
-                    if is_full && let Some(oldest) = without_line.pop_front() {
+                    if is_full && let Some(oldest) = evictable_callers.pop_front() {
                         oldest.cancel();
                     }
                     let eviction = CancellationToken::new();
-                    without_line.push_back(eviction.clone());
-                    callers.push(serve_caller(SocketStream::new(stream), context.clone(), eviction, caller_count.clone()));
+                    evictable_callers.push_back(eviction.clone());
+                    callers.push(serve_caller(
+                        SocketStream::new(stream),
+                        context.clone(),
+                        eviction,
+                        caller_guard.clone(),
+                    ));
                 }
                 Err(error) => {
                     log::warn!("can't accept a caller of the control socket: {error}");
@@ -107,7 +112,7 @@
         received = timeout(CALL_TIMEOUT, read_line(&mut stream)) => received,
         () = eviction.cancelled() => return,
     };
-    // A caller whose line is complete can't be evicted any more: this takes it from the list of candidates.
+    // A caller whose line is complete can't be evicted any more: this removes it from the evictable callers.
     eviction.cancel();
     let result = match received {
         Ok(Ok(Some(line))) => send_answer(&mut stream, &context, &line).await,
@@ -119,7 +124,7 @@
         )),
     };
     if let Err(error) = result {
-        log::debug!("a caller of the control socket: {error}");
+        log::debug!("control socket caller: {error}");
         return;
     }
     drop(caller_guard);
@@ -160,13 +165,13 @@
     context: &ControlContext,
     line: &[u8],
 ) -> io::Result<()> {
-    let answer = execute(context, line);
+    let answer = execute_command(context, line);
     timeout(CALL_TIMEOUT, stream.write_all(answer.as_bytes())).await??;
     stream.shutdown().await
 }
 
 /// Executes a command line; returns the text of its answer.
-fn execute(context: &ControlContext, line: &[u8]) -> String {
+fn execute_command(context: &ControlContext, line: &[u8]) -> String {
     match ControlCommand::parse(line) {
         Some(ControlCommand::Ping) if context.drain_manager.state().is_ready => {
             "200 ready\n".to_string()
--- a/dispatcher/src/descriptors.rs
+++ b/dispatcher/src/descriptors.rs
@@ -1,7 +1,7 @@
-//! Divides the file descriptors that the process may hold among its uses, so that exhausting one use leaves the others
-//! their share.
+//! Divides the file descriptors that the process may open among their uses, so that a use that exhausts its share
+//! leaves the others theirs.
 
-/// Connections of Flight SQL clients.
+/// Concurrent connections of Flight SQL clients.
 const MAX_FLIGHT_CONNECTIONS: usize = 96;
 /// Callers of the control socket: one for each 32 descriptors, within these bounds.
 const DESCRIPTORS_PER_CONTROL_CALLER: usize = 32;
@@ -21,7 +21,7 @@
 /// third of all descriptors, and hundreds of engines need a connection each.
 const CLIENT_SHARE: f64 = 0.5;
 
-/// The descriptors that each use may hold.
+/// The maximum number of open descriptors of each use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
     /// Sessions of PostgreSQL clients.
@@ -52,30 +52,30 @@
             .clamp(LINGERING_CLOSE_BOUNDS.0, LINGERING_CLOSE_BOUNDS.1);
         let admin_clients = if has_admin { MAX_ADMIN_CLIENTS } else { 0 };
         let reserved = PROCESS_DESCRIPTORS + DESCRIPTORS_PER_WORKER * (workers - 1) + admin_clients;
-        let remaining =
+        let remaining_descriptors =
             max_descriptors.checked_sub(control_callers + lingering_closes + reserved)?;
-        let clients = (remaining as f64 * CLIENT_SHARE) as usize;
+        let client_descriptors = (remaining_descriptors as f64 * CLIENT_SHARE) as usize;
         let flight = if has_flight {
-            (clients / 2).min(MAX_FLIGHT_CONNECTIONS)
+            (client_descriptors / 2).min(MAX_FLIGHT_CONNECTIONS)
         } else {
             0
         };
         let budget = DescriptorBudget {
-            sessions: clients - flight,
+            sessions: client_descriptors - flight,
             flight,
-            engines: remaining - clients,
+            engines: remaining_descriptors - client_descriptors,
             control_callers,
             lingering_closes,
             reserved,
         };
         assert!(
-            budget.sum() <= max_descriptors,
+            budget.total() <= max_descriptors,
             "{budget:?} of {max_descriptors}"
         );
         (budget.sessions > 0 && budget.engines > 0).then_some(budget)
     }
 
-    fn sum(&self) -> usize {
+    fn total(&self) -> usize {
         self.sessions
             + self.flight
             + self.engines
--- a/dispatcher/src/drain_manager.rs
+++ b/dispatcher/src/drain_manager.rs
@@ -65,7 +65,7 @@
         DrainWatcher::new(self.subscribe(), self.shared.started_at)
     }
 
-    /// Publishes the changes that are due to time alone; never returns.
+    /// Publishes the changes of the state that time alone causes; never returns.
     pub async fn run_timer(self) {
         let mut state = self.subscribe();
         loop {
--- a/dispatcher/src/haproxy_import.rs
+++ b/dispatcher/src/haproxy_import.rs
@@ -82,26 +82,26 @@
     unsupported: Vec<(usize, String)>,
 }
 
-/// Splits a line into words as HAProxy does, with quotes, backslashes and `#` comments.
+/// Splits a line into words as HAProxy does, with regard to quotes, backslashes and `#` comments.
 fn split_words(line: &str) -> Vec<String> {
     let (mut words, mut word, mut quote, mut in_word) = (Vec::new(), String::new(), None, false);
     let mut chars = line.chars();
-    while let Some(char) = chars.next() {
-        match (quote, char) {
+    while let Some(character) = chars.next() {
+        match (quote, character) {
             (None, '#') => break,
-            (None, '"' | '\'') => (quote, in_word) = (Some(char), true),
-            (Some(open), char) if char == open => quote = None,
+            (None, '"' | '\'') => (quote, in_word) = (Some(character), true),
+            (Some(open), character) if character == open => quote = None,
             (None | Some('"'), '\\') => {
                 word.extend(chars.next());
                 in_word = true;
             }
-            (None, char) if char.is_whitespace() => {
+            (None, character) if character.is_whitespace() => {
                 if std::mem::take(&mut in_word) {
                     words.push(std::mem::take(&mut word));
                 }
             }
-            (_, char) => {
-                word.push(char);
+            (_, character) => {
+                word.push(character);
                 in_word = true;
             }
         }
@@ -114,10 +114,10 @@
 
 /// Parses a time of HAProxy, whose default unit is the millisecond, to milliseconds.
 fn parse_time_ms(text: &str) -> Option<f64> {
-    let digits = text
-        .find(|char: char| !char.is_ascii_digit())
+    let unit_start = text
+        .find(|character: char| !character.is_ascii_digit())
         .unwrap_or(text.len());
-    let (number, unit) = text.split_at(digits);
+    let (number, unit) = text.split_at(unit_start);
     let number: f64 = number.parse().ok()?;
     Some(
         number
@@ -145,11 +145,11 @@
 }
 
 impl Reader {
-    fn report(&mut self, line: usize, reason: impl Into<String>) {
-        self.unsupported.push((line, reason.into()));
+    fn report(&mut self, line_number: usize, reason: impl Into<String>) {
+        self.unsupported.push((line_number, reason.into()));
     }
 
-    fn read_line(&mut self, number: usize, words: &[String]) {
+    fn read_line(&mut self, line_number: usize, words: &[String]) {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         match words[..] {
             ["global" | "defaults", ..] => {
@@ -166,7 +166,7 @@
             }
             [kind @ ("frontend" | "backend" | "listen")] => {
                 (self.in_proxy, self.in_skipped_section) = (false, true);
-                self.report(number, format!("{kind}: without a name"));
+                self.report(line_number, format!("{kind}: without a name"));
             }
             [
                 section @ ("resolvers" | "peers" | "userlist" | "program" | "cache" | "mailers"
@@ -175,13 +175,13 @@
             ] => {
                 (self.in_proxy, self.in_skipped_section) = (false, true);
                 self.report(
-                    number,
+                    line_number,
                     format!("{section}: this section has no counterpart"),
                 );
             }
             // The lines of an unsupported section are skipped without a report for each.
             _ if self.in_skipped_section => {}
-            ["timeout", name, value, ..] => self.read_timeout(number, name, value),
+            ["timeout", name, value, ..] => self.read_timeout(line_number, name, value),
             ["maxconn", value, ..] => match value.parse() {
                 Ok(maxconn) => {
                     self.max_open = Some(
@@ -189,64 +189,70 @@
                             .map_or(maxconn, |lowest: u32| lowest.min(maxconn)),
                     )
                 }
-                Err(_) => self.report(number, "maxconn: not a number"),
+                Err(_) => self.report(line_number, "maxconn: not a number"),
             },
             ["mode", "tcp"] => {}
-            ["mode", mode, ..] => {
-                self.report(number, format!("mode {mode}: only tcp has a counterpart"))
-            }
-            _ if self.in_proxy => self.read_proxy_line(number, &words),
-            [word, ..] => self.report(number, format!("{word}: no counterpart")),
+            ["mode", mode, ..] => self.report(
+                line_number,
+                format!("mode {mode}: only tcp has a counterpart"),
+            ),
+            _ if self.in_proxy => self.read_proxy_line(line_number, &words),
+            [word, ..] => self.report(line_number, format!("{word}: no counterpart")),
             [] => {}
         }
     }
 
-    fn read_proxy_line(&mut self, number: usize, words: &[&str]) {
+    fn read_proxy_line(&mut self, line_number: usize, words: &[&str]) {
         let Some(proxy) = self.proxies.last_mut() else {
             return;
         };
         match words {
             ["bind", addresses, options @ ..] => {
-                let addresses = addresses.split(',').map(|text| (number, text.to_string()));
+                let addresses = addresses
+                    .split(',')
+                    .map(|text| (line_number, text.to_string()));
                 proxy.binds.extend(addresses);
                 if let [option, ..] = options {
                     self.report(
-                        number,
+                        line_number,
                         format!("bind: {option} and any options after it: no counterpart"),
                     );
                 }
             }
             ["default_backend", name] => proxy.default_backend = Some(name.to_string()),
             ["server", name, endpoint, options @ ..] => {
-                self.read_server(number, name, endpoint, options)
+                self.read_server(line_number, name, endpoint, options)
             }
             ["balance", ..] => {
-                self.report(number, "balance: the gateway chooses the engine");
+                self.report(line_number, "balance: the gateway chooses the engine");
             }
-            [word, ..] => self.report(number, format!("{word}: no counterpart")),
+            [word, ..] => self.report(line_number, format!("{word}: no counterpart")),
             [] => {}
         }
     }
 
-    fn read_timeout(&mut self, number: usize, name: &str, value: &str) {
+    fn read_timeout(&mut self, line_number: usize, name: &str, value: &str) {
         let Some(millis) = parse_time_ms(value) else {
-            return self.report(number, format!("timeout {name}: {value:?} is not a time"));
+            return self.report(
+                line_number,
+                format!("timeout {name}: {value:?} is not a time"),
+            );
         };
         match name {
             "connect" => self.connect_timeout_ms = Some(millis),
             "server" => self.give_up_ms = Some(millis),
             "tunnel" => self.idle_timeout_ms = Some(millis),
-            _ => self.report(number, format!("timeout {name}: no counterpart")),
+            _ => self.report(line_number, format!("timeout {name}: no counterpart")),
         }
     }
 
-    fn read_server(&mut self, number: usize, name: &str, endpoint: &str, options: &[&str]) {
+    fn read_server(&mut self, line_number: usize, name: &str, endpoint: &str, options: &[&str]) {
         if endpoint
             .rsplit_once(':')
             .is_none_or(|(_, port)| port.parse::<u16>().is_err())
         {
             return self.report(
-                number,
+                line_number,
                 format!("server {name}: {endpoint:?} is not ADDRESS:PORT"),
             );
         }
@@ -261,11 +267,14 @@
                 "weight" | "maxconn" | "maxqueue" | "slowstart" | "cookie" | "id" => {
                     let value = options.next().unwrap_or(&"");
                     self.report(
-                        number,
+                        line_number,
                         format!("server {name}: {option} {value}: the gateway decides this"),
                     );
                 }
-                other => self.report(number, format!("server {name}: {other}: no counterpart")),
+                other => self.report(
+                    line_number,
+                    format!("server {name}: {other}: no counterpart"),
+                ),
             }
         }
         if let Some(proxy) = self.proxies.last_mut() {
@@ -277,19 +286,19 @@
         }
     }
 
-    /// The listen address, and the engines of the backend that the chosen frontend uses.
-    fn choose_proxy(&mut self) -> (Option<String>, Vec<Engine>) {
+    /// Returns the listen address, and the engines of the backend that the first frontend with an address uses.
+    fn listen_address_and_engines(&mut self) -> (Option<String>, Vec<Engine>) {
         let proxies = std::mem::take(&mut self.proxies);
         let frontend = proxies
             .iter()
             .find(|proxy| proxy.is_frontend && !proxy.binds.is_empty());
         let mut listen = None;
-        for (line, text) in proxies.iter().flat_map(|proxy| &proxy.binds) {
+        for (line_number, text) in proxies.iter().flat_map(|proxy| &proxy.binds) {
             match parse_bind_address(text) {
-                None => self.report(*line, format!("bind: {text:?} is not ADDRESS:PORT")),
+                None => self.report(*line_number, format!("bind: {text:?} is not ADDRESS:PORT")),
                 Some(address) if listen.is_none() => listen = Some(address.to_string()),
                 Some(_) => self.report(
-                    *line,
+                    *line_number,
                     format!("bind: {text}: only the first address is used"),
                 ),
             }
@@ -324,7 +333,7 @@
             reader.read_line(index + 1, &words);
         }
     }
-    let (listen, engines) = reader.choose_proxy();
+    let (listen, engines) = reader.listen_address_and_engines();
     let last_line = text.lines().count();
     if listen.is_none() {
         reader.report(last_line, "no usable bind: set \"listen\"");
@@ -420,8 +429,12 @@
             assert!(text.contains(part), "{part} in {text}");
         }
         assert!(!text.contains("10.0.0.9"), "the backend that is not in use");
-        let lines: Vec<usize> = imported.unsupported.iter().map(|(line, _)| *line).collect();
-        assert_eq!(lines, [3, 7, 10, 12, 17, 18, 20, 21, 11, 22]);
+        let reported_lines: Vec<usize> = imported
+            .unsupported
+            .iter()
+            .map(|(line_number, _)| *line_number)
+            .collect();
+        assert_eq!(reported_lines, [3, 7, 10, 12, 17, 18, 20, 21, 11, 22]);
     }
 
     #[test]
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -23,7 +23,7 @@
     Help,
 }
 
-fn parse() -> Result<Command, lexopt::Error> {
+fn parse_command_line() -> Result<Command, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
     let (mut positional, mut config_path) = (Vec::new(), None);
     while let Some(argument) = parser.next()? {
@@ -31,7 +31,7 @@
             Short('h') | Long("help") => return Ok(Command::Help),
             Long("config") => config_path = Some(PathBuf::from(parser.value()?)),
             Value(argument) => positional.push(argument.string()?),
-            other => return Err(other.unexpected()),
+            option => return Err(option.unexpected()),
         }
     }
     let positional: Vec<&str> = positional.iter().map(String::as_str).collect();
@@ -45,15 +45,16 @@
     }
 }
 
-/// Prints the converted configuration to standard output and each unsupported line, with its number, to standard error.
+/// Prints the converted configuration to standard output and the number of each unsupported line, with the reason, to
+/// standard error.
 fn import_haproxy(path: &Path) -> ExitCode {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => return exit_invalid_input(&format!("{}: {error}", path.display())),
     };
     let imported = haproxy_import::import(&text);
-    for (line, reason) in &imported.unsupported {
-        eprintln!("line {line}: {reason}");
+    for (line_number, reason) in &imported.unsupported {
+        eprintln!("line {line_number}: {reason}");
     }
     print!("{}", imported.config_json);
     ExitCode::SUCCESS
@@ -62,8 +63,8 @@
 fn main() -> ExitCode {
     let filter = env_logger::Env::new().filter_or("SEDGEBEAM_LOG", "info");
     env_logger::Builder::from_env(filter).init();
-    match parse() {
-        Ok(Command::Serve(config_path)) => serve(config_path),
+    match parse_command_line() {
+        Ok(Command::Serve(config_path)) => run_server(config_path),
         Ok(Command::CheckConfig(config_path)) => {
             match config::load(&Environment::read(), config_path.as_deref()) {
                 Ok(_) => ExitCode::SUCCESS,
@@ -89,18 +90,18 @@
     ExitCode::from(2)
 }
 
-fn serve(own_config_path: Option<PathBuf>) -> ExitCode {
+fn run_server(own_config_path: Option<PathBuf>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     match runtime {
-        Ok(runtime) => runtime.block_on(start(own_config_path)),
+        Ok(runtime) => runtime.block_on(load_and_serve(own_config_path)),
         Err(error) => exit_failure(&error),
     }
 }
 
 /// Registers signal handlers first: a signal that arrives while the configuration is read must not kill the process.
-async fn start(own_config_path: Option<PathBuf>) -> ExitCode {
+async fn load_and_serve(own_config_path: Option<PathBuf>) -> ExitCode {
     let signals = match serve::Signals::register() {
         Ok(signals) => signals,
         Err(error) => return exit_failure(&error),
@@ -111,10 +112,11 @@
         environment,
         own_config_path,
     };
-    let predecessor = membership
+    let predecessor_message = membership
         .as_ref()
         .and_then(|membership| membership.predecessor_message.as_ref());
-    let config = match predecessor.filter(|message| !message.status.config_text.is_empty()) {
+    let config = match predecessor_message.filter(|message| !message.status.config_text.is_empty())
+    {
         Some(message) => source.load_for_upgrade(&message.status.config_text),
         None => source.load(),
     };
@@ -128,8 +130,8 @@
     }
 }
 
-/// Joins the other processes of this dispatcher. There can be others only where the platform passes the clients' listening
-/// socket; they meet in a directory below the one for temporary files.
+/// Joins the other processes of this dispatcher, through a directory below the one for temporary files. There can be
+/// others only where the platform passes the clients' listening socket.
 async fn join_process_group(environment: &Environment) -> Option<GroupMembership> {
     environment.inherited_socket.as_ref()?;
     let path = SharedDirectoryPath {
--- a/dispatcher/src/peer_process.rs
+++ b/dispatcher/src/peer_process.rs
@@ -29,7 +29,7 @@
 /// How long a starting process waits for the message of the serving one: three of its poll intervals, and one to spare.
 const PREDECESSOR_TIMEOUT: Duration = Duration::from_millis(400);
 const PREDECESSOR_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a process retries to join before it starts without; it must be ready within six seconds.
+/// How long a process tries to join before it starts without having joined; it must be ready within six seconds.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Each live peer, with its last message if there is a valid one.
@@ -38,7 +38,7 @@
 /// Whether this process has joined the others of its dispatcher.
 pub enum GroupMember {
     Joined(SharedDirectory),
-    /// The shared directory can't be written yet, so it is not known whether there are peers.
+    /// The shared directory can't be written yet, so it is unknown whether there are peers.
     Joining(SharedDirectoryPath),
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Waits for the message of the serving process; `None` without one.
+/// Waits for the message of the serving process; `None` if there is no such process or no message in time.
 async fn wait_for_predecessor(directory: &SharedDirectory) -> Option<HandoverMessage> {
     let deadline = Instant::now() + PREDECESSOR_TIMEOUT;
     let mut pair = ProcessPair::new(directory.own_incarnation);
@@ -68,10 +68,10 @@
         let peers = peers.unwrap_or_default();
         pair.update(Phase::Starting, peer_phases(&peers));
         let predecessor = pair.predecessor();
-        let found = peers
+        let predecessor_entry = peers
             .into_iter()
             .find(|(incarnation, _)| Some(*incarnation) == predecessor);
-        if let Some((_, Some(message))) = found {
+        if let Some((_, Some(message))) = predecessor_entry {
             return Some(message);
         }
         sleep(PREDECESSOR_POLL_INTERVAL).await;
@@ -111,7 +111,7 @@
     };
 }
 
-/// The parts of this process whose state goes into its messages.
+/// The components of this process whose state goes into its messages.
 pub struct ProcessContext {
     pub clock: Clock,
     pub router: RequestRouter,
@@ -177,7 +177,7 @@
     context: ProcessContext,
     peer_usage: watch::Sender<PeerUsage>,
 ) {
-    let (directory, published_count) = match member {
+    let (directory, published_process_count) = match member {
         GroupMember::Joined(directory) => (directory, Some(PeerUsage::NONE.process_count)),
         GroupMember::Joining(path) => {
             // Assumes a peer that sends to cold engines and has half of all limits.
@@ -190,7 +190,7 @@
         }
     };
     PeerExchange::new(directory, context)
-        .run(published_count, peer_usage)
+        .run(published_process_count, peer_usage)
         .await;
 }
 
@@ -217,36 +217,39 @@
         }
     }
 
-    /// Polls and publishes; never returns. `published_count` is the number of processes among which limits were divided
-    /// before; `None` if that was a guess.
+    /// Polls and publishes; never returns. `published_process_count` is the number of processes among which limits were
+    /// divided before; `None` if that was only assumed.
     async fn run(
         mut self,
-        mut published_count: Option<usize>,
+        mut published_process_count: Option<usize>,
         peer_usage: watch::Sender<PeerUsage>,
     ) {
-        let count_without_peers = Some(PeerUsage::NONE.process_count);
+        let process_count_without_peers = Some(PeerUsage::NONE.process_count);
         loop {
             self.refresh_peers().await;
             let usage = self.peer_usage();
             let process_count = Some(usage.process_count);
-            if process_count != published_count {
+            if process_count != published_process_count {
                 log::info!("{} processes serve as one dispatcher", usage.process_count);
             }
             peer_usage.send_if_modified(|published| std::mem::replace(published, usage) != usage);
-            // The brokers first: a peer that reads the next message may take capacity that the brokers must release before.
-            if process_count != count_without_peers || published_count != count_without_peers {
+            // Updates the brokers before the message is published: a peer that reads it may take capacity that the
+            // brokers must have released by then.
+            if process_count != process_count_without_peers
+                || published_process_count != process_count_without_peers
+            {
                 self.update_brokers().await;
             }
-            if process_count != count_without_peers {
+            if process_count != process_count_without_peers {
                 self.publish_message().await;
             }
-            published_count = process_count;
+            published_process_count = process_count;
             sleep_until(Instant::now() + self.next_poll_delay()).await;
         }
     }
 
-    /// Reads the live peers and their messages. If that fails, the peers of the last poll count as live, in an unknown
-    /// phase.
+    /// Reads the live peers and their messages. If that fails, the peers of the last poll count as alive, and their
+    /// phases as unknown.
     async fn refresh_peers(&mut self) {
         let directory = self.directory.clone();
         let peers = tokio::task::spawn_blocking(move || directory.read_peers()).await;
@@ -311,16 +314,20 @@
             .compose_message(&self.directory.dispatcher_name, self.live_peers())
             .await;
         let directory = self.directory.clone();
-        let written = tokio::task::spawn_blocking(move || directory.publish(&message)).await;
-        if let Err(error) = written.map_err(io::Error::other).and_then(|result| result) {
+        let write_result = tokio::task::spawn_blocking(move || directory.publish(&message)).await;
+        if let Err(error) = write_result
+            .map_err(io::Error::other)
+            .and_then(|result| result)
+        {
             log::warn!("can't write the message for the other process: {error}");
         }
     }
 
     fn next_poll_delay(&mut self) -> Duration {
         self.jitter_seed = sedgebeam_core::splitmix64(self.jitter_seed);
-        let draw = 2.0 * (self.jitter_seed as f64 / u64::MAX as f64) - 1.0;
-        POLL_INTERVAL.mul_f64(1.0 + POLL_JITTER * draw)
+        // From -1 to 1.
+        let offset = 2.0 * (self.jitter_seed as f64 / u64::MAX as f64) - 1.0;
+        POLL_INTERVAL.mul_f64(1.0 + POLL_JITTER * offset)
     }
 }
 
--- a/dispatcher/src/peer_process/shared_directory.rs
+++ b/dispatcher/src/peer_process/shared_directory.rs
@@ -1,7 +1,7 @@
 //! The directory that the processes of one dispatcher share, and their files in it.
 //!
-//! Each process holds a lock on its own file, which the system releases however the process ends. Files of a dead process
-//! are removed by the next one that reads the directory. An I/O error says nothing about whether a process is alive.
+//! Each process holds a lock on its own file, which the system releases however the process ends. The next process that
+//! reads the directory removes the files of a dead one. An I/O error doesn't tell whether a process is alive.
 
 use sedgebeam_handover::{HandoverMessage, Incarnation};
 use sedgebeam_port::clock::to_micros;
@@ -51,8 +51,9 @@
     for entry in std::fs::read_dir(path)? {
         let name = entry?.file_name();
         let prefixes = [LOCK_PREFIX, MESSAGE_PREFIX, INCOMPLETE_PREFIX].into_iter();
-        let mut names = prefixes.filter_map(|prefix| name.to_str()?.strip_prefix(prefix));
-        incarnations.extend(names.next().and_then(Incarnation::parse));
+        let mut incarnation_names =
+            prefixes.filter_map(|prefix| name.to_str()?.strip_prefix(prefix));
+        incarnations.extend(incarnation_names.next().and_then(Incarnation::parse));
     }
     Ok(incarnations)
 }
@@ -97,19 +98,19 @@
         })
     }
 
-    /// Retries until it has joined.
+    /// Joins like `join`, and retries until that succeeds.
     pub async fn join_with_retries(&self) -> SharedDirectory {
-        let mut attempts = 0;
+        let mut failed_attempts = 0;
         loop {
             match self.join() {
                 Ok(directory) => return directory,
-                Err(error) if attempts == 0 => {
+                Err(error) if failed_attempts == 0 => {
                     let parent = self.parent.display();
                     log::warn!("can't join the processes in {parent}: {error}; retrying");
                 }
                 Err(_) => {}
             }
-            attempts += 1;
+            failed_attempts += 1;
             sleep(JOIN_RETRY_DELAY).await;
         }
     }
@@ -140,7 +141,7 @@
         Ok(peers)
     }
 
-    /// Whether a process holds its lock; the files of one that doesn't are removed.
+    /// Whether the process holds its lock; removes its files if it doesn't.
     fn is_alive(&self, incarnation: Incarnation) -> io::Result<bool> {
         let path = self.file_path(LOCK_PREFIX, incarnation);
         let file = match File::open(&path) {
@@ -181,7 +182,7 @@
             .filter(|message| message.is_addressed_to(self.own_incarnation, unix_now()))
     }
 
-    /// Writes the message for the peers. It gets its name once it is complete, so no peer reads part of it.
+    /// Writes the message for the peers. The file gets its name once it is complete, so no peer reads a partial message.
     pub(super) fn publish(&self, message: &HandoverMessage) -> io::Result<()> {
         let incomplete_path = self.file_path(INCOMPLETE_PREFIX, self.own_incarnation);
         std::fs::write(&incomplete_path, message.encode())?;
--- a/dispatcher/src/reload.rs
+++ b/dispatcher/src/reload.rs
@@ -17,9 +17,10 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// An invalid file may be only partly written, so it is read up to this many times, this far apart.
+/// How often an invalid file is read before the reload fails: the file may be only partly written.
 const MAX_ATTEMPTS: u32 = 4;
-/// All attempts together must end soon enough that the metric of a reload shows within half a second.
+/// Pause between two attempts. All attempts together must end soon enough that the metric of a reload shows within half
+/// a second.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Keys whose content is not compared with the running file: the initial engine list may differ in any way.
 const UNCOMPARED_KEYS: [&str; 1] = ["known"];
@@ -27,6 +28,7 @@
 /// Where the configuration is read from, at the start and at each reload.
 pub struct ConfigSource {
     pub environment: Environment,
+    /// The path of the dispatcher's own file.
     pub own_config_path: Option<PathBuf>,
 }
 
@@ -39,7 +41,7 @@
     /// reload is not used; the text that the other process uses is loaded instead.
     pub fn load_for_upgrade(&self, peer_config_text: &str) -> Result<Config, ConfigError> {
         let peer_config: Option<Value> = json::from_str(peer_config_text).ok();
-        let missing_key = |config: &Config| {
+        let first_missing_key = |config: &Config| {
             let peer_config = peer_config.as_ref();
             peer_config.and_then(|peer_config| {
                 completeness::first_missing_key(
@@ -50,7 +52,7 @@
             })
         };
         let error = match self.load() {
-            Ok(config) => match missing_key(&config) {
+            Ok(config) => match first_missing_key(&config) {
                 None => return Ok(config),
                 Some(key) => config_error(&key, "missing"),
             },
@@ -73,37 +75,37 @@
     pub router: RequestRouter,
     pub change_log_address: watch::Sender<Option<SocketAddr>>,
     pub connection_limits: watch::Sender<ConnectionSettings>,
-    /// The text of that file.
+    /// The text of the platform's file that was applied last.
     pub applied_config_text: watch::Sender<Arc<str>>,
-    /// Notified after a reload, which may have retired classes.
+    /// Notified after each reload, as it may have retired classes.
     pub names_retired: watch::Sender<()>,
     pub metrics: Metrics,
 }
 
 impl ConfigReloader {
-    /// Reloads the configuration at each SIGHUP.
+    /// Reloads the configuration at each SIGHUP; returns when the stream of signals ends.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
-            let mut attempt = 1;
+            let mut attempt_no = 1;
             while let Err(error) = self.reload().await {
                 log::warn!(
-                    "the running configuration is kept ({attempt} of {MAX_ATTEMPTS}): {error}"
+                    "the running configuration is kept ({attempt_no} of {MAX_ATTEMPTS}): {error}"
                 );
-                if attempt == MAX_ATTEMPTS {
+                if attempt_no == MAX_ATTEMPTS {
                     self.metrics.count_reload(false);
                     break;
                 }
-                attempt += 1;
+                attempt_no += 1;
                 tokio::select! {
-                 // A new signal announces a newer file: the attempts start again and the earlier reload counts as failed.
-                signal = hangup.recv() => {
-                if signal.is_none() {
-                return;
-                }
-                self.metrics.count_reload(false);
-                attempt = 1;
-                }
-                () = sleep(RETRY_DELAY) => {}
+                    // A new signal announces a newer file: the attempts start again and the earlier reload counts as failed.
+                    signal = hangup.recv() => {
+                        if signal.is_none() {
+                            return;
+                        }
+                        self.metrics.count_reload(false);
+                        attempt_no = 1;
+                    }
+                    () = sleep(RETRY_DELAY) => {}
                 }
             }
         }
@@ -134,10 +136,10 @@
         self.names_retired.send_replace(());
         self.connection_limits
             .send_replace(config.connection_limits);
-        let has_moved = self.change_log_address.send_if_modified(|address| {
+        let address_changed = self.change_log_address.send_if_modified(|address| {
             std::mem::replace(address, config.change_log_address) != config.change_log_address
         });
-        match (has_moved, config.change_log_address) {
+        match (address_changed, config.change_log_address) {
             (false, _) => log::info!("the configuration was read again and taken"),
             (true, Some(address)) => {
                 log::info!("configuration applied; the change log is now at {address}")
--- a/dispatcher/src/serve.rs
+++ b/dispatcher/src/serve.rs
@@ -45,7 +45,7 @@
     worker_pool: Arc<WorkerPool>,
     /// Permits for rejected connections in their lingering close.
     lingering_closes: Arc<Semaphore>,
-    /// Set once no new requests are taken; the listeners then stop.
+    /// Set to true once no new requests are taken; the listeners then stop.
     listeners_stop: watch::Sender<bool>,
     /// Each session holds a clone; all have ended when the last one is dropped.
     session_guard: mpsc::Sender<()>,
@@ -54,7 +54,7 @@
 /// Serves until SIGTERM or SIGINT, and then until every accepted request is answered.
 pub async fn run(
     config: Config,
-    source: ConfigSource,
+    config_source: ConfigSource,
     signals: Signals,
     membership: Option<GroupMembership>,
 ) -> io::Result<()> {
@@ -71,35 +71,35 @@
     let (process_limits, process_limits_receiver) = watch::channel(config.connection_limits);
     let (session_guard, sessions_ended) = mpsc::channel::<()>(1);
     let program = Program::start(config, process_limits_receiver, session_guard).await?;
-    let seq = program.restore_list(predecessor_message).await?;
-    let (change_log_address, position) = program.follow_change_log(seq);
+    let known_seq = program.restore_list(predecessor_message).await?;
+    let (change_log_address, change_log_position) = program.follow_change_log(known_seq);
     let applied_config_text =
-        program.handle_reloads(source, hangup, change_log_address, dispatcher_limits);
+        program.handle_reloads(config_source, hangup, change_log_address, dispatcher_limits);
     let session_slots = SessionSlots::new(program.config.descriptor_budget.sessions);
     let (peer_usage_sender, peer_usage) = watch::channel(PeerUsage::NONE);
-    let limits = SharedLimits {
+    let shared_limits = SharedLimits {
         max_sessions: program.config.descriptor_budget.sessions,
         session_slots: session_slots.clone(),
         dispatcher_limits: dispatcher_limits_receiver,
         process_limits,
     };
-    supervise::spawn_critical("limits", limits.run(peer_usage));
+    supervise::spawn_critical("limits", shared_limits.run(peer_usage));
     if let Some(member) = member {
-        let context = ProcessContext {
+        let process_context = ProcessContext {
             clock: program.clock,
             router: program.worker_pool.router.clone(),
             session_slots: session_slots.clone(),
             drain_state: program.drain_manager.subscribe(),
-            change_log_position: position.clone(),
+            change_log_position: change_log_position.clone(),
             applied_config_text,
         };
         supervise::spawn_critical(
             "other processes",
-            peer_process::run(member, context, peer_usage_sender),
+            peer_process::run(member, process_context, peer_usage_sender),
         );
     }
     let shutdown = program
-        .open_fronts(session_slots, position, sessions_ended)
+        .open_fronts(session_slots, change_log_position, sessions_ended)
         .await?;
     tokio::select! {
         _ = terminate.recv() => {}
@@ -110,23 +110,23 @@
 }
 
 impl Program {
-    /// Opens all fronts and returns the handles for the shutdown. Consumes the program and with it its session guard, so
-    /// that from then on only sessions hold one.
+    /// Opens all fronts and returns the handles for the shutdown. Consumes the program with its session guard, so that
+    /// only sessions hold one afterwards.
     async fn open_fronts(
         self,
         session_slots: SessionSlots,
-        position: watch::Receiver<ChangeLogPosition>,
+        change_log_position: watch::Receiver<ChangeLogPosition>,
         sessions_ended: mpsc::Receiver<()>,
     ) -> io::Result<Shutdown> {
         self.open_other_fronts().await?;
         let (accept_task, address) = self.accept_sessions(session_slots).await?;
-        self.wait_until_prepared(position).await?;
+        self.wait_until_prepared(change_log_position).await?;
         log::info!(
             "{} serves PostgreSQL clients on {address}",
             self.config.name
         );
         Ok(Shutdown {
-            longest_deadline: self.longest_deadline(),
+            longest_time_limit: self.longest_time_limit(),
             router: self.worker_pool.router.clone(),
             drain_manager: self.drain_manager,
             listeners_stop: self.listeners_stop,
--- a/dispatcher/src/serve/flight.rs
+++ b/dispatcher/src/serve/flight.rs
@@ -10,13 +10,13 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// Concurrent calls of one client.
+/// Concurrent calls on one connection.
 const MAX_CALLS_PER_CONNECTION: usize = 128;
 /// Interval of HTTP/2 pings. A client that doesn't answer one for as long again counts as disconnected.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Accepts clients until `stop` is set, and serves the open calls to their end: on the main thread, or on the workers, to
-/// which the accepted connections are transferred.
+/// Accepts clients until `stop` is set, and serves their open calls to the end: on the main thread, or on the workers,
+/// to which the accepted connections are transferred.
 pub(super) fn serve_flight(
     listener: TcpListener,
     worker_pool: &Arc<WorkerPool>,
@@ -25,46 +25,51 @@
     session_guard: &mpsc::Sender<()>,
     max_connections: usize,
 ) {
-    let accepted = incoming::accept_connections(listener, max_connections);
+    let accepted_connections = incoming::accept_connections(listener, max_connections);
     if !worker_pool.has_several_workers() {
-        let connections = incoming::local_connections(accepted);
-        let serving = serve_connections(
+        let connections = incoming::local_connections(accepted_connections);
+        let front_task = serve_connections(
             connections,
             front.clone(),
             stop.subscribe(),
             session_guard.clone(),
         );
-        supervise::spawn_critical("the Flight SQL front", serving);
+        supervise::spawn_critical("the Flight SQL front", front_task);
         return;
     }
-    let mut workers = Vec::new();
+    let mut worker_senders = Vec::new();
     for worker in worker_pool.workers() {
-        let (transfer, transferred) = mpsc::channel(max_connections);
-        let connections = incoming::transferred_connections(transferred);
-        let serving = serve_connections(
+        let (sender, receiver) = mpsc::channel(max_connections);
+        let connections = incoming::transferred_connections(receiver);
+        let front_task = serve_connections(
             connections,
             front.clone(),
             stop.subscribe(),
             session_guard.clone(),
         );
-        worker.spawn("the Flight SQL front of a worker", serving);
-        workers.push(transfer);
+        worker.spawn("the Flight SQL front of a worker", front_task);
+        worker_senders.push(sender);
     }
-    let distributing = distribute(accepted, worker_pool.clone(), workers, stop.subscribe());
-    supervise::spawn_critical("accepting Flight SQL clients", distributing);
+    let distribution_task = distribute_connections(
+        accepted_connections,
+        worker_pool.clone(),
+        worker_senders,
+        stop.subscribe(),
+    );
+    supervise::spawn_critical("accepting Flight SQL clients", distribution_task);
 }
 
 /// Transfers accepted connections to the workers until `stop` is set.
-async fn distribute(
-    accepted: impl Stream<Item = incoming::AcceptedConnection>,
+async fn distribute_connections(
+    accepted_connections: impl Stream<Item = incoming::AcceptedConnection>,
     worker_pool: Arc<WorkerPool>,
-    workers: Vec<mpsc::Sender<incoming::TransferredConnection>>,
+    worker_senders: Vec<mpsc::Sender<incoming::TransferredConnection>>,
     mut stop: watch::Receiver<bool>,
 ) {
-    let mut accepted = std::pin::pin!(accepted);
+    let mut accepted_connections = std::pin::pin!(accepted_connections);
     loop {
         let accepted_connection = tokio::select! {
-            connection = accepted.next() => connection,
+            connection = accepted_connections.next() => connection,
             _ = stop.wait_for(|stop| *stop) => None,
         };
         let Some(connection) = accepted_connection else {
@@ -72,7 +77,7 @@
         };
         let (worker_index, _) = worker_pool.choose_worker();
         let result = match incoming::TransferredConnection::new(connection) {
-            Ok(transferred) => workers[worker_index]
+            Ok(transferred) => worker_senders[worker_index]
                 .try_send(transferred)
                 .map_err(io::Error::other),
             Err(error) => Err(error),
@@ -90,7 +95,7 @@
     mut stop: watch::Receiver<bool>,
     session_guard: mpsc::Sender<()>,
 ) {
-    let served = tonic::transport::Server::builder()
+    let server = tonic::transport::Server::builder()
         .concurrency_limit_per_connection(MAX_CALLS_PER_CONNECTION)
         .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
         .add_service(front.service())
@@ -98,7 +103,7 @@
             // A dropped sender means the same as `true`.
             let _ = stop.wait_for(|stop| *stop).await;
         });
-    if let Err(error) = served.await {
+    if let Err(error) = server.await {
         log::error!("the Flight SQL front failed: {error}");
     }
     drop(session_guard);
--- a/dispatcher/src/serve/listeners.rs
+++ b/dispatcher/src/serve/listeners.rs
@@ -18,31 +18,31 @@
 /// Opens one listener and starts serving it.
 type OpenListener = BoxFuture<'static, io::Result<()>>;
 
-/// Binds an address. With `wait_for_peer`, waits while a peer process still has it.
+/// Binds an address. With `wait_for_peer`, waits while a peer process still listens on it.
 async fn bind(address: SocketAddr, wait_for_peer: bool) -> io::Result<TcpListener> {
     loop {
         match listen(address).await {
             // `listen` has retried with pauses before it returned this error.
             Err(error) if wait_for_peer && error.kind() == io::ErrorKind::AddrInUse => {}
-            bound => return bound,
+            result => return result,
         }
     }
 }
 
 impl Program {
-    /// Opens the Flight SQL front and the administration API where the dispatcher's own file names them. If the clients'
-    /// socket is inherited, a peer process may still have these addresses; then they are opened in the background, as
-    /// soon as it releases them.
+    /// Opens the Flight SQL front and the administration API where the dispatcher's own file names them. If the
+    /// clients' socket is inherited, a peer process may still listen on these addresses: they are opened in the
+    /// background, as soon as it releases them.
     pub(super) async fn open_other_fronts(&self) -> io::Result<()> {
-        let flight = self
+        let flight_listener = self
             .config
             .flight_listen
             .map(|address| self.open_flight(address));
-        let admin = self
+        let admin_listener = self
             .config
             .admin_listen
             .map(|address| self.open_admin(address));
-        for open_listener in flight.into_iter().chain(admin) {
+        for open_listener in flight_listener.into_iter().chain(admin_listener) {
             if !self.may_have_peer() {
                 open_listener.await?;
                 continue;
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Whether a peer process may exist that still has the addresses of the listeners.
+    /// Whether there may be a peer process that still listens on the addresses of this one.
     fn may_have_peer(&self) -> bool {
         self.config.inherited_socket.is_some()
     }
@@ -110,7 +110,7 @@
         })
     }
 
-    /// Starts to accept PostgreSQL clients as the drain state allows; returns the task that accepts and its address.
+    /// Starts to accept PostgreSQL clients as the drain state allows; returns the task that accepts and the listen address.
     pub(super) async fn accept_sessions(
         &self,
         session_slots: SessionSlots,
--- a/dispatcher/src/serve/sessions.rs
+++ b/dispatcher/src/serve/sessions.rs
@@ -17,9 +17,9 @@
 
 /// Pause after a failed accept, so that a lack of descriptors doesn't make the loop spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Failed accepts after which the shutdown leaves the rest of the accept queue alone: half a second with the pauses.
+/// Failed accepts after which the shutdown stops emptying the accept queue. With the pauses, they take half a second.
 const MAX_ACCEPT_FAILURES: usize = 25;
-/// Difference between the keys of consecutive sessions. It is odd, so a key repeats only after all 2^64.
+/// Difference between the keys of consecutive sessions. It is odd, so a key repeats only after all 2^64 keys.
 const SESSION_KEY_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Accepts sessions and gives each to a worker.
@@ -35,7 +35,7 @@
 }
 
 impl Sessions {
-    /// Accepts connections as the drain state allows, until the shutdown takes no new requests.
+    /// Accepts connections as the drain state allows, until the grace period of the shutdown is over.
     ///
     /// `owns_accept_queue` is true where no other process accepts from the same socket.
     pub async fn accept(
@@ -46,11 +46,11 @@
     ) {
         loop {
             let DrainState {
-                new_connections: newcomers,
-                is_shutdown_grace_over: over,
+                new_connections,
+                is_shutdown_grace_over,
                 ..
             } = *drain_state.borrow_and_update();
-            if over {
+            if is_shutdown_grace_over {
                 log::info!("ending: accepting is over");
                 if owns_accept_queue {
                     self.reject_queued(&listener).await;
@@ -63,24 +63,24 @@
                     Ok(()) => continue,
                     Err(_) => return,
                 },
-                accepted = listener.accept(), if newcomers != NewConnections::LeaveInBacklog => accepted,
+                accepted = listener.accept(), if new_connections != NewConnections::LeaveInBacklog => accepted,
             };
             match accepted {
-                Ok((stream, _)) if newcomers == NewConnections::Reject => {
+                Ok((stream, _)) if new_connections == NewConnections::Reject => {
                     self.reject(stream, pg::RejectReason::Draining);
                     yield_now().await;
                 }
-                Ok((stream, _)) => self.start(stream).await,
+                Ok((stream, _)) => self.start_session(stream).await,
                 Err(error) => {
-                    log::warn!("accepting: {error}");
+                    log::warn!("can't accept a client: {error}");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Rejects the connections in the accept queue with an error. Dropping the listener would reset them, and a client may
-    /// have written a request already.
+    /// Rejects the connections in the accept queue with an error. Dropping the listener would reset them, although a
+    /// client may have written a request already.
     async fn reject_queued(&self, listener: &TcpListener) {
         let mut failures = 0;
         while failures < MAX_ACCEPT_FAILURES {
@@ -89,7 +89,7 @@
             match listener.accept().now_or_never() {
                 Some(Ok((stream, _))) => self.reject(stream, pg::RejectReason::Draining),
                 Some(Err(error)) => {
-                    log::warn!("accepting: {error}");
+                    log::warn!("can't accept a client: {error}");
                     failures += 1;
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
@@ -112,7 +112,7 @@
     }
 
     /// Starts a session on a worker if a session slot is free or an idle session can be evicted.
-    async fn start(&mut self, stream: TcpStream) {
+    async fn start_session(&mut self, stream: TcpStream) {
         let Some((session_slot, has_evicted)) = self.session_slots.acquire() else {
             log::debug!("rejecting a connection: all sessions are busy");
             self.reject(stream, pg::RejectReason::NoFreeSlot);
--- a/dispatcher/src/serve/shutdown.rs
+++ b/dispatcher/src/serve/shutdown.rs
@@ -8,35 +8,37 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until};
 
-/// The platform may send SIGKILL 0.7 s plus the longest deadline after SIGTERM, and counts a longer deadline as this.
-const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Open requests get their final answer this long after the longest deadline, which is 0.2 s before SIGKILL.
+/// The platform sends SIGKILL no earlier than 0.7 s plus the longest time limit after SIGTERM; of that time limit it
+/// counts no more than this.
+const MAX_COUNTED_TIME_LIMIT: Duration = Duration::from_secs(3);
+/// Open requests get their final answer this long after the longest time limit, which is 0.2 s before SIGKILL.
 const LAST_ANSWERS_DELAY: Duration = Duration::from_millis(500);
 
 /// The handles that the shutdown needs.
 pub(super) struct Shutdown {
     pub drain_manager: DrainManager,
     pub router: RequestRouter,
-    /// Set once no new requests are taken; the listeners then stop.
+    /// Set to true once no new requests are taken; the listeners then stop.
     pub listeners_stop: watch::Sender<bool>,
     /// The task that accepts PostgreSQL clients.
     pub accept_task: JoinHandle<Option<()>>,
     /// Closes when the last session has ended.
     pub sessions_ended: mpsc::Receiver<()>,
     /// The longest time that a client of any class waits for its answer.
-    pub longest_deadline: Duration,
+    pub longest_time_limit: Duration,
 }
 
 impl Shutdown {
-    /// Stops taking requests once the grace period of the drain is over, then waits until all accepted ones are answered.
+    /// Stops taking requests once the grace period of the shutdown is over, then waits until all accepted ones are
+    /// answered.
     pub async fn run(mut self) {
         // Logged after the state has changed: a reader of the log may ask the control socket at once.
         self.drain_manager.update(Drain::start_shutdown);
         log::info!("ending: last call");
-        let wait_limit = self.longest_deadline.min(MAX_COUNTED_DEADLINE) + LAST_ANSWERS_DELAY;
+        let wait_limit = self.longest_time_limit.min(MAX_COUNTED_TIME_LIMIT) + LAST_ANSWERS_DELAY;
         let answer_deadline = Instant::now() + wait_limit;
-        // From then on the accept task ends by itself, and so does each session once it is idle. The wait can't fail: the
-        // drain manager holds the sender.
+        // After the grace period the accept task ends by itself, and so does each session once it is idle. The wait
+        // can't fail: the drain manager holds the sender.
         let _ = self
             .drain_manager
             .subscribe()
@@ -48,7 +50,7 @@
         let mut ended = std::pin::pin!(ended);
         tokio::select! {
             () = &mut ended => {}
-            // A request without an answer by then would get none: SIGKILL ends the process.
+            // A request without an answer by then would never get one: SIGKILL ends the process.
             () = sleep_until(answer_deadline) => {
                 log::info!("answering all open requests before the process is killed");
                 self.router.shut_down().await;
--- a/dispatcher/src/serve/startup.rs
+++ b/dispatcher/src/serve/startup.rs
@@ -23,14 +23,14 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::{Instant, timeout};
 
-/// A process that may start beside a peer waits this long for the change log, as it must serve within six seconds.
+/// How long a process that may have a peer waits for the change log at its start; it must serve within six seconds.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Program {
     /// Starts the control socket, the drain timer and the workers.
     pub(super) async fn start(
         config: Config,
-        connections: watch::Receiver<ConnectionSettings>,
+        connection_limits: watch::Receiver<ConnectionSettings>,
         session_guard: mpsc::Sender<()>,
     ) -> io::Result<Program> {
         let drain_manager = DrainManager::new(config.inherited_socket.is_some());
@@ -43,7 +43,7 @@
         open_control_socket(&config, &drain_manager, &metrics, clock, &lingering_closes).await?;
         supervise::spawn_critical("the drain", drain_manager.clone().run_timer());
         let transport = NetworkTransport {
-            connections,
+            connections: connection_limits,
             metrics: metrics.clone(),
             slots: ConnectionSlots::default(),
         };
@@ -60,30 +60,30 @@
         })
     }
 
-    /// Gives the brokers the engine list of the configuration, or the predecessor's where that is newer, and the state that
-    /// the predecessor handed over. Returns the change log's sequence number of the list.
+    /// Gives the brokers the engine list of the configuration, or the predecessor's if that is newer, and the state
+    /// that the predecessor handed over. Returns the change log's sequence number of the list.
     pub(super) async fn restore_list(
         &self,
         predecessor_message: Option<HandoverMessage>,
     ) -> io::Result<u64> {
-        let (known, router) = (&self.config.known_changes, &self.worker_pool.router);
+        let (known_changes, router) = (&self.config.known_changes, &self.worker_pool.router);
         let broker_ended = |_| io::Error::other("the broker ended at once");
-        let saved = change_log::fold_changes(known.changes.clone());
+        let saved_list = change_log::fold_changes(known_changes.changes.clone());
         router
-            .update_engine_list(ListUpdate::Saved, saved)
+            .update_engine_list(ListUpdate::Saved, saved_list)
             .await
             .map_err(broker_ended)?;
         let Some(message) = predecessor_message else {
-            return Ok(known.seq);
+            return Ok(known_changes.seq);
         };
         let handover_state = message.handover_state_at(self.clock.micros(Instant::now()));
         let status = message.status;
-        let seq = status.change_log_seq.max(known.seq);
-        if status.change_log_seq > known.seq {
-            let updated = router
+        let seq = status.change_log_seq.max(known_changes.seq);
+        if status.change_log_seq > known_changes.seq {
+            let update_result = router
                 .update_engine_list(ListUpdate::Complete, status.targets)
                 .await;
-            updated.map_err(broker_ended)?;
+            update_result.map_err(broker_ended)?;
         }
         router.restore(handover_state).await;
         peer_process::reapply_admin_settings(router, status.drained_engines, status.tenants).await;
@@ -91,7 +91,7 @@
         Ok(seq)
     }
 
-    /// Follows the change log from this sequence number on. Returns the sender of its address and the position reached.
+    /// Follows the change log after this sequence number. Returns the sender of its address and the position reached.
     pub(super) fn follow_change_log(
         &self,
         seq: u64,
@@ -105,10 +105,10 @@
             seq,
             caught_up: false,
         });
-        let pauses = RetryBackoff::new(config.settings.gateways, config.seed);
-        let following =
-            change_log::follow(address, position, self.worker_pool.router.clone(), pauses);
-        supervise::spawn_critical("the change log", following);
+        let backoff = RetryBackoff::new(config.settings.gateways, config.seed);
+        let follow_task =
+            change_log::follow(address, position, self.worker_pool.router.clone(), backoff);
+        supervise::spawn_critical("the change log", follow_task);
         (address_sender, position_receiver)
     }
 
@@ -166,10 +166,10 @@
     }
 
     /// The longest time that a client of any class waits for its answer.
-    pub(super) fn longest_deadline(&self) -> Duration {
+    pub(super) fn longest_time_limit(&self) -> Duration {
         let classes = self.config.settings.classes.iter();
-        let longest = classes.map(|class| class.give_up).max();
-        to_duration(longest.unwrap_or_default())
+        let longest_give_up = classes.map(|class| class.give_up).max();
+        to_duration(longest_give_up.unwrap_or_default())
     }
 }
 
--- a/dispatcher/src/worker_pool.rs
+++ b/dispatcher/src/worker_pool.rs
@@ -1,5 +1,5 @@
-//! The workers: one on the main thread, or several, each with its own thread, runtime and, up to the number of shards, a
-//! broker with a shard of the gateway.
+//! The workers that serve connections: one on the main thread, or several, each with a separate thread and runtime. The
+//! first ones, as many as there are shards, also run a broker with one shard of the gateway each.
 //!
 //! Connections are accepted on the main thread and transferred to workers; a request goes to the shard that its id names.
 //! A crash of one broker leaves the others running: its requests are answered, its leases on engines return to the other
@@ -68,7 +68,7 @@
     shard_count: usize,
     /// Number of connections placed; rotates the choice among equally loaded workers.
     placement_count: AtomicUsize,
-    /// Brokers restarted after a crash.
+    /// Number of brokers restarted after a crash.
     broker_restarts: Arc<AtomicUsize>,
 }
 
@@ -106,10 +106,10 @@
         router: RequestRouter,
         broker_config: BrokerConfig,
     ) -> io::Result<WorkerPool> {
-        let (broker, mailbox, incoming) = broker::new(broker_config);
-        supervise::spawn_critical("the broker", broker.run(incoming));
-        let opened = router.open_shard(0, mailbox).await;
-        opened.map_err(|_| io::Error::other("the broker ended at once"))?;
+        let (broker, mailbox, messages) = broker::new(broker_config);
+        supervise::spawn_critical("the broker", broker.run(messages));
+        let open_result = router.open_shard(0, mailbox).await;
+        open_result.map_err(|_| io::Error::other("the broker ended at once"))?;
         Ok(WorkerPool {
             router,
             workers: vec![Worker::new(Handle::current())],
@@ -125,11 +125,12 @@
         broker_config: BrokerConfig,
     ) -> io::Result<WorkerPool> {
         let runtime_settings = &broker_config.runtime_settings;
-        let (max_open, settings) = (
+        let (max_open_requests, settings) = (
             runtime_settings.max_open_requests,
             &runtime_settings.settings,
         );
-        let shard_leases = ShardLeases::new(config.shards, max_open, settings, router.clone());
+        let shard_leases =
+            ShardLeases::new(config.shards, max_open_requests, settings, router.clone());
         preallocate_descriptor_table(config.max_descriptors);
         let cores = if config.pin_workers {
             core_affinity::get_core_ids().unwrap_or_default()
@@ -164,7 +165,7 @@
             placement_count: AtomicUsize::new(0),
             broker_restarts,
         };
-        // The caller accepts clients after this: by then each shard takes requests.
+        // The caller accepts clients once this function returns, so each shard must take requests by then.
         pool.router.wait_until_open().await;
         Ok(pool)
     }
@@ -196,17 +197,19 @@
     }
 }
 
-/// Makes the kernel grow the process's descriptor table to its full size while there is one thread. When the table of a
-/// process with several threads grows, each new descriptor waits for all processors, and a burst of connections is not
-/// accepted in time (measured: of 900 simultaneous connects, the clients' systems retried a tenth after a second).
+/// Makes the kernel grow the process's descriptor table to its full size while the process has one thread. When the table
+/// of a process with several threads grows, each new descriptor waits for all processors, and a burst of connections is not
+/// accepted in time: of 900 simultaneous connects, a tenth were retried by the clients' systems after a second.
 fn preallocate_descriptor_table(max_descriptors: usize) {
-    let Ok(highest) = i32::try_from(max_descriptors.saturating_sub(1)) else {
+    let Ok(highest_descriptor) = i32::try_from(max_descriptors.saturating_sub(1)) else {
         return;
     };
-    match rustix::io::fcntl_dupfd_cloexec(std::io::stderr(), highest) {
+    match rustix::io::fcntl_dupfd_cloexec(std::io::stderr(), highest_descriptor) {
         Ok(descriptor) => drop(descriptor),
         // The system may allow fewer than the configuration states; the table then grows on demand.
-        Err(error) => log::debug!("can't preallocate descriptors up to {highest}: {error}"),
+        Err(error) => {
+            log::debug!("can't preallocate descriptors up to {highest_descriptor}: {error}")
+        }
     }
 }
 
@@ -242,16 +245,16 @@
     broker_restarts: Arc<AtomicUsize>,
 ) {
     for restart_count in 0.. {
-        let (broker, mailbox, incoming) = broker::new(broker_config.clone());
-        let broker_task = tokio::spawn(broker.run(incoming));
+        let (broker, mailbox, messages) = broker::new(broker_config.clone());
+        let broker_task = tokio::spawn(broker.run(messages));
         // Fails if the broker has ended already, which is handled below.
         let _ = router.open_shard(shard, mailbox).await;
         if restart_count > 0 {
             broker_restarts.fetch_add(1, Ordering::Relaxed);
         }
-        let ended = broker_task.await;
+        let result = broker_task.await;
         router.close_shard(shard);
-        match ended {
+        match result {
             Ok(()) => return,
             Err(error) => log::error!("the broker of worker {shard} crashed: {error}"),
         }
