--- a/dispatcher/tests/faults/mod.rs
+++ b/dispatcher/tests/faults/mod.rs
@@ -29,6 +29,7 @@
 
 const SYSTEM_CALL_COUNT: usize = 10;
 const RECORD_BYTES: u64 = 16;
+/// Offset of the number of injected faults in a record.
 const COUNT_OFFSET: u64 = 12;
 /// The error value of a record whose call transfers one byte.
 const ONE_BYTE: i32 = -1;
@@ -89,9 +90,9 @@
         FaultInjector { path, file }
     }
 
-    fn write_record(&self, call: SystemCall, error: i32, every: i32, remaining: i32) {
+    fn write_record(&self, call: SystemCall, error: i32, every_nth: i32, remaining_faults: i32) {
         let mut record = Vec::new();
-        for number in [error, every, remaining] {
+        for number in [error, every_nth, remaining_faults] {
             record.extend(number.to_ne_bytes());
         }
         let offset = call as u64 * RECORD_BYTES;
@@ -106,8 +107,8 @@
     }
 
     /// Injects the fault into every n-th call from now on.
-    pub fn inject_every_nth(&self, every: i32, call: SystemCall, fault: Fault) {
-        self.write_record(call, error_value(fault), every, -1);
+    pub fn inject_every_nth(&self, every_nth: i32, call: SystemCall, fault: Fault) {
+        self.write_record(call, error_value(fault), every_nth, -1);
     }
 
     /// Injects the fault into the next `times` calls.
--- a/dispatcher/tests/followers.rs
+++ b/dispatcher/tests/followers.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// A connection omits the event; the follower detects the gap and gets the event by reconnecting.
+    /// The connection omits the event; the follower detects the gap and gets the event by reconnecting.
     Omitted,
     /// Only a complete list delivers the event.
     Forgotten,
@@ -31,7 +31,7 @@
     Duplicated,
 }
 
-struct Log {
+struct ChangeLog {
     address: SocketAddr,
     /// The sequence number of the last event, which is the number of events.
     last_seq: watch::Sender<u64>,
@@ -63,11 +63,11 @@
     socket.listen(backlog).expect("listen")
 }
 
-impl Log {
-    async fn start(last_seq: u64, fault: Fault, fault_seq: u64) -> Arc<Log> {
+impl ChangeLog {
+    async fn start(last_seq: u64, fault: Fault, fault_seq: u64) -> Arc<ChangeLog> {
         // All followers may connect at once, and a full accept queue would be another fault.
         let listener = bind_listener(2 * FOLLOWERS);
-        let log = Arc::new(Log {
+        let log = Arc::new(ChangeLog {
             address: listener.local_addr().expect("get the local address"),
             last_seq: watch::channel(last_seq).0,
             requests: AtomicUsize::new(0),
@@ -107,22 +107,25 @@
         }
         write.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await?;
         let mut last_seq = self.last_seq.subscribe();
-        let (mut delivered, resumed_at) = (last_event_id, last_event_id);
+        let (mut delivered_seq, resumed_seq) = (last_event_id, last_event_id);
         loop {
-            let available = *last_seq.borrow_and_update();
-            while delivered < available {
-                delivered += 1;
-                let text = format!("id: {delivered}\ndata: {}\n\n", event_json(delivered));
+            let available_seq = *last_seq.borrow_and_update();
+            while delivered_seq < available_seq {
+                delivered_seq += 1;
+                let text = format!(
+                    "id: {delivered_seq}\ndata: {}\n\n",
+                    event_json(delivered_seq)
+                );
                 // A follower that recovers from the fault resumes right before the event.
-                let is_first_delivery = resumed_at + 1 < fault_seq;
+                let is_first_delivery = resumed_seq + 1 < fault_seq;
                 match fault {
                     Fault::Omitted
-                        if delivered == fault_seq && is_first_delivery && resumed_at > 0 =>
+                        if delivered_seq == fault_seq && is_first_delivery && resumed_seq > 0 =>
                     {
                         continue;
                     }
-                    Fault::Forgotten if delivered == fault_seq && resumed_at > 0 => continue,
-                    Fault::Truncated if delivered == fault_seq && is_first_delivery => {
+                    Fault::Forgotten if delivered_seq == fault_seq && resumed_seq > 0 => continue,
+                    Fault::Truncated if delivered_seq == fault_seq && is_first_delivery => {
                         return write.write_all(&text.as_bytes()[..text.len() / 2]).await;
                     }
                     Fault::Duplicated => write.write_all(text.as_bytes()).await?,
@@ -147,7 +150,7 @@
     engine_list: watch::Receiver<Vec<Target>>,
 }
 
-async fn start_follower(number: u32, log: &Log) -> Follower {
+async fn start_follower(number: u32, log: &ChangeLog) -> Follower {
     let router = RequestRouter::new(1, 0, Metrics::default(), RuntimeSettings::default());
     let (broker_sender, mut broker_messages) = mpsc::channel(16);
     let (list_sender, engine_list) = watch::channel(Vec::new());
@@ -195,7 +198,7 @@
     list
 }
 
-async fn start_followers(log: &Log) -> Vec<Follower> {
+async fn start_followers(log: &ChangeLog) -> Vec<Follower> {
     let mut followers = Vec::new();
     for number in 0..FOLLOWERS {
         followers.push(start_follower(number, log).await);
@@ -219,7 +222,7 @@
     }
 }
 
-/// Held by a running test: each follower uses two file descriptors, whose number is limited, so tests run one at a time.
+/// Locked by a running test: each follower uses two of the limited file descriptors, so tests run one at a time.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 fn run_test(test: impl Future<Output = ()>) {
@@ -235,7 +238,7 @@
 }
 
 async fn check_recovery(fault: Fault, expected_complete_lists: usize) {
-    let log = Log::start(20, fault, 12).await;
+    let log = ChangeLog::start(20, fault, 12).await;
     let mut followers = start_followers(&log).await;
     wait_for_same_list(&mut followers, 20).await;
     log.last_seq.send_replace(60);
@@ -266,10 +269,10 @@
 #[test]
 fn followers_resume_without_a_complete_list_after_the_log_moved_or_was_unreachable() {
     run_test(async {
-        let first = Log::start(30, Fault::None, 0).await;
+        let first = ChangeLog::start(30, Fault::None, 0).await;
         let mut followers = start_followers(&first).await;
         wait_for_same_list(&mut followers, 30).await;
-        let second = Log::start(50, Fault::None, 0).await;
+        let second = ChangeLog::start(50, Fault::None, 0).await;
         for follower in &followers {
             follower.log_address.send_replace(None);
             follower.log_address.send_replace(Some(second.address));
@@ -283,7 +286,7 @@
 }
 
 /// The local ports of connections to this port that are being established: `/proc/net/tcp` lists them in state SYN_SENT.
-fn connecting_to(port: u16) -> Vec<u16> {
+fn connecting_local_ports(port: u16) -> Vec<u16> {
     const SYN_SENT: &str = "02";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read the table of sockets");
     let remote = format!(":{port:04X}");
@@ -313,7 +316,7 @@
             RetryBackoff::new(1, 1),
         ));
         let port = loop {
-            if let [port] = connecting_to(address.port())[..] {
+            if let [port] = connecting_local_ports(address.port())[..] {
                 break port;
             }
             tokio::task::yield_now().await;
--- a/dispatcher/tests/large_fleet.rs
+++ b/dispatcher/tests/large_fleet.rs
@@ -12,10 +12,10 @@
 
 /// Ends a test that would wait forever; no assertion depends on the value.
 const HANG_TIMEOUT: Duration = Duration::from_secs(60);
-/// Engines of a fleet of the usual and of the maximum size.
+/// Number of engines in a fleet of the usual size, and in one of the maximum size.
 const USUAL_ENGINES: usize = 200;
 const MAX_ENGINES: usize = 3_200;
-/// Dispatchers of a fleet of the maximum size.
+/// Number of dispatchers in a fleet of the maximum size.
 const DISPATCHERS: u32 = 900;
 /// The operators' memory bound at the maximum size: this multiple of the usage at the usual size, plus a constant, plus an
 /// amount per 1000 engines.
@@ -28,7 +28,7 @@
 const LONG_ENTRY_BYTES: usize = 500;
 
 /// A list entry, padded to at least `min_bytes`.
-fn entry(number: usize, min_bytes: usize) -> String {
+fn list_entry(number: usize, min_bytes: usize) -> String {
     let (host, port) = (number / 200, 10_000 + number % 200);
     let entry = format!(
         r#"{{"uid":"s-{number:08x}","endpoint":"127.9.{host}.1:{port}","az":"a","model":"std","pod_group":0,"state":"up","capacity_hint":4,"boot_ms":0"#
@@ -40,7 +40,7 @@
 /// The event with a complete list of this many engines.
 fn complete_list_event(seq: usize, engines: usize, min_entry_bytes: usize) -> String {
     let entries: Vec<String> = (0..engines)
-        .map(|number| entry(number, min_entry_bytes))
+        .map(|number| list_entry(number, min_entry_bytes))
         .collect();
     let entries = entries.join(",");
     format!(r#"{{"seq":{seq},"fleet":{{"rev":{seq},"all":true,"targets":[{entries}]}}}}"#)
@@ -132,14 +132,14 @@
 #[test]
 fn maximum_fleet_stays_within_the_memory_bound() {
     let usual_kb = Program::start(USUAL_ENGINES, None).peak_kb();
-    let largest_kb = Program::start(MAX_ENGINES, None).peak_kb();
+    let max_fleet_kb = Program::start(MAX_ENGINES, None).peak_kb();
     let allowed_kb = MAX_MEMORY_RATIO * usual_kb as f64
         + MAX_EXTRA_KB
         + MAX_EXTRA_KB_PER_1000_ENGINES * MAX_ENGINES as f64 / 1000.0;
     println!(
-        "{usual_kb} KB at {USUAL_ENGINES} engines, {largest_kb} KB at {MAX_ENGINES}, {allowed_kb:.0} KB allowed"
+        "{usual_kb} KB at {USUAL_ENGINES} engines, {max_fleet_kb} KB at {MAX_ENGINES}, {allowed_kb:.0} KB allowed"
     );
-    assert!(largest_kb as f64 <= allowed_kb);
+    assert!(max_fleet_kb as f64 <= allowed_kb);
 }
 
 /// The change log sends a complete list of the maximum size, in one line of long entries, and then one more engine.
@@ -155,7 +155,7 @@
     let complete_list = complete_list_event(2, MAX_ENGINES, LONG_ENTRY_BYTES);
     let added_engine = format!(
         r#"{{"seq":3,"fleet":{{"rev":3,"all":false,"targets":[{}]}}}}"#,
-        entry(MAX_ENGINES, 0)
+        list_entry(MAX_ENGINES, 0)
     );
     for event in [complete_list, added_engine] {
         let written = stream.write_all(format!("data: {event}\n\n").as_bytes());
--- a/dispatcher/tests/peer_process.rs
+++ b/dispatcher/tests/peer_process.rs
@@ -1,5 +1,5 @@
-//! One process of a dispatcher next to other processes of it: what it assumes about them while the directory that they share
-//! can't be written, or can't be read for a moment. The test plays the broker.
+//! What a process of a dispatcher assumes about the other processes of it while the directory that they share can't be
+//! written, or can't be read for a moment. The test takes the place of the broker.
 
 use sedgebeam::change_log::ChangeLogPosition;
 use sedgebeam::peer_process::{self, GroupMember, PeerUsage, ProcessContext, SharedDirectoryPath};
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Whether the next update about peers allows it to send to cold engines. Requests for the handover state are answered by
-    /// dropping their reply channel.
+    /// Waits for the next update about peers; returns whether it allows the process to send to cold engines. Drops the
+    /// reply channel of each request for the handover state.
     async fn may_use_cold_engines(&mut self) -> bool {
         loop {
             match self.broker_messages.recv().await.expect("it keeps running") {
@@ -118,8 +118,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let result = async { tokio::time::timeout(HANG_TIMEOUT, test).await };
-    let result = runtime.expect("build the runtime").block_on(result);
+    let timed_test = async { tokio::time::timeout(HANG_TIMEOUT, test).await };
+    let result = runtime.expect("build the runtime").block_on(timed_test);
     result.expect("the test ends within its timeout");
 }
 
@@ -131,14 +131,14 @@
 #[test]
 fn process_that_has_not_joined_counts_as_one_of_two_and_sends_nothing_to_cold_engines() {
     run_test(async {
-        let temp = TempDirectory::new();
-        replace_with_file(&temp.shared_directory());
-        let (member, handover) = GroupMember::join(temp.shared_path()).await;
+        let temp_directory = TempDirectory::new();
+        replace_with_file(&temp_directory.shared_directory());
+        let (member, handover) = GroupMember::join(temp_directory.shared_path()).await;
         assert!(matches!(member, GroupMember::Joining(_)) && handover.is_none());
         let mut process = Process::start(member).await;
         assert!(!process.may_use_cold_engines().await);
         process.wait_for_process_count(2).await;
-        std::fs::remove_file(temp.shared_directory()).expect("remove the file");
+        std::fs::remove_file(temp_directory.shared_directory()).expect("remove the file");
         assert!(process.may_use_cold_engines().await, "it is alone");
         process.wait_for_process_count(1).await;
     });
@@ -148,25 +148,30 @@
 fn peers_are_assumed_to_run_while_their_directory_cannot_be_read() {
     const UPDATES: usize = 5;
     run_test(async {
-        let temp = TempDirectory::new();
-        let older = temp.shared_path().join().expect("create the directory");
-        let (member, _) = GroupMember::join(temp.shared_path()).await;
+        let temp_directory = TempDirectory::new();
+        let older_process = temp_directory
+            .shared_path()
+            .join()
+            .expect("create the directory");
+        let (member, _) = GroupMember::join(temp_directory.shared_path()).await;
         let mut process = Process::start(member).await;
         process.wait_for_process_count(2).await;
         assert!(
             !process.may_use_cold_engines().await,
             "only the older process may"
         );
-        let moved = temp.0.join("away");
-        std::fs::rename(temp.shared_directory(), &moved).expect("rename the directory");
-        replace_with_file(&temp.shared_directory());
+        let moved_path = temp_directory.0.join("away");
+        std::fs::rename(temp_directory.shared_directory(), &moved_path)
+            .expect("rename the directory");
+        replace_with_file(&temp_directory.shared_directory());
         for _ in 0..UPDATES {
             assert!(!process.may_use_cold_engines().await);
         }
         assert_eq!(process.peer_usage.borrow().process_count, 2);
-        std::fs::remove_file(temp.shared_directory()).expect("remove the file");
-        std::fs::rename(&moved, temp.shared_directory()).expect("rename the directory");
-        drop(older);
+        std::fs::remove_file(temp_directory.shared_directory()).expect("remove the file");
+        std::fs::rename(&moved_path, temp_directory.shared_directory())
+            .expect("rename the directory");
+        drop(older_process);
         process.wait_for_process_count(1).await;
     });
 }
--- a/dispatcher/tests/scenarios/closes.rs
+++ b/dispatcher/tests/scenarios/closes.rs
@@ -23,21 +23,21 @@
 
 struct FrontFixture {
     session_context: pg::SessionContext,
-    broker: mpsc::Receiver<BrokerMessage>,
+    broker_messages: mpsc::Receiver<BrokerMessage>,
     session_slots: SessionSlots,
     drain_state_sender: watch::Sender<DrainState>,
 }
 
 async fn new_fixture(max_sessions: usize) -> FrontFixture {
-    let facts: GatewaySettings =
+    let gateway_settings: GatewaySettings =
         miniserde::json::from_str(crate::harness::SETTINGS).expect("settings");
     let runtime_settings = RuntimeSettings {
-        settings: facts.settings(),
-        names: facts.names(),
+        settings: gateway_settings.settings(),
+        names: gateway_settings.names(),
         max_open_requests: 100,
     };
     let router = RequestRouter::new(1, 1, Metrics::default(), runtime_settings);
-    let (broker_sender, broker) = mpsc::channel(64);
+    let (broker_sender, broker_messages) = mpsc::channel(64);
     router.open_shard(0, broker_sender).await.expect("a broker");
     let mut drain = Drain::new(false);
     drain.set_prepared();
@@ -47,19 +47,19 @@
             max_message_bytes: 16 * 1024,
             lingering_closes: Arc::new(Semaphore::new(4)),
         },
-        broker,
+        broker_messages,
         session_slots: SessionSlots::new(max_sessions),
         drain_state_sender: watch::channel(drain.state(Duration::ZERO)).0,
     };
     // The first two messages are the settings and the engine list.
     for _ in 0..2 {
-        fixture.broker.recv().await.expect("a message");
+        fixture.broker_messages.recv().await.expect("a message");
     }
     fixture
 }
 
 impl FrontFixture {
-    /// Serves a connection once all bytes that its client has sent can be read.
+    /// Starts to serve a connection, once all bytes that its client has sent can be read; returns the client's end.
     async fn serve(&self, client_bytes: &[u8]) -> TcpStream {
         let (client, server) = connected_pair(client_bytes).await;
         let (session_slot, _) = self.session_slots.acquire().expect("a free slot");
@@ -78,7 +78,10 @@
     }
 
     async fn next_broker_message(&mut self) -> BrokerMessage {
-        self.broker.recv().await.expect("a message to the broker")
+        self.broker_messages
+            .recv()
+            .await
+            .expect("a message to the broker")
     }
 }
 
@@ -110,7 +113,7 @@
     result.expect("the test ends in time");
 }
 
-/// The query has arrived and has not been read when the session is evicted.
+/// The session is evicted when its query has arrived and has not been read yet.
 #[test]
 fn a_query_that_crosses_the_eviction_of_its_session_is_refused() {
     run_test(|| async {
@@ -119,21 +122,21 @@
         client_bytes.extend(query(&statement("lookup 1")));
         let client = fixture.serve(&client_bytes).await;
         // The task of the session has not run yet.
-        let (new_slot, evicted) = fixture
+        let (new_slot, has_evicted) = fixture
             .session_slots
             .acquire()
             .expect("the slot of an unproven session");
-        assert!(evicted && new_slot.set_state(SessionState::Busy));
+        assert!(has_evicted && new_slot.set_state(SessionState::Busy));
         let received = read_to_close(client).await;
         assert!(received.contains("53300"), "{received}");
         assert!(
-            fixture.broker.try_recv().is_err(),
+            fixture.broker_messages.try_recv().is_err(),
             "the query reached the broker"
         );
     });
 }
 
-/// An eviction while the maximum number of lingering closes is in use.
+/// The session is evicted while the maximum number of lingering closes is in use.
 #[test]
 fn a_query_that_crosses_an_eviction_is_refused_when_no_lingering_close_is_free() {
     run_test(|| async {
@@ -152,7 +155,7 @@
         let received = read_to_close(client).await;
         assert!(received.contains("53300"), "{received}");
         assert!(
-            fixture.broker.try_recv().is_err(),
+            fixture.broker_messages.try_recv().is_err(),
             "the query reached the broker"
         );
     });
@@ -185,8 +188,9 @@
         (0..7).for_each(|_| client_bytes.extend(query("SELECT 1")));
         let mut client = fixture.serve(&client_bytes).await;
         let (mut received, mut buffer) = (Vec::new(), [0; 1024]);
-        let errors = |received: &[u8]| String::from_utf8_lossy(received).matches("42601").count();
-        while errors(&received) < 6 {
+        let error_count =
+            |received: &[u8]| String::from_utf8_lossy(received).matches("42601").count();
+        while error_count(&received) < 6 {
             let count = client.read(&mut buffer).await.expect("reads");
             assert!(count > 0, "closed too early");
             received.extend(&buffer[..count]);
@@ -194,7 +198,7 @@
         // The server has the seventh query already and reads nothing more before it closes.
         client.write_all(&query("SELECT 1")).await.expect("writes");
         client.read_to_end(&mut received).await.expect("no reset");
-        assert_eq!(errors(&received), 7);
+        assert_eq!(error_count(&received), 7);
     });
 }
 
--- a/dispatcher/tests/scenarios/edge_cases.rs
+++ b/dispatcher/tests/scenarios/edge_cases.rs
@@ -42,7 +42,7 @@
     );
 }
 
-/// Every read returns one byte, and the rest stays in the socket buffer while no further data arrives.
+/// Every read returns one byte; the other bytes stay in the socket buffer, and no further data arrives.
 #[test]
 fn the_rest_after_a_short_read_is_read() {
     let faults = FaultInjector::new();
@@ -128,7 +128,7 @@
 /// Too many open files in the system.
 const ENFILE: i32 = 23;
 
-/// A connection that can't be accepted before the listener closes, although its request was sent long before.
+/// The connection can't be accepted before the end of accepting, although its request was sent long before.
 #[test]
 fn a_connection_in_the_backlog_when_accepting_ends_gets_an_error() {
     let faults = FaultInjector::new();
@@ -198,7 +198,8 @@
     }
 }
 
-/// A local shortage is waited out. An error that may be the engine's can refuse the request, but never loses it.
+/// The program waits for the end of a local shortage. After an error that the engine may have caused the request may be
+/// refused, but is never lost.
 #[test]
 fn transient_connect_failures_lose_no_request() {
     const EADDRNOTAVAIL: i32 = 99;
@@ -250,21 +251,21 @@
 
 #[test]
 fn a_step_of_the_wall_clock_moves_no_deadline() {
-    const HOUR: i32 = 3600;
+    const HOUR_SECONDS: i32 = 3600;
     let faults = FaultInjector::new();
     let mut harness = with_faults(&["e1"], &faults);
     let mut id = 0;
-    for step in [HOUR, -HOUR, 0, 5, -5] {
-        for (before, after) in [(true, false), (false, true)] {
+    for step_seconds in [HOUR_SECONDS, -HOUR_SECONDS, 0, 5, -5] {
+        for (steps_before, steps_after) in [(true, false), (false, true)] {
             id += 1;
-            if before {
-                faults.step_wall_clock(step);
+            if steps_before {
+                faults.step_wall_clock(step_seconds);
             }
             harness.run_script(&format!(
                 "c{id} send journal-load {id} 50000\ne1 expect fetch {id}"
             ));
-            if after {
-                faults.step_wall_clock(-step);
+            if steps_after {
+                faults.step_wall_clock(-step_seconds);
             }
             harness.run_script(&format!(
                 "e1 send {id} OK 1 a|b|c\nc{id} expect row a|b|c\nc{id} expect complete 1"
--- a/dispatcher/tests/scenarios/engine_actor.rs
+++ b/dispatcher/tests/scenarios/engine_actor.rs
@@ -25,7 +25,7 @@
     engine: Peer,
     actor: EngineSender,
     reports: mpsc::Receiver<BrokerMessage>,
-    /// The cancel token and the start limit of the next attempt.
+    /// The cancel token and the latest start of the next attempt.
     cancel_token: CancellationToken,
     starts_by: Instant,
 }
@@ -106,15 +106,15 @@
         self.actor.send(command).await.expect("an actor");
     }
 
-    async fn send_attempt(&self, id: u64, number: u32) {
-        self.send_attempt_with_statement(id, number, "SELECT".into())
+    async fn send_attempt(&self, id: u64, attempt_no: u32) {
+        self.send_attempt_with_statement(id, attempt_no, "SELECT".into())
             .await;
     }
 
-    async fn send_attempt_with_statement(&self, id: u64, number: u32, statement: Bytes) {
+    async fn send_attempt_with_statement(&self, id: u64, attempt_no: u32, statement: Bytes) {
         let attempt = Attempt {
             request: RequestId(id),
-            number: AttemptNo(number),
+            number: AttemptNo(attempt_no),
             class: "lookup".into(),
             deadline: Instant::now() + Duration::from_secs(9),
             priority: 1,
@@ -330,8 +330,8 @@
 
 #[test]
 fn a_written_attempt_is_never_returned_as_unsent_when_its_engine_drains() {
-    // The drain starts at different points: at some, the connection has just opened and written the attempt, and the actor
-    // has not been told yet.
+    // The drain starts at different points: at some of them, the connection has just opened and written the attempt,
+    // and the actor does not know it yet.
     for yields in 0..200 {
         run_test(|| async {
             let mut fixture = new_fixture().await;
@@ -412,11 +412,11 @@
             }
             fixture.send_attempt(2, 0).await;
             fixture.wait_until_commands_received().await;
-            let number = AttemptNo(0);
+            let attempt_no = AttemptNo(0);
             match cause {
                 "aborted" => {
                     fixture
-                        .send_command(EngineCommand::Abort(RequestId(2), number))
+                        .send_command(EngineCommand::Abort(RequestId(2), attempt_no))
                         .await
                 }
                 "client left" => fixture.cancel_token.cancel(),
@@ -425,7 +425,7 @@
             }
             // A command that is written after the attempt shows when the attempt would have been written.
             fixture
-                .send_command(EngineCommand::Reprioritize(RequestId(1), number, 3))
+                .send_command(EngineCommand::Reprioritize(RequestId(1), attempt_no, 3))
                 .await;
             fixture.wait_until_commands_received().await;
             let (mut received, mut buffer) = (Vec::new(), vec![0; 1 << 20]);
@@ -449,8 +449,9 @@
     }
 }
 
-/// The limit on connections to all engines together holds besides the limit of each engine. An idle connection is closed
-/// when another engine needs its slot, and an attempt that gets no slot ends as not run, which is no failure of its engine.
+/// The limit on connections to all engines together applies in addition to the limit of each engine. An idle connection
+/// is closed when another engine needs its slot, and an attempt that gets no slot ends as not run, which is no failure
+/// of its engine.
 #[test]
 fn an_idle_connection_is_closed_to_free_its_slot_for_another_engine() {
     run_test(|| async {
@@ -484,12 +485,20 @@
             second.send_attempt(id, 0).await;
             tokio::select! {
                 command = second.engine.events.recv() => {
-                    assert!(command.expect("a command").starts_with(&format!("fetch {id}")));
+                    assert!(
+                        command
+                            .expect("a command")
+                            .starts_with(&format!("fetch {id}"))
+                    );
                     return;
                 }
                 report = next_report_except_idle(&mut second.reports) => {
-                    let not_run = EngineReport::AttemptEnded(RequestId(id), AttemptNo(0), AttemptResult::NotRun);
-                    assert_eq!(format!("{report:?}"), format!("{:?}", Some(BrokerMessage::EngineReport(EngineId(1), not_run))));
+                    let not_run =
+                        EngineReport::AttemptEnded(RequestId(id), AttemptNo(0), AttemptResult::NotRun);
+                    assert_eq!(
+                        format!("{report:?}"),
+                        format!("{:?}", Some(BrokerMessage::EngineReport(EngineId(1), not_run)))
+                    );
                 }
             }
             id += 1;
--- a/dispatcher/tests/scenarios/engines.rs
+++ b/dispatcher/tests/scenarios/engines.rs
@@ -15,7 +15,7 @@
 /// listener, and `close` closes the open connections.
 pub async fn run_resp_engine(listener: TcpListener, mut peer_task: PeerTask) {
     let mut listener = Some(listener);
-    let (command_sender, mut received) = mpsc::unbounded_channel::<ReceivedCommand>();
+    let (command_sender, mut received_commands) = mpsc::unbounded_channel::<ReceivedCommand>();
     let mut writers: Vec<Option<OwnedWriteHalf>> = Vec::new();
     let mut connection_by_request: HashMap<String, usize> = HashMap::new();
     loop {
@@ -25,10 +25,10 @@
                 tokio::spawn(read_commands(reader, writers.len(), command_sender.clone()));
                 writers.push(Some(writer));
             }
-            Some((connection_index, words)) = received.recv() => {
+            Some((connection_index, words)) = received_commands.recv() => {
                 let id = words.get(1).cloned().unwrap_or_default();
                 let request_id = id.trim_start_matches('0').to_string();
-                // A reply goes to the connection that its request came on, or to the first if the id is unknown.
+                // A reply goes to the connection on which its request arrived, or to the first one if the id is unknown.
                 if matches!(words[0].as_str(), "fetch" | "stats") {
                     connection_by_request.insert(request_id.clone(), connection_index);
                 }
--- a/dispatcher/tests/scenarios/flight_engine.rs
+++ b/dispatcher/tests/scenarios/flight_engine.rs
@@ -222,16 +222,18 @@
         let request_id = request_id(&request);
         let ticket = String::from_utf8(request.get_ref().ticket.to_vec()).expect("text");
         let words: Vec<&str> = ticket.split(' ').collect();
-        let parts: usize = words[1].parse().expect("a count");
-        let first = page_batch(words[2]);
-        let later = stream::unfold(
+        let page_count: usize = words[1].parse().expect("a count");
+        let first_batch = page_batch(words[2]);
+        let later_batches = stream::unfold(
             (self.clone(), self.track_call(&request_id), 1),
-            move |(engine, mut call, page)| async move {
-                if page >= parts {
+            move |(engine, mut call, page_no)| async move {
+                if page_no >= page_count {
                     call.complete();
                     return None;
                 }
-                let _ = call.events.send(format!("more {} {page}", call.request_id));
+                let _ = call
+                    .events
+                    .send(format!("more {} {page_no}", call.request_id));
                 let words = engine.next_reply(&call.request_id).await;
                 let batch = match words.first().map(String::as_str) {
                     Some("ROWS") => page_batch(&words[2]),
@@ -240,10 +242,10 @@
                         Err(error_status(word.unwrap_or_default()).into())
                     }
                 };
-                Some((batch, (engine, call, page + 1)))
+                Some((batch, (engine, call, page_no + 1)))
             },
         );
-        let batches = stream::iter([first]).chain(later);
+        let batches = stream::iter([first_batch]).chain(later_batches);
         let data = FlightDataEncoderBuilder::new()
             .with_schema(arrow::schema())
             .build(batches);
--- a/dispatcher/tests/scenarios/fronts.rs
+++ b/dispatcher/tests/scenarios/fronts.rs
@@ -47,8 +47,8 @@
         let mut harness = Harness::new(&[engine]);
         harness.run_script(&format!("{client} send lookup 1"));
         let fetch_event = harness.next_event(engine);
-        let (start, statement) = fetch_event.split_at("fetch 1 kind=lookup,ms=".len());
-        assert_eq!(start, "fetch 1 kind=lookup,ms=");
+        let (fetch_start, statement) = fetch_event.split_at("fetch 1 kind=lookup,ms=".len());
+        assert_eq!(fetch_start, "fetch 1 kind=lookup,ms=");
         let (_, statement) = statement.split_once(' ').expect("a statement");
         assert_eq!(statement, "SELECT * FROM sales_1.orders");
     }
@@ -79,21 +79,21 @@
 
 #[test]
 fn an_unknown_tenant_or_the_id_of_an_open_request_is_an_error_and_reaches_no_engine() {
-    for (client, other) in [("c1", "c2"), ("f1", "f2")] {
+    for (client, other_client) in [("c1", "c2"), ("f1", "f2")] {
         let mut harness = Harness::new(&["e1"]);
         harness.run_script(&format!(
             "{client} send report 1
              e1 expect fetch 1
-             {other} send lookup 1
-             {other} expect error
-             {other} send lookup 2 1000 nobody
-             {other} expect error
+             {other_client} send lookup 1
+             {other_client} expect error
+             {other_client} send lookup 2 1000 nobody
+             {other_client} expect error
              e1 send 1 OK 1 a|b|c
              {client} expect row a|b|c"
         ));
         assert!(
             harness.take_pending_events("e1").is_empty(),
-            "an engine was asked"
+            "an engine received a request"
         );
     }
 }
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_refusal_contains_the_time_to_retry_after() {
-    // No engine is listed: the gateway gives up the report after the `on_time` of its class and refuses it right then.
+    // No engine is listed: the gateway gives up the report after the `on_time` of its class and refuses it at once.
     let mut harness = Harness::new(&[]);
     for (client, id) in [("c1", 1), ("f1", 2)] {
         harness.run_script(&format!("{client} send report {id}"));
@@ -236,9 +236,9 @@
     );
 }
 
-/// Runs 24 requests against a fleet with both protocols. Returns the number of rows that the client got and how often each
-/// request was fetched apart from rejections.
-fn mixed_fleet(client: &str) -> (usize, Vec<usize>) {
+/// Runs 24 requests against a fleet with both protocols. Returns the number of rows that the client got, and how often
+/// each request was sent to an engine that did not reject it.
+fn run_against_mixed_fleet(client: &str) -> (usize, Vec<usize>) {
     let engines = ["e1", "g1", "e2", "g2"];
     let (mut harness, mut rows, mut fetches) = (Harness::new(&engines), 0, vec![0; 24]);
     let mut protocols = std::collections::HashSet::new();
@@ -278,9 +278,10 @@
 
 #[test]
 fn both_fronts_get_the_same_answers_from_a_mixed_fleet_and_no_load_runs_twice() {
-    let (pg, flight) = (mixed_fleet("c1"), mixed_fleet("f1"));
-    assert_eq!(pg, flight);
-    assert_eq!(pg, (48, vec![1; 24]));
+    let (pg_results, flight_results) =
+        (run_against_mixed_fleet("c1"), run_against_mixed_fleet("f1"));
+    assert_eq!(pg_results, flight_results);
+    assert_eq!(pg_results, (48, vec![1; 24]));
 }
 
 /// Engines detect a repeated attempt by the idempotency token of the client: without it a keyed class would run twice.
--- a/dispatcher/tests/scenarios/harness.rs
+++ b/dispatcher/tests/scenarios/harness.rs
@@ -31,13 +31,13 @@
 /// Ends a scenario that would otherwise wait forever; no assertion depends on its length.
 const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The test's ends of a peer's channels.
+/// The test's ends of the channels of a peer.
 pub struct Peer {
     pub commands: mpsc::UnboundedSender<String>,
     pub events: mpsc::UnboundedReceiver<String>,
 }
 
-/// The ends of the channels that the task of the peer uses.
+/// The peer task's ends of the same channels.
 pub struct PeerTask {
     pub commands: mpsc::UnboundedReceiver<String>,
     pub events: mpsc::UnboundedSender<String>,
@@ -385,12 +385,12 @@
     pub fn next_event_of(&mut self, peer_names: &[&str]) -> (String, String) {
         let peers = self.peers.iter_mut();
         let peers = peers.filter(|(name, _)| peer_names.contains(&name.as_str()));
-        let next =
+        let next_events =
             peers.map(|(name, peer)| Box::pin(async { (name.clone(), peer.events.recv().await) }));
-        let next = futures::future::select_all(next);
+        let next_event = futures::future::select_all(next_events);
         let event = self
             .runtime
-            .block_on(async { timeout(HANG_TIMEOUT, next).await });
+            .block_on(async { timeout(HANG_TIMEOUT, next_event).await });
         let ((name, event), _, _) = event.expect("an event in time");
         (name, event.expect("a peer that has not ended"))
     }
@@ -414,11 +414,14 @@
                 self.write_platform_config(&truncated);
             }
             None => {
-                let (old, new) = command["replace ".len()..]
+                let (old_text, new_text) = command["replace ".len()..]
                     .split_once(" => ")
                     .expect("two texts");
-                assert!(self.platform_config.contains(old), "the file has no {old}");
-                self.platform_config = self.platform_config.replace(old, new);
+                assert!(
+                    self.platform_config.contains(old_text),
+                    "the file has no {old_text}"
+                );
+                self.platform_config = self.platform_config.replace(old_text, new_text);
                 write_config_file(&self.directory, &self.platform_config, None);
             }
         }
@@ -443,8 +446,8 @@
 
     /// Number of file descriptors that the program has open.
     pub fn open_descriptors(&self) -> usize {
-        let id = self.program.id().expect("the program runs");
-        let descriptors = std::fs::read_dir(format!("/proc/{id}/fd"));
+        let process_id = self.program.id().expect("the program runs");
+        let descriptors = std::fs::read_dir(format!("/proc/{process_id}/fd"));
         descriptors.expect("a directory listing").count()
     }
 
@@ -454,9 +457,9 @@
     }
 
     fn signal(&mut self, signal: &str) {
-        let id = self.program.id().expect("the program runs").to_string();
+        let process_id = self.program.id().expect("the program runs").to_string();
         let kill = std::process::Command::new("kill")
-            .args([signal, &id])
+            .args([signal, &process_id])
             .status();
         assert!(kill.expect("kill runs").success());
     }
@@ -502,9 +505,9 @@
 
 /// The change log event for `SEQ STATE NAME ENDPOINT`; the state `snapshot` makes it the complete list.
 pub fn change_event(seq: &str, state: &str, name: &str, endpoint: &str) -> String {
-    let all = state == "snapshot";
-    let target = target_json(name, endpoint, if all { "up" } else { state });
-    format!(r#"{{"seq":{seq},"fleet":{{"rev":{seq},"all":{all},"targets":[{target}]}}}}"#)
+    let is_complete = state == "snapshot";
+    let target = target_json(name, endpoint, if is_complete { "up" } else { state });
+    format!(r#"{{"seq":{seq},"fleet":{{"rev":{seq},"all":{is_complete},"targets":[{target}]}}}}"#)
 }
 
 /// A client of the administration front: `send METHOD PATH [BODY]`; its event is the status and the body.
@@ -544,8 +547,8 @@
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.expect("reads");
         let mut lines = answer.lines();
-        let first = lines.next().unwrap_or("no answer");
-        let _ = peer_task.events.send(first.to_string());
+        let first_line = lines.next().unwrap_or("no answer");
+        let _ = peer_task.events.send(first_line.to_string());
         for line in lines.filter(|line| line.starts_with(name_prefix)) {
             let _ = peer_task.events.send(line.to_string());
         }
--- a/dispatcher/tests/scenarios/lifecycle.rs
+++ b/dispatcher/tests/scenarios/lifecycle.rs
@@ -184,7 +184,7 @@
     );
 }
 
-/// The engine that received the request, and the other one.
+/// Waits for the request; returns the engine that received it, and the other one.
 fn engine_with_request(harness: &mut Harness) -> (String, String) {
     let (engine, event) = harness.next_event_of(&["e1", "e2"]);
     assert!(event.starts_with("fetch 1"), "{event}");
--- a/dispatcher/tests/scenarios/operation.rs
+++ b/dispatcher/tests/scenarios/operation.rs
@@ -396,7 +396,7 @@
 fn two_hundred_reloads_lose_no_request_and_are_each_counted() {
     let mut harness = Harness::new(&["e1"]);
     let config = harness.platform_config();
-    let (mut applied, mut rejected) = (0, 0);
+    let (mut applied_count, mut rejected_count) = (0, 0);
     harness.run_script("c0 send lookup 999\ne1 expect fetch 999 kind=lookup");
     for round in 0..200u64 {
         let config_text = changed_config(&config, round);
@@ -411,18 +411,18 @@
                 &invalid_config(&config_text, round / 10),
                 RELOAD_REJECTED,
             );
-            rejected += 1;
+            rejected_count += 1;
             continue;
         }
         harness.write_config_and_reload(&config_text, RELOAD_APPLIED);
-        applied += 1;
+        applied_count += 1;
         let id = round + 1000;
         harness.run_script(&format!(
             "c1 send {class} {id}
              e1 expect fetch {id} kind={class}"
         ));
         harness.write_config_and_reload(&changed_config(&config, round + 7777), RELOAD_APPLIED);
-        applied += 1;
+        applied_count += 1;
         let (reply, client_script) = match round % 2 {
             0 => (format!("{id} ERR"), "c1 expect error 58000"),
             _ => (
@@ -438,8 +438,8 @@
          c0 expect complete 1
          op send INFO dispatcher_sighup
          op expect 200
-         op expect dispatcher_sighup_applied_total {applied}
-         op expect dispatcher_sighup_rejected_total {rejected}
+         op expect dispatcher_sighup_applied_total {applied_count}
+         op expect dispatcher_sighup_rejected_total {rejected_count}
          op send INFO dispatcher_outstanding
          op expect 200
          op expect dispatcher_outstanding 0"
@@ -450,12 +450,12 @@
 fn bytes_before_disconnect(point: usize, id: usize) -> Vec<u8> {
     let query = pg_client::query(&pg_client::statement(&format!("report {id}")));
     let complete = [pg_client::startup(), query].concat();
-    let start = pg_client::startup().len();
+    let startup_bytes = pg_client::startup().len();
     let length = match point {
         0 => 0,
-        1 => start / 2,
-        2 => start,
-        3 => start + 7,
+        1 => startup_bytes / 2,
+        2 => startup_bytes,
+        3 => startup_bytes + 7,
         4 => complete.len() - 1,
         _ => complete.len(),
     };
@@ -466,7 +466,7 @@
 fn clients_that_disconnect_at_any_point_leave_no_request_or_descriptor_open() {
     let mut harness = Harness::new(&["e1"]);
     harness.run_script("c1 send lookup 1\ne1 expect fetch 1\ne1 send 1 OK 1 a|b|c\nc1 expect row\nc1 expect complete");
-    let before = harness.open_descriptors();
+    let descriptors_before = harness.open_descriptors();
     let mut sent_queries = 0;
     for id in 0..210 {
         let point = id % 7;
@@ -492,13 +492,13 @@
         let metrics = read_metrics(&mut harness);
         assert!(
             round < 2000,
-            "{metrics:?}, {} of {before} descriptors",
+            "{metrics:?}, {} of {descriptors_before} descriptors",
             harness.open_descriptors()
         );
         // An incomplete query is no request, and a query whose client disconnects at once may never be read.
-        let ended =
+        let all_ended =
             metrics["dispatcher_outstanding"] == 0 && metrics[clients_left] >= sent_queries / 2;
-        if ended && harness.open_descriptors() <= before + 2 {
+        if all_ended && harness.open_descriptors() <= descriptors_before + 2 {
             break;
         }
         std::thread::sleep(Duration::from_millis(20));
--- a/dispatcher/tests/scenarios/pg_client.rs
+++ b/dispatcher/tests/scenarios/pg_client.rs
@@ -114,10 +114,10 @@
         b'E' => {
             let fields: Vec<&[u8]> = body.split(|byte| *byte == 0).collect();
             let field = |field_type: u8| {
-                let found = fields
+                let matching_field = fields
                     .iter()
                     .find(|field| field.first() == Some(&field_type));
-                found.map_or(String::new(), |field| trimmed_text(&field[1..]))
+                matching_field.map_or(String::new(), |field| trimmed_text(&field[1..]))
             };
             format!("error {} {} | {}", field(b'C'), field(b'M'), field(b'H'))
         }
--- a/dispatcher/tests/scenarios/wire.rs
+++ b/dispatcher/tests/scenarios/wire.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn sessions_without_a_request_are_evicted_first_and_then_those_idle_longest() {
-    // Each request has its own id, because the broker learns of the end of a request up to a tick after the client.
+    // Each request has its own id, because the broker learns of the end of a request up to one tick after the client.
     let served_lookup = |request_id| {
         format!(
             "c0 send lookup {request_id}\ne1 expect fetch {request_id}\ne1 send {request_id} OK 1 a|b|c
@@ -196,17 +196,17 @@
     ));
 }
 
-/// Idle clients of every kind fill only their own share of the descriptors: the change log, the control socket, the engines
-/// and the configuration files keep theirs.
+/// Idle clients of every kind use up only their share of the descriptors: the change log, the control socket, the
+/// engines and the configuration files keep theirs.
 #[test]
 fn idle_clients_of_every_kind_leave_descriptors_for_all_other_uses() {
     let mut harness = Harness::new(&["e1", "e2", "log", "log2"]);
     harness.run_script("log expect subscribed 1");
     // The share of the process itself covers the descriptors that it has open.
-    let descriptors =
+    let descriptor_budget =
         DescriptorBudget::divide(MAX_DESCRIPTORS, 1, true, true).expect("enough descriptors");
     assert!(
-        harness.open_descriptors() <= descriptors.reserved,
+        harness.open_descriptors() <= descriptor_budget.reserved,
         "{}",
         harness.open_descriptors()
     );
--- a/dispatcher/tests/scenarios/workers.rs
+++ b/dispatcher/tests/scenarios/workers.rs
@@ -120,11 +120,11 @@
 /// An engine transport that passes all attempts to the test.
 struct RecordingTransport {
     attempt_sender: mpsc::UnboundedSender<SentAttempt>,
-    /// While set, the broker of the failing worker panics when it is told of the engine "panic-2"; the first panic clears it.
-    panic_armed: AtomicBool,
-    /// The broker of the failing worker blocks until this is set when it is told of the engine "stall-2".
-    released: Mutex<bool>,
-    release: Condvar,
+    /// While set, the broker of the failing worker panics when the engine "panic-2" is listed; the first panic clears it.
+    panics_on_listing: AtomicBool,
+    /// The broker of the failing worker blocks when the engine "stall-2" is listed, until this is set.
+    is_released: Mutex<bool>,
+    released: Condvar,
 }
 
 fn thread_name() -> String {
@@ -142,16 +142,16 @@
         let (attempt_sender, sent_attempts) = mpsc::unbounded_channel();
         let transport = RecordingTransport {
             attempt_sender,
-            panic_armed: AtomicBool::new(true),
-            released: Mutex::new(false),
-            release: Condvar::new(),
+            panics_on_listing: AtomicBool::new(true),
+            is_released: Mutex::new(false),
+            released: Condvar::new(),
         };
         (Arc::new(transport), sent_attempts)
     }
 
     fn release(&self) {
-        *self.released.lock().expect("no poisoned lock") = true;
-        self.release.notify_all();
+        *self.is_released.lock().expect("no poisoned lock") = true;
+        self.released.notify_all();
     }
 }
 
@@ -160,14 +160,14 @@
         let on_failing_worker = thread_name() == FAILING_WORKER;
         if on_failing_worker
             && target.uid == "panic-2"
-            && self.panic_armed.swap(false, Ordering::Relaxed)
+            && self.panics_on_listing.swap(false, Ordering::Relaxed)
         {
             panic!("injected panic in the broker of {FAILING_WORKER}");
         }
         if on_failing_worker && target.uid == "stall-2" {
-            let mut released = self.released.lock().expect("no poisoned lock");
-            while !*released {
-                released = self.release.wait(released).expect("no poisoned lock");
+            let mut is_released = self.is_released.lock().expect("no poisoned lock");
+            while !*is_released {
+                is_released = self.released.wait(is_released).expect("no poisoned lock");
             }
         }
     }
@@ -240,10 +240,10 @@
         let (config, clock) = (load_config(), Clock::start());
         let worker_pool = WorkerPool::start(&config, transport.clone(), &metrics, clock).await;
         let worker_pool = worker_pool.expect("starts");
-        let list = vec![new_target("e-1")];
+        let engine_list = vec![new_target("e-1")];
         worker_pool
             .router
-            .update_engine_list(ListUpdate::Complete, list)
+            .update_engine_list(ListUpdate::Complete, engine_list)
             .await
             .expect("the list is accepted");
         WorkerPoolFixture {
@@ -294,11 +294,11 @@
 
     /// Adds an engine to the list of every worker, by a change and not by a complete list.
     async fn add_engine(&self, uid: &str) {
-        let updated = self
+        let update = self
             .worker_pool
             .router
             .update_engine_list(ListUpdate::Changes, vec![new_target(uid)]);
-        updated.await.expect("the change is accepted");
+        update.await.expect("the change is accepted");
     }
 
     async fn wait_until(&self, mut condition: impl FnMut(&WorkerPoolFixture) -> bool) {
@@ -405,13 +405,16 @@
         }
         // Rows are counted once a client has read them, and no client does in this test.
         let counts = fixture.metrics.request_counts();
-        let loads = lost_requests
+        let load_count = lost_requests
             .iter()
             .filter(|id| class_of(id.0) == LOAD_CLASS)
             .count() as u64;
-        let others = lost_requests.len() as u64 - loads;
-        assert_eq!(counts["lookup"].ended_by_disposition, [0, others, 0]);
-        assert_eq!(counts["journal-load"].ended_by_disposition, [0, 0, loads]);
+        let other_count = lost_requests.len() as u64 - load_count;
+        assert_eq!(counts["lookup"].ended_by_disposition, [0, other_count, 0]);
+        assert_eq!(
+            counts["journal-load"].ended_by_disposition,
+            [0, 0, load_count]
+        );
         fixture
             .wait_until(|fixture| fixture.worker_pool.broker_restarts() == 1)
             .await;
--- a/dispatcher/tests/settings/mod.rs
+++ b/dispatcher/tests/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of a small deployment, as they stand in the configuration file that the platform writes.
+//! The settings of a small deployment, as the platform writes them to the configuration file.
 
 /// Two classes, of which `journal-load` must not be repeated, on a deployment of `dispatchers` dispatchers.
 pub fn for_dispatchers(dispatchers: u32) -> String {
--- a/dispatcher/tests/soak/checker.rs
+++ b/dispatcher/tests/soak/checker.rs
@@ -1,5 +1,5 @@
-//! Checks a recorded run against the rules of the dispatcher, from what clients, engines and the change log observed, without any
-//! knowledge of the implementation.
+//! Checks a recorded run against the rules of the dispatcher. The checker knows what clients, engines and the change
+//! log observed, and nothing about the implementation.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -17,7 +17,7 @@
 const CLOSE_RACE_WINDOW: Micros = 50 * MILLISECOND;
 /// No attempt starts later than this after its client left.
 const MAX_START_AFTER_CLIENT_LEFT: Micros = 100 * MILLISECOND;
-/// The time limit that an engine is told exceeds the time that remains to the request by no more than this.
+/// How much the time limit announced to an engine may exceed the remaining time of the request.
 const MAX_EXCESS_TIME_LIMIT: Micros = 150 * MILLISECOND;
 /// A started dispatcher is ready within this time.
 const MAX_START_TIME: Micros = 10_000 * MILLISECOND;
@@ -80,7 +80,7 @@
     AttemptStarted {
         request: u64,
         engine: usize,
-        /// The time limit that the dispatcher told the engine.
+        /// The time limit that the dispatcher announced to the engine.
         announced_time_limit: Micros,
         work_ms: u64,
     },
@@ -111,7 +111,7 @@
         used: u64,
         allowed: u64,
     },
-    /// A process exited without being told to, or with a status other than 0.
+    /// A process exited without a signal to do so, or with a status other than 0.
     ProcessCrashed {
         dispatcher: usize,
     },
@@ -136,7 +136,7 @@
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub rule: Rule,
-    /// None if the rule is not about a request.
+    /// `None` if the rule is not about a request.
     pub request: Option<u64>,
     pub history: Vec<String>,
 }
@@ -166,8 +166,11 @@
 /// How much work an engine may receive while it is cold.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdEngine {
+    /// Start of the period to which the bound applies.
     pub from: Micros,
+    /// End of that period.
     pub until: Micros,
+    /// Length of the sliding window.
     pub window: Micros,
     /// Bound of the work received within `window`, in requests of mean work.
     pub max_requests: f64,
@@ -177,11 +180,11 @@
 impl ColdEngine {
     /// Adds a margin of a few square roots, for random variation, to the number of requests that the settings allow.
     pub fn with_margin(allowed: f64) -> f64 {
-        let root = allowed.sqrt();
+        let square_root = allowed.sqrt();
         if allowed < 30.0 {
-            allowed + 3.0 * root + 3.0
+            allowed + 3.0 * square_root + 3.0
         } else {
-            allowed + 2.0 * root + 2.0
+            allowed + 2.0 * square_root + 2.0
         }
     }
 }
@@ -286,7 +289,7 @@
 
     fn killed_within(&self, dispatcher: usize, from: Micros, to: Micros) -> bool {
         self.0.iter().any(|(time, event)| {
-            matches!(event, Event::ProcessKilled { dispatcher: killed } if *killed == dispatcher)
+            matches!(event, Event::ProcessKilled { dispatcher: killed_dispatcher } if *killed_dispatcher == dispatcher)
                 && (from..=to).contains(time)
         })
     }
@@ -294,7 +297,7 @@
     /// When the dispatchers knew that the engine drains.
     fn drain_announced_at(&self, engine: usize) -> Option<Micros> {
         self.0.iter().find_map(|(time, event)| {
-            matches!(event, Event::DrainAnnounced { engine: draining } if *draining == engine)
+            matches!(event, Event::DrainAnnounced { engine: draining_engine } if *draining_engine == engine)
                 .then_some(*time)
         })
     }
@@ -332,7 +335,7 @@
 
     fn cold_engine_violations(&self, limits: &RunLimits) -> Vec<Violation> {
         let mut violations = Vec::new();
-        for (engine, cold) in &limits.cold_engines {
+        for (engine, cold_engine) in &limits.cold_engines {
             let attempts = self.0.iter().filter_map(|(time, event)| match event {
                 Event::AttemptStarted {
                     engine: receiver,
@@ -341,24 +344,25 @@
                 } if receiver == engine => Some((*time, *work_ms)),
                 _ => None,
             });
-            let attempts = attempts.filter(|(time, _)| (cold.from..cold.until).contains(time));
+            let attempts =
+                attempts.filter(|(time, _)| (cold_engine.from..cold_engine.until).contains(time));
             let attempts: Vec<(Micros, u64)> = attempts.collect();
             let window_work = (0..attempts.len()).map(|first| {
-                let until = attempts[first].0 + cold.window;
+                let until = attempts[first].0 + cold_engine.window;
                 let in_window = attempts[first..]
                     .iter()
                     .take_while(|(time, _)| *time < until);
                 in_window
-                    .map(|(_, work_ms)| *work_ms as f64 / cold.mean_work_ms)
+                    .map(|(_, work_ms)| *work_ms as f64 / cold_engine.mean_work_ms)
                     .sum()
             });
             let max_work = window_work.fold(0.0, f64::max);
-            if max_work > cold.max_requests {
+            if max_work > cold_engine.max_requests {
                 violations.push(Violation {
                     rule: Rule::ColdEngineBudget,
                     request: None,
                     history: vec![format!(
-                        "engine {engine}: {max_work:.1} requests of mean work in a window, {cold:?}"
+                        "engine {engine}: {max_work:.1} requests of mean work in a window, {cold_engine:?}"
                     )],
                 });
             }
@@ -433,9 +437,9 @@
         let Some((sent_at, dispatcher, _)) = self.sends.last().copied() else {
             return true;
         };
-        let due = sent_at + self.pipeline_time_limit + MAX_LATENESS + slack;
+        let answer_deadline = sent_at + self.pipeline_time_limit + MAX_LATENESS + slack;
         if let Some((answered_at, _)) = self.answers.first() {
-            return *answered_at <= due || self.client_left_at.is_some();
+            return *answered_at <= answer_deadline || self.client_left_at.is_some();
         }
         let raced_with_close = self.closes.last().is_some_and(|(closed_at, was_idle)| {
             *was_idle
@@ -446,7 +450,7 @@
         let from = sent_at.saturating_sub(CLOSE_RACE_WINDOW + slack);
         self.client_left_at.is_some()
             || raced_with_close
-            || trace.killed_within(dispatcher, from, due)
+            || trace.killed_within(dispatcher, from, answer_deadline)
     }
 
     /// Whether the attempt may have run: always, unless its engine reported that it never ran.
@@ -458,21 +462,22 @@
         !ends.any(|(_, _, end)| *end == AttemptEnd::NeverRan)
     }
 
-    /// Whether no attempt follows one that may have run, or, for a request that may be repeated for a while, none after its
-    /// window.
+    /// Whether no attempt follows one that may have run. A request with a key may be repeated within its window.
     fn is_repeated_safely(&self, slack: Micros) -> bool {
         let window = match self.effect {
             Some(Effect::Once) => None,
             Some(Effect::ByKey { window }) => Some(window + slack),
             Some(Effect::Repeatable) | None => return true,
         };
-        let first = self
+        let first_run = self
             .attempt_starts
             .iter()
             .position(|attempt| self.may_have_run(attempt));
-        let Some(first) = first else { return true };
-        let (first_start, _, _) = self.attempt_starts[first];
-        let mut repeats = self.attempt_starts[first + 1..].iter();
+        let Some(first_run) = first_run else {
+            return true;
+        };
+        let (first_start, _, _) = self.attempt_starts[first_run];
+        let mut repeats = self.attempt_starts[first_run + 1..].iter();
         repeats.all(|(start, _, _)| window.is_some_and(|window| *start <= first_start + window))
     }
 
@@ -480,13 +485,13 @@
     /// try again.
     fn is_refused_safely(&self) -> bool {
         let mut answers = self.answers.iter();
-        let refused = answers.any(|(_, answer)| *answer == Answer::Refused);
+        let is_refused = answers.any(|(_, answer)| *answer == Answer::Refused);
         let may_have_run = || {
             self.attempt_starts
                 .iter()
                 .any(|attempt| self.may_have_run(attempt))
         };
-        !(refused && self.effect == Some(Effect::Once) && may_have_run())
+        !(is_refused && self.effect == Some(Effect::Once) && may_have_run())
     }
 
     /// Whether each attempt ended before the next one started.
--- a/dispatcher/tests/soak/checker_tests.rs
+++ b/dispatcher/tests/soak/checker_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the checker: for each rule it reports a trace that violates just this rule, and it accepts valid traces.
+//! Tests of the checker: it accepts valid traces and, for each rule, reports a trace that violates just this rule.
 
 use crate::checker::*;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 const TIME_LIMIT: Micros = 1_000 * MILLISECOND;
 
 fn limits() -> RunLimits {
-    let cold = ColdEngine {
+    let cold_engine = ColdEngine {
         from: 0,
         until: 10_000 * MILLISECOND,
         window: 1_000 * MILLISECOND,
@@ -16,7 +16,7 @@
     };
     RunLimits {
         drain_grace: 500 * MILLISECOND,
-        cold_engines: BTreeMap::from([(9, cold)]),
+        cold_engines: BTreeMap::from([(9, cold_engine)]),
         longest_stall: 0,
     }
 }
@@ -160,14 +160,17 @@
     let keyed = Effect::ByKey {
         window: 3 * MILLISECOND,
     };
-    let (soon, within, after) = (3, 50 * MILLISECOND, 60 * MILLISECOND);
-    assert_eq!(broken_rules(repeated(Effect::Repeatable, after)), []);
+    let (soon, within_window, after_window) = (3, 50 * MILLISECOND, 60 * MILLISECOND);
+    assert_eq!(broken_rules(repeated(Effect::Repeatable, after_window)), []);
     assert_eq!(
         broken_rules(repeated(Effect::Once, soon)),
         [Rule::NoUnsafeRepeat]
     );
-    assert_eq!(broken_rules(repeated(keyed, within)), []);
-    assert_eq!(broken_rules(repeated(keyed, after)), [Rule::NoUnsafeRepeat]);
+    assert_eq!(broken_rules(repeated(keyed, within_window)), []);
+    assert_eq!(
+        broken_rules(repeated(keyed, after_window)),
+        [Rule::NoUnsafeRepeat]
+    );
     let concurrent = vec![
         sent(Effect::Repeatable),
         started(1, 1),
--- a/dispatcher/tests/soak/clients.rs
+++ b/dispatcher/tests/soak/clients.rs
@@ -222,7 +222,7 @@
             });
         }
         let leaves_after = self.rng.chance(8).then(|| self.rng.millis_between(1, 300));
-        let cancels = count == 1 && self.rng.chance(5);
+        let sends_cancel = count == 1 && self.rng.chance(5);
         let mut unanswered: VecDeque<Request> = requests.into();
         let leaves_at = leaves_after.map(|after| Instant::now() + after);
         let max_time_limit = unanswered
@@ -236,7 +236,7 @@
                 biased;
                 result = session.read_answer() => result,
                 () = sleep_until(leaves_at.unwrap_or(wait_until)), if leaves_at.is_some() => {
-                    self.leave(session, &unanswered, cancels).await;
+                    self.leave(session, &unanswered, sends_cancel).await;
                     return None;
                 }
                 () = sleep_until(wait_until) => WaitResult::TimedOut,
@@ -279,9 +279,14 @@
         true
     }
 
-    /// Leaves before the answers: closes the connection, or cancels and closes it half a second later.
-    async fn leave(&mut self, session: Session, unanswered: &VecDeque<Request>, cancels: bool) {
-        if cancels && let Ok(peer) = session.stream.peer_addr() {
+    /// Leaves before the answers: closes the connection, or sends a cancel request and closes it half a second later.
+    async fn leave(
+        &mut self,
+        session: Session,
+        unanswered: &VecDeque<Request>,
+        sends_cancel: bool,
+    ) {
+        if sends_cancel && let Ok(peer) = session.stream.peer_addr() {
             let bytes = wire::cancel(&session.cancel_key);
             if let Ok(mut cancel_stream) = TcpStream::connect(peer).await
                 && cancel_stream.write_all(&bytes).await.is_ok()
--- a/dispatcher/tests/soak/fakes.rs
+++ b/dispatcher/tests/soak/fakes.rs
@@ -1,5 +1,5 @@
-//! Fake engines, with or without faults, and fake change logs for the dispatchers to connect to; the random numbers and the
-//! recorder of a run.
+//! Fake engines, with or without faults, and fake change logs to which the dispatchers connect. Also the random number
+//! generator and the event recorder of a run.
 
 use crate::checker::{AttemptEnd, Event, MILLISECOND, Micros};
 use sedgebeam_lab::wire;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Records all events of a run, shared by everything that takes part in it.
+/// Records all events of a run; clones share the record.
 #[derive(Clone)]
 pub struct Recorder {
     started_at: Instant,
@@ -152,7 +152,7 @@
 }
 
 impl Connection {
-    fn finish(&mut self, id: &str, end: AttemptEnd) {
+    fn end_attempt(&mut self, id: &str, end: AttemptEnd) {
         if let Some(request) = self.in_flight.remove(id) {
             self.recorder.record(Event::AttemptEnded {
                 request,
@@ -192,8 +192,8 @@
                         self.handle_command(&fields, &due_sender, &mut write).await;
                     }
                 }
-                Some(due) = due_answers.recv() => {
-                    if !self.send_answer(due, &mut write).await {
+                Some(due_answer) = due_answers.recv() => {
+                    if !self.send_answer(due_answer, &mut write).await {
                         break;
                     }
                 }
@@ -201,7 +201,7 @@
         }
         let unfinished: Vec<String> = self.in_flight.keys().cloned().collect();
         for id in unfinished {
-            self.finish(&id, AttemptEnd::MayHaveRun);
+            self.end_attempt(&id, AttemptEnd::MayHaveRun);
         }
     }
 
@@ -253,7 +253,7 @@
                     }
                 });
             }
-            "abort" => self.finish(&id, AttemptEnd::MayHaveRun),
+            "abort" => self.end_attempt(&id, AttemptEnd::MayHaveRun),
             "stats" | "alive" => {
                 let _ = write.write_all(&encode_array(&[&id, "UP", "-", ""])).await;
             }
@@ -262,29 +262,30 @@
     }
 
     /// Sends the answer according to its plan, and returns whether the connection stays open.
-    async fn send_answer(&mut self, due: DueAnswer, write: &mut OwnedWriteHalf) -> bool {
-        if !self.in_flight.contains_key(&due.id) {
+    async fn send_answer(&mut self, due_answer: DueAnswer, write: &mut OwnedWriteHalf) -> bool {
+        if !self.in_flight.contains_key(&due_answer.id) {
             return true;
         }
-        let ok = encode_array(&[&due.id, "OK", "parts=1,work=5.0,peak=8", "a\tb\tc\n"]);
-        match due.plan {
+        let ok_answer =
+            encode_array(&[&due_answer.id, "OK", "parts=1,work=5.0,peak=8", "a\tb\tc\n"]);
+        match due_answer.plan {
             Plan::Hang => true,
             Plan::Reset => false,
             Plan::Truncate => {
-                let _ = write.write_all(&ok[..ok.len() / 2]).await;
+                let _ = write.write_all(&ok_answer[..ok_answer.len() / 2]).await;
                 true
             }
             Plan::Duplicate => {
-                self.finish(&due.id, AttemptEnd::MayHaveRun);
-                let both = [ok.clone(), ok].concat();
+                self.end_attempt(&due_answer.id, AttemptEnd::MayHaveRun);
+                let both = [ok_answer.clone(), ok_answer].concat();
                 write.write_all(&both).await.is_ok()
             }
             Plan::Status(status, end) => {
-                self.finish(&due.id, end);
+                self.end_attempt(&due_answer.id, end);
                 let answer = if status == "OK" {
-                    ok
+                    ok_answer
                 } else {
-                    encode_array(&[&due.id, status, "-", ""])
+                    encode_array(&[&due_answer.id, status, "-", ""])
                 };
                 write.write_all(&answer).await.is_ok()
             }
@@ -309,7 +310,7 @@
     followers: Arc<AtomicUsize>,
 }
 
-/// Time between two looks for new events.
+/// Interval at which a change log looks for new events.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Starts a change log; several logs may serve the same events.
@@ -346,7 +347,7 @@
         let last_event_id = head
             .lines()
             .find_map(|line| line.strip_prefix("Last-Event-ID: "));
-        let mut delivered = last_event_id
+        let mut delivered_count = last_event_id
             .and_then(|id| id.parse::<usize>().ok())
             .unwrap_or(0);
         stream
@@ -357,14 +358,14 @@
             while self.is_silent.load(Ordering::Relaxed) {
                 sleep(POLL_INTERVAL).await;
             }
-            let new: Vec<String> = {
+            let new_events: Vec<String> = {
                 let events = self.events.lock().expect("the lock is not poisoned");
-                events.get(delivered..).unwrap_or_default().to_vec()
+                events.get(delivered_count..).unwrap_or_default().to_vec()
             };
-            for event in new {
-                delivered += 1;
+            for event in new_events {
+                delivered_count += 1;
                 stream
-                    .write_all(format!("id: {delivered}\ndata: {event}\n\n").as_bytes())
+                    .write_all(format!("id: {delivered_count}\ndata: {event}\n\n").as_bytes())
                     .await?;
             }
             polls += 1;
--- a/dispatcher/tests/soak/main.rs
+++ b/dispatcher/tests/soak/main.rs
@@ -29,7 +29,7 @@
 const FAULTS_PER_RUN: usize = 6;
 const CLIENTS: u64 = 12;
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// After this time a dispatcher is assumed to know an event of the change log, even if the log was disturbed.
+/// The time within which a dispatcher is assumed to know an event of the change log, even if the log was disturbed.
 const MAX_EVENT_DELAY: Duration = Duration::from_secs(7);
 /// The time within which an undisturbed change log delivers an event.
 const EVENT_DELAY: Duration = Duration::from_millis(50);
@@ -49,7 +49,7 @@
 const ECONNABORTED: i32 = 103;
 const ENOBUFS: i32 = 105;
 
-/// System calls that fail or transfer one byte: the call, of which every n-th meets the fault, and the fault.
+/// Faults of system calls: the call, the number n of which every n-th call meets the fault, and the fault.
 const SYSTEM_CALL_FAULTS: [(SystemCall, i32, Fault); 8] = [
     (SystemCall::Recv, 1, Fault::OneByte),
     (SystemCall::Send, 1, Fault::OneByte),
@@ -143,7 +143,7 @@
     change_logs: Vec<ChangeLog>,
     dispatchers: Vec<Dispatcher>,
     cold_engines: BTreeMap<usize, ColdEngine>,
-    /// When an event of the change log may last have been lost or late.
+    /// The last time at which an event of the change log may have been lost or delayed.
     disturbed_at: Option<Instant>,
     is_finished: Arc<AtomicBool>,
     /// Background tasks: idle connections, and faults that end later.
@@ -392,8 +392,8 @@
         let fault_index = self.rng.below(SYSTEM_CALL_FAULTS.len() as u64 + 1) as usize;
         let duration = self.rng.millis_between(200, 800);
         let faults = &self.dispatchers[number].faults;
-        let call = if let Some((call, every, fault)) = SYSTEM_CALL_FAULTS.get(fault_index) {
-            faults.inject_every_nth(*every, *call, *fault);
+        let call = if let Some((call, every_nth, fault)) = SYSTEM_CALL_FAULTS.get(fault_index) {
+            faults.inject_every_nth(*every_nth, *call, *fault);
             *call
         } else {
             let offset = if self.rng.chance(50) {
--- a/dispatcher/tests/under_load.rs
+++ b/dispatcher/tests/under_load.rs
@@ -54,22 +54,27 @@
         kills.push(Instant::now());
     }
 
-    /// Whether a process was killed since `sent`.
-    fn killed_since(&self, sent: Instant) -> bool {
+    /// Whether a process was killed since `sent_at`.
+    fn killed_since(&self, sent_at: Instant) -> bool {
         let kills = self.kills.lock().expect("the lock is not poisoned");
-        kills.iter().any(|at| sent <= *at)
+        kills.iter().any(|killed_at| sent_at <= *killed_at)
     }
 
     /// The failures of requests during which no process was killed.
     fn lost_requests(&self) -> Vec<String> {
         let kills = self.kills.lock().expect("the lock is not poisoned").clone();
         let failures = self.failures.lock().expect("the lock is not poisoned");
-        let excused =
-            |sent: &Instant, failed: &Instant| kills.iter().any(|at| sent <= at && at <= failed);
-        let lost = failures
+        let is_excused = |sent_at: &Instant, failed_at: &Instant| {
+            kills
+                .iter()
+                .any(|killed_at| sent_at <= killed_at && killed_at <= failed_at)
+        };
+        let lost_requests = failures
             .iter()
-            .filter(|(sent, failed, _)| !excused(sent, failed));
-        lost.map(|(_, _, failure)| failure.clone()).collect()
+            .filter(|(sent_at, failed_at, _)| !is_excused(sent_at, failed_at));
+        lost_requests
+            .map(|(_, _, failure)| failure.clone())
+            .collect()
     }
 }
 
@@ -79,7 +84,7 @@
 }
 
 impl Session {
-    /// Opens a session, or returns the SQLSTATE with which the dispatcher rejected it.
+    /// Opens a session; the inner error is the SQLSTATE with which the dispatcher rejected it.
     async fn open(address: SocketAddr) -> io::Result<Result<Session, String>> {
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -90,7 +95,7 @@
         Ok(sqlstate.map_or(Ok(session), Err))
     }
 
-    /// Whether no close by the server has arrived.
+    /// Whether the connection is open and no data has arrived.
     fn is_open(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
@@ -146,7 +151,7 @@
         } else {
             "lookup"
         };
-        let (id, sent) = (next_random(&mut seed), Instant::now());
+        let (id, sent_at) = (next_random(&mut seed), Instant::now());
         let mut is_new_connection = idle_session.is_none();
         let answer = loop {
             let opened = match idle_session.take().filter(Session::is_open) {
@@ -164,7 +169,7 @@
             };
             match answer {
                 // The request raced with the close of an idle connection: it is sent again, once.
-                Err(_) if !is_new_connection && !outcomes.killed_since(sent) => {
+                Err(_) if !is_new_connection && !outcomes.killed_since(sent_at) => {
                     is_new_connection = true;
                     outcomes.retried.fetch_add(1, Ordering::Relaxed);
                 }
@@ -177,7 +182,7 @@
                 outcomes.refused.fetch_add(1, Ordering::Relaxed)
             }
             other => {
-                let failure = (sent, Instant::now(), format!("{class}: {other:?}"));
+                let failure = (sent_at, Instant::now(), format!("{class}: {other:?}"));
                 outcomes
                     .failures
                     .lock()
@@ -287,7 +292,7 @@
         }
     }
 
-    /// Waits until the control socket reports that the process accepts requests.
+    /// Waits until the control socket reports that the process is ready.
     async fn wait_until_ready(&mut self) {
         self.control_address = self.wait_for_log("takes calls of operators on ").await;
         while !self.control("PING").await.starts_with("200") {
@@ -333,11 +338,11 @@
 /// Runs one upgrade with a fault at one of its steps, and returns the process that serves afterwards.
 async fn upgrade(
     platform: &Platform,
-    mut old: Process,
+    mut old_process: Process,
     mut seed: u64,
     outcomes: &Outcomes,
 ) -> Process {
-    let mut new = platform.start();
+    let mut new_process = platform.start();
     let step = next_random(&mut seed) % 6;
     // Covers the time from the start of the new process to well after it accepts requests.
     let delay = Duration::from_micros(next_random(&mut seed) % 400_000);
@@ -345,42 +350,42 @@
         0 | 1 => {
             sleep(delay).await;
             outcomes.record_kill();
-            new.signal("-KILL");
-            new.wait_for_exit().await;
-            return old;
+            new_process.signal("-KILL");
+            new_process.wait_for_exit().await;
+            return old_process;
         }
         2 => {
-            old.signal("-STOP");
+            old_process.signal("-STOP");
             sleep(delay).await;
-            old.signal("-CONT");
+            old_process.signal("-CONT");
         }
         _ => {}
     }
-    new.wait_until_ready().await;
+    new_process.wait_until_ready().await;
     match step {
         3 => {
             sleep(delay / 8).await;
             outcomes.record_kill();
-            old.signal("-KILL");
-            old.wait_for_exit().await;
+            old_process.signal("-KILL");
+            old_process.wait_for_exit().await;
         }
         _ => {
-            old.signal("-TERM");
-            old.wait_for_log("ending: last call").await;
-            let answer = old.control("PING").await;
+            old_process.signal("-TERM");
+            old_process.wait_for_log("ending: last call").await;
+            let answer = old_process.control("PING").await;
             assert!(answer.starts_with("400"), "{answer}");
-            assert_eq!(old.wait_for_exit().await, Some(0));
+            assert_eq!(old_process.wait_for_exit().await, Some(0));
         }
     }
-    let answer = new.control("PING").await;
+    let answer = new_process.control("PING").await;
     assert!(answer.starts_with("200"), "{answer}");
-    new
+    new_process
 }
 
 /// A platform with one engine, and clients that send requests until the end of the test.
 struct Harness {
     platform: Platform,
-    seen: Arc<engine::LoadCounts>,
+    load_counts: Arc<engine::LoadCounts>,
     outcomes: Arc<Outcomes>,
     clients: Vec<tokio::task::JoinHandle<()>>,
 }
@@ -390,8 +395,8 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.expect("bind a port");
         let address = listener.local_addr().expect("get the local address");
-        let seen = Arc::new(engine::LoadCounts::default());
-        tokio::spawn(engine::serve(listener, seen.clone()));
+        let load_counts = Arc::new(engine::LoadCounts::default());
+        tokio::spawn(engine::serve(listener, load_counts.clone()));
         let platform = Platform::new(number, address);
         let outcomes = Arc::new(Outcomes::default());
         let address = platform.socket.local_addr().expect("get the local address");
@@ -402,7 +407,7 @@
         let clients = clients.collect();
         Harness {
             platform,
-            seen,
+            load_counts,
             outcomes,
             clients,
         }
@@ -425,7 +430,7 @@
 async fn run_upgrades(number: u64, seeds: impl Iterator<Item = u64>) {
     let Harness {
         platform,
-        seen,
+        load_counts,
         outcomes,
         clients,
     } = Harness::new(number).await;
@@ -442,7 +447,7 @@
         );
     }
     stop_clients(&outcomes, clients).await;
-    assert_eq!(seen.take_duplicates(), 0, "a load was sent twice");
+    assert_eq!(load_counts.take_duplicates(), 0, "a load was sent twice");
     let served = outcomes.served.load(Ordering::Relaxed);
     assert!(served > 20 * count, "{served} served in {count} upgrades");
     println!(
@@ -488,29 +493,29 @@
     run_test(async {
         let Harness {
             platform,
-            seen,
+            load_counts,
             outcomes,
             clients,
         } = Harness::new(5).await;
         let mut serving = platform.start();
         serving.wait_until_ready().await;
-        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         for _ in 0..3 {
-            let served = load(&outcomes.served);
-            while load(&outcomes.served) < served + 50 {
+            let served = count(&outcomes.served);
+            while count(&outcomes.served) < served + 50 {
                 sleep(Duration::from_millis(5)).await;
             }
             let answer = serving.control("LAMEDUCK").await;
             assert!(answer.starts_with("200") && serving.control("PING").await.starts_with("400"));
             // By then each client has lost its connection and was rejected several times.
-            let refused = load(&outcomes.refused);
-            while load(&outcomes.refused) < refused + 10 * CLIENTS as u64 {
+            let refused = count(&outcomes.refused);
+            while count(&outcomes.refused) < refused + 10 * CLIENTS as u64 {
                 sleep(Duration::from_millis(5)).await;
             }
-            let served = load(&outcomes.served);
+            let served = count(&outcomes.served);
             sleep(Duration::from_millis(50)).await;
             assert_eq!(
-                load(&outcomes.served),
+                count(&outcomes.served),
                 served,
                 "no session is served during a drain"
             );
@@ -518,7 +523,7 @@
             assert!(answer.starts_with("200") && serving.control("PING").await.starts_with("200"));
         }
         stop_clients(&outcomes, clients).await;
-        assert_eq!(seen.take_duplicates(), 0, "a load was sent twice");
+        assert_eq!(load_counts.take_duplicates(), 0, "a load was sent twice");
     });
 }
 
@@ -574,8 +579,8 @@
     });
 }
 
-/// Guards the other tests of this file: their clients must report a dispatcher that closes the connection after it received a
-/// request, and accept one that answers.
+/// Checks the clients of the other tests: they must report a dispatcher that closes the connection after it has
+/// received a request, and accept one that answers.
 #[test]
 fn a_dispatcher_that_drops_requests_is_detected() {
     run_test(async {
