--- a/dispatcher/tests/scenarios/engine_actor.rs
+++ b/dispatcher/tests/scenarios/engine_actor.rs
@@ -114,7 +114,7 @@
     async fn send_attempt_with_statement(&self, id: u64, attempt_no: u32, statement: Bytes) {
         let attempt = Attempt {
             request: RequestId(id),
- attempt_no: AttemptNo(attempt_no),
+            attempt_no: AttemptNo(attempt_no),
             class: "lookup".into(),
             deadline: Instant::now() + Duration::from_secs(9),
             priority: 1,
