--- a/dispatcher/src/serve/flight.rs
+++ b/dispatcher/src/serve/flight.rs
@@ -12,7 +12,8 @@
 
 /// Concurrent calls on one connection.
 const MAX_CALLS_PER_CONNECTION: usize = 128;
-/// Interval of HTTP/2 pings. A client that doesn't answer one for as long again counts as disconnected.
+/// Interval of HTTP/2 pings. A client that doesn't answer one within tonic's default timeout, 20 s, counts as
+/// disconnected.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Accepts clients until `stop` is set, and serves their open calls to the end: on the main thread, or on the workers,
