--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The tests of the project; needs nothing but the Rust toolchain and the crate registry. Tests named in KNOWN-RED.txt, which
-# fail for a fault that is known and not mended yet, are passed over and printed; all others must pass.
+# Runs the project's tests. Requires only the Rust toolchain and the crate registry. Tests listed in KNOWN-RED.txt, which
+# fail because of a known fault that is not fixed yet, are skipped and printed; all others must pass.
 set -eu
 cd "$(dirname "$0")"
 cargo fmt --all --check
