--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -5,9 +5,11 @@
 mod concurrency_limit;
 mod health;
 pub mod probing;
+mod random;
 pub mod reconnect;
 pub mod slow_start;
 pub mod subset;
 
 pub use concurrency_limit::ConcurrencyLimit;
 pub use health::{EjectionPolicy, FAILURES_TO_EJECT, Health};
+pub use random::{next_random, splitmix64};
--- a/fleet/src/reconnect.rs
+++ b/fleet/src/reconnect.rs
@@ -16,6 +16,8 @@
 //! responds nor closes early sees at most `MAX_IN_FLIGHT` connects of each in
 //! `BackoffConfig::rejection_window_us`.
 
+use crate::random::next_random;
+
 /// Connects to one engine that may be in flight at once while none has failed; further attempts
 /// share connections. The limit is low enough that a burst at an engine that rejects all
 /// connections is harmless, and high enough that a burst is spread over several connections.
@@ -245,15 +247,6 @@
     fn draw_pause_us(&mut self, config: &BackoffConfig) -> u64 {
         let max_us = config.max_pause_us(self.consecutive_failures);
         let min_us = max_us / 2;
-        min_us + self.next_random() % (max_us - min_us + 1)
-    }
-
-    /// Returns the next pseudo-random number (splitmix64).
-    fn next_random(&mut self) -> u64 {
-        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random_state;
-        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        mixed ^ (mixed >> 31)
+        min_us + next_random(&mut self.random_state) % (max_us - min_us + 1)
     }
 }
--- a/leases/tests/sharded_gateways.rs
+++ b/leases/tests/sharded_gateways.rs
@@ -4,7 +4,7 @@
 use sedgebeam_core::{
     Action, AttemptEnded, AttemptNo, Class, ClassId, Effect, Engine, EngineId, Event, Gateway,
     Kind, KindId, ListKind, Micros, Outcome, Query, RequestId, Settings, TableGroupId, Tenant,
-    TenantId, TimerId,
+    TenantId, TimerId, next_random,
 };
 use sedgebeam_leases::{Lease, LeaseTable, LeaseTerms, ShardId};
 use std::collections::{BTreeMap, HashMap};
@@ -71,10 +71,7 @@
 
 impl Random {
     fn next(&mut self) -> f64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let value = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        ((value ^ (value >> 31)) >> 11) as f64 / (1u64 << 53) as f64
+        (next_random(&mut self.0) >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
--- a/src/fleet_scan/tests.rs
+++ b/src/fleet_scan/tests.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::*;
 use crate::policy::Gateway;
-use crate::state::splitmix64;
+use sedgebeam_fleet::splitmix64;
 use std::collections::VecDeque;
 
 const MS: u64 = 1000;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -41,9 +41,9 @@
 pub use handover::{ClassHandover, EngineHandover, HandoverState};
 pub use interface::*;
 pub use policy::{Gateway, MAX_CREDIT};
+pub use sedgebeam_fleet::{next_random, splitmix64};
 pub use shard_usage::{
     ClassUsage, Demand, EngineDemand, EngineUsage, ShardUsage, SiblingEngineUsage, SiblingUsage,
     ThreadQuota,
 };
-pub use state::splitmix64;
 pub use state_sizes::StateSizes;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -10,7 +10,7 @@
 use crate::sizing::{OWN_BUDGET_FACTOR, THREADS_PER_CORE, tenant_shares};
 use crate::state::*;
 use crate::subset::Ring;
-use sedgebeam_fleet::{ConcurrencyLimit, EjectionPolicy, FAILURES_TO_EJECT, probing};
+use sedgebeam_fleet::{ConcurrencyLimit, EjectionPolicy, FAILURES_TO_EJECT, probing, splitmix64};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Limit of a party's credit and of its debt, in releases. It bounds the later effect of an idle period or of
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -3,8 +3,8 @@
 
 use crate::interface::Micros;
 use crate::policy::Gateway;
-use crate::state::{Attempt, EngineView, Request, splitmix64};
-use sedgebeam_fleet::slow_start;
+use crate::state::{Attempt, EngineView, Request};
+use sedgebeam_fleet::{slow_start, splitmix64};
 
 /// Fraction of its share of a cold engine's budget that a gateway uses, as the work of queries is estimated.
 const COLD_BUDGET_FRACTION: f64 = 0.5;
--- a/src/state.rs
+++ b/src/state.rs
@@ -395,15 +395,6 @@
     pub share_memory_mb: f64,
 }
 
-/// The SplitMix64 hash function. It is fixed, so that every gateway derives the same order and choices from
-/// the same value.
-pub fn splitmix64(value: u64) -> u64 {
-    let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    value ^ (value >> 31)
-}
-
 /// Requests of an order key, in order of arrival.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -3,8 +3,8 @@
 
 use crate::interface::{AttemptEnded, EngineId};
 use crate::policy::{CONGESTION_SLOWDOWN, Gateway};
-use crate::state::{EngineView, Request, prefer, splitmix64};
-use sedgebeam_fleet::subset;
+use crate::state::{EngineView, Request, prefer};
+use sedgebeam_fleet::{splitmix64, subset};
 use std::collections::BTreeSet;
 
 /// All known engines in hash order, which is the same at every gateway.
