--- a/broker/src/tests.rs
+++ b/broker/src/tests.rs
@@ -12,6 +12,14 @@
 const ENGINE: EngineId = EngineId(1);
 const FIRST: AttemptNo = AttemptNo(0);
 
+type AbortMethod = fn(&mut Broker, RequestId, AttemptNo, Instant);
+
+/// The methods that abort an attempt, each with the outcome that it reports.
+const ABORT_METHODS: [(AbortMethod, Outcome); 2] = [
+    (Broker::cancel_attempt, Outcome::Cancelled),
+    (Broker::attempt_timed_out, Outcome::TimedOut),
+];
+
 struct Fixture {
     broker: Broker,
     commands: mpsc::Receiver<EngineCommand>,
@@ -177,13 +185,8 @@
 
 #[test]
 fn a_cancelled_or_timed_out_attempt_is_aborted_once_and_a_late_result_is_dropped() {
-    type AbortMethod = fn(&mut Broker, RequestId, AttemptNo, Instant);
-    let cases: [(AbortMethod, Outcome); 2] = [
-        (Broker::cancel_attempt, Outcome::Cancelled),
-        (Broker::attempt_timed_out, Outcome::TimedOut),
-    ];
     run_in_runtime(|| {
-        for (abort_method, outcome) in cases {
+        for (abort_method, outcome) in ABORT_METHODS {
             let mut fixture = fixture();
             fixture.send();
             abort_method(&mut fixture.broker, ID, FIRST, Instant::now());
@@ -649,13 +652,8 @@
 /// confirmed.
 #[test]
 fn an_aborted_attempt_is_in_flight_until_the_abort_is_confirmed() {
-    type AbortMethod = fn(&mut Broker, RequestId, AttemptNo, Instant);
-    let cases: [(AbortMethod, Outcome); 2] = [
-        (Broker::cancel_attempt, Outcome::Cancelled),
-        (Broker::attempt_timed_out, Outcome::TimedOut),
-    ];
     run_in_runtime(|| {
-        for (abort_method, outcome) in cases {
+        for (abort_method, outcome) in ABORT_METHODS {
             let mut fixture = repeatable_fixture();
             fixture.send();
             abort_method(&mut fixture.broker, ID, FIRST, Instant::now());
